--- a/lab/scale_script.cpp
+++ b/lab/scale_script.cpp
@@ -115,8 +115,7 @@
         range("writes-share", options.writes_share, 0, 1), range("roam-share", options.roam_share, 0, 1),
         range("own-reads-share", options.own_reads_share, -1, 1),
         range("alone", options.alone, 0, kMostHosts), range("owners", options.owners, 0, kMostHosts),
-        range("bytes-per-s", options.bytes_per_s, 0, 1e9),
-        range("coalesce-ms", options.coalesce_ms, 0, 100),
+        range("bytes-per-s", options.bytes_per_s, 0, 1e9), range("coalesce-ms", options.coalesce_ms, 0, 100),
         range("changes-per-s", options.changes_per_s, -1, 100)}) {
     if (!wrong.empty()) return wrong;
   }
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,6 +1,12 @@
 // The decisions of lynxgrade: every rule, table and tuned value. The interface is balance.h.
 #include "balance.h"
 
+#include <algorithm>
+#include <cmath>
+#include <map>
+#include <random>
+#include <set>
+
 #include "estimate/first_try.h"
 #include "estimate/position.h"
 #include "estimate/stay.h"
@@ -12,12 +18,6 @@
 #include "fleet/warm_up.h"
 #include "limits/window.h"
 
-#include <algorithm>
-#include <cmath>
-#include <map>
-#include <random>
-#include <set>
-
 namespace lynxgrade {
 namespace {
 
@@ -34,33 +34,33 @@
 constexpr int kShortPauses = 100;       // how long connections are given back after one was not to be had
 constexpr int kMostDoublings = 4;       // of either rest
 constexpr int kMostRefusedDoublings = 6;  // of the rest of one that refuses connections
-constexpr double kRetryShare = 0.2;     // retry budget earned by a request: a fifth of it again
-constexpr double kRetryBurst = 20;      // most retries saved up
-constexpr double kNominalPart = 0.4;    // of the tenants' shares: what warm members surely carry
-constexpr double kProbePoints = 0.004;  // of the goal spent on routine probes at most
-constexpr std::size_t kMostProbes = 3;  // routine probes a beat
-constexpr double kFreeProbes = 1;       // routine probes a request where they cost nothing
-constexpr int kStalePauses = 3;         // a position this old is asked for, where answers tell none
-constexpr int kStaleToldPauses = 20;    // and where they do
-constexpr double kFarBehind = 0.02;     // share of its draw left to a replica expected to miss
-constexpr double kMissGain = 0.03;      // EWMA gain of the share missed by replicas of unknown position
-constexpr double kTogether = 30;        // draw of the replica that takes a group's long any-reads
-constexpr double kLongRead = 3;         // what is long: so many times the shortest class
-constexpr double kSharpness = 2;        // exponent of the draw
-constexpr double kHopeless = 0.35;      // refusing starts where the expected latency is this part of the rest
-constexpr double kHopelessRamp = 0.4;   // and is (almost) full so much later
-constexpr double kQuicker = 0.7;        // of what the drawn member takes: where another may stand in
-constexpr double kMostRefused = 0.95;   // some go through still, or recovery would not be seen
-constexpr double kWorkedOff = 0.5;      // of its length a queue takes to go, as refusals thin out the rest
-constexpr double kSpareAim = 0.6;       // of its aim: a primary whose work takes less has room to spare
-constexpr double kLateMatters = 0.5;    // a class worth this part when late is waited for after its aim
-constexpr double kCheapLow = 0.8;       // bounds of that judgement: no class is to be starved
+constexpr double kRetryShare = 0.2;       // retry budget earned by a request: a fifth of it again
+constexpr double kRetryBurst = 20;        // most retries saved up
+constexpr double kNominalPart = 0.4;      // of the tenants' shares: what warm members surely carry
+constexpr double kProbePoints = 0.004;    // of the goal spent on routine probes at most
+constexpr std::size_t kMostProbes = 3;    // routine probes a beat
+constexpr double kFreeProbes = 1;         // routine probes a request where they cost nothing
+constexpr int kStalePauses = 3;           // a position this old is asked for, where answers tell none
+constexpr int kStaleToldPauses = 20;      // and where they do
+constexpr double kFarBehind = 0.02;       // share of its draw left to a replica expected to miss
+constexpr double kMissGain = 0.03;        // EWMA gain of the share missed by replicas of unknown position
+constexpr double kTogether = 30;          // draw of the replica that takes a group's long any-reads
+constexpr double kLongRead = 3;           // what is long: so many times the shortest class
+constexpr double kSharpness = 2;          // exponent of the draw
+constexpr double kHopeless = 0.35;     // refusing starts where the expected latency is this part of the rest
+constexpr double kHopelessRamp = 0.4;  // and is (almost) full so much later
+constexpr double kQuicker = 0.7;       // of what the drawn member takes: where another may stand in
+constexpr double kMostRefused = 0.95;  // some go through still, or recovery would not be seen
+constexpr double kWorkedOff = 0.5;     // of its length a queue takes to go, as refusals thin out the rest
+constexpr double kSpareAim = 0.6;      // of its aim: a primary whose work takes less has room to spare
+constexpr double kLateMatters = 0.5;   // a class worth this part when late is waited for after its aim
+constexpr double kCheapLow = 0.8;      // bounds of that judgement: no class is to be starved
 constexpr double kCheapHigh = 1.6;
-constexpr double kLate = 8;              // latencies of its class that an attempt called off counts at most
+constexpr double kLate = 8;               // latencies of its class that an attempt called off counts at most
 constexpr int kRolePauses = 10;           // how long a write takes a member that was heard as replica for one
 constexpr std::size_t kKeptForFound = 2;  // attempts that a write does not spend on looking for its primary
-constexpr Duration kListAge{5000000};    // a late list's word on the role is this old
-constexpr Duration kGoneKept{30000000};  // a member that is gone; longer than one has been seen to be away
+constexpr Duration kListAge{5000000};     // a late list's word on the role is this old
+constexpr Duration kGoneKept{30000000};   // a member that is gone; longer than one has been seen to be away
 
 double Seconds(Duration d) { return static_cast<double>(d.count()) * 1e-6; }
 Duration Times(Duration d, double by) {
--- a/src/fleet/backoff.cpp
+++ b/src/fleet/backoff.cpp
@@ -24,8 +24,6 @@
 
 Duration Backoff::Next(double chance) { return Part(Window(failures_++), chance); }
 
-Duration Backoff::Spread(double chance, Duration most) const {
-  return Part(std::min(window_, most), chance);
-}
+Duration Backoff::Spread(double chance, Duration most) const { return Part(std::min(window_, most), chance); }
 
 }  // namespace lynxgrade::fleet
--- a/src/peers/exchange.h
+++ b/src/peers/exchange.h
@@ -176,7 +176,7 @@
   std::unique_ptr<directory::Directory> directory_;
   std::unique_ptr<directory::Courier> courier_;  // of the directory
   Time looked_for_near_{};
-  std::uint64_t changes_ = 0;   // of members, as last followed
+  std::uint64_t changes_ = 0;  // of members, as last followed
   // Who is to be followed at the next change of members, as something of its link has changed here.
   std::vector<std::string> again_;
   std::set<std::string> flushed_to_;  // names of those with a link that take marks
--- a/src/peers/peers.h
+++ b/src/peers/peers.h
@@ -108,7 +108,7 @@
   Time started_{};
   std::uint64_t dropped_ = 0;
   std::int64_t spent_ns_ = 0;
-  int timed_ = 0;  // stretches that are under way, one in another
+  int timed_ = 0;                // stretches that are under way, one in another
   std::uint64_t conflicts_ = 0;  // as last said
 };
 
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -1,6 +1,5 @@
 // The module alone, in simulated time.
 #include "balance.h"
-#include "session/keeper.h"
 
 #include <gtest/gtest.h>
 
@@ -9,6 +8,8 @@
 #include <set>
 #include <utility>
 
+#include "session/keeper.h"
+
 namespace lynxgrade {
 namespace {
 
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -784,9 +784,8 @@
       client->bytes.clear();
       client->Say(Query(""));
     }
-    w.Until([&] {
-      return client->ended || client->Types().ends_with("EZ") || client->Types().ends_with("IZ");
-    });
+    w.Until(
+        [&] { return client->ended || client->Types().ends_with("EZ") || client->Types().ends_with("IZ"); });
     ready = client->Types().ends_with("IZ");
     REQUIRE_FALSE(program.over);
   }
--- a/tests/estimate_test.cpp
+++ b/tests/estimate_test.cpp
@@ -106,9 +106,9 @@
 };
 
 struct Verdicts {
-  int rightly_up = 0, wrongly_up = 0;      // given up, and it did not, or did, come in time
-  int rightly_on = 0, wrongly_on = 0;      // waited for, likewise
-  int asked = 0, could = 0, missed = 0;    // ask now? of those that had reached; ruled out though reached
+  int rightly_up = 0, wrongly_up = 0;    // given up, and it did not, or did, come in time
+  int rightly_on = 0, wrongly_on = 0;    // waited for, likewise
+  int asked = 0, could = 0, missed = 0;  // ask now? of those that had reached; ruled out though reached
 };
 
 // Reads that want data of the present, half of them with a target that moves on, for one second each.
--- a/tests/pooler_test.cpp
+++ b/tests/pooler_test.cpp
@@ -553,7 +553,8 @@
   agent.line = list("42", "Terminating") + "\n";
   Program program(w);
   std::string config = program.Config(agent.Where(), list("41", "Ready"));
-  config.replace(config.find(R"("settings":{)"), 12, R"("settings":{"peers_total":300,"discovery":"push",)"
+  config.replace(config.find(R"("settings":{)"), 12,
+                 R"("settings":{"peers_total":300,"discovery":"push",)"
                  R"("rules":{"drain_grace_us":2000000},)");
   program.Configure(config);
   program.Start();
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -182,8 +182,7 @@
 Ran Host(const std::string& input) {
   const std::string base = testing::TempDir() + "adapter_" + std::to_string(getpid());
   std::ofstream(base + ".in") << input;
-  const std::string command =
-      std::string(ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
+  const std::string command = std::string(ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
   Ran ran;
   ran.code = WEXITSTATUS(std::system(command.c_str()));
   const auto read = [&](const char* end) {
