--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -29,12 +29,12 @@
 }
 
 struct Rig {
-  explicit Rig(std::uint32_t members) : balancer(Site(), 1) {
+  explicit Rig(std::uint32_t servers) : balancer(Site(), 1) {
     ListEvent list{ListKind::kPersisted, {}};
-    for (std::uint32_t i = 0; i < members; ++i) {
-      list.entries.push_back({.member = MemberId(i + 1), .group = GroupId(i / kGroup)});
+    for (std::uint32_t i = 0; i < servers; ++i) {
+      list.entries.push_back({.server = ServerId(i + 1), .group = GroupId(i / kGroup)});
     }
-    groups = (members + kGroup - 1) / kGroup;
+    groups = (servers + kGroup - 1) / kGroup;
     Feed(list);
   }
 
@@ -57,7 +57,7 @@
     OutcomeEvent end;
     end.id = ask.id;
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) end.member = send->member;
+      if (const auto* send = std::get_if<Send>(&action)) end.server = send->server;
     }
     end.taken = Duration(30000);
     end.request_done = true;
@@ -66,7 +66,7 @@
     Feed(end);
   }
 
-  Time now{Duration(1000000000)};
+  TimePoint now{Duration(1000000000)};
   Balancer balancer;
   Actions actions;
   TimerId beat{};
--- a/bench/watermark_table_bench.cpp
+++ b/bench/watermark_table_bench.cpp
@@ -15,7 +15,7 @@
 
 constexpr GroupId kGroup{1};
 constexpr std::size_t kProbes = 1u << 16;
-Position At(std::int64_t ms) { return Position(Duration(1'700'000'000'000'000 + ms * 1000)); }
+LogPosition At(std::int64_t ms) { return LogPosition(Duration(1'700'000'000'000'000 + ms * 1000)); }
 
 // Sixteen hexadecimal digits, as this platform's sessions are named.
 std::string NameOf(std::uint64_t number) {
@@ -38,68 +38,68 @@
 }
 
 struct Plain {
-  std::map<std::string, Position> marks;
-  void Note(const std::string& session, Position position) {
-    Position& mark = marks[session];
-    mark = std::max(mark, position);
+  std::map<std::string, LogPosition> watermarks;
+  void Note(const std::string& session, LogPosition position) {
+    LogPosition& watermark = watermarks[session];
+    watermark = std::max(watermark, position);
   }
 };
 
 struct Flat {
-  explicit Flat(std::size_t sessions) : ledger(sessions) {}
-  Ledger ledger;
-  void Note(const std::string& session, Position position) {
-    ledger.Note(KeyOf(kGroup, session), {position, MemberId(1)});
+  explicit Flat(std::size_t sessions) : watermark_table(sessions) {}
+  SessionWatermarkTable watermark_table;
+  void Note(const std::string& session, LogPosition position) {
+    watermark_table.Note(SessionKeyOf(kGroup, session), {position, ServerId(1)});
   }
 };
 
-template <typename Store>
-void Fill(Store& store, std::size_t sessions) {
+template <typename WriteAheadLog>
+void Fill(WriteAheadLog& store, std::size_t sessions) {
   for (std::size_t i = 0; i < sessions; ++i) store.Note(NameOf(i), At(static_cast<std::int64_t>(i / 100)));
 }
 
-template <typename Store, typename... Args>
-void Report(benchmark::State& state, Store& store, std::size_t before) {
+template <typename WriteAheadLog, typename... Args>
+void Report(benchmark::State& state, WriteAheadLog& store, std::size_t before) {
   const auto sessions = static_cast<double>(state.range(0));
   state.counters["bytes_a_session"] = static_cast<double>(Allocated() - before) / sessions;
-  if constexpr (std::is_same_v<Store, Flat>) {
-    state.counters["forgotten_share"] = static_cast<double>(store.ledger.evicted()) / sessions;
+  if constexpr (std::is_same_v<WriteAheadLog, Flat>) {
+    state.counters["forgotten_share"] = static_cast<double>(store.watermark_table.evicted()) / sessions;
   }
 }
 
-template <typename Store>
-Store Made(std::size_t sessions) {
-  if constexpr (std::is_same_v<Store, Flat>) {
+template <typename WriteAheadLog>
+WriteAheadLog Made(std::size_t sessions) {
+  if constexpr (std::is_same_v<WriteAheadLog, Flat>) {
     return Flat(sessions);
   } else {
     return Plain{};
   }
 }
 
-template <typename Store>
+template <typename WriteAheadLog>
 void LookUp(benchmark::State& state) {
   const auto sessions = static_cast<std::size_t>(state.range(0));
   const auto names = Probes(sessions);
   const std::size_t before = Allocated();
-  Store store = Made<Store>(sessions);
+  WriteAheadLog store = Made<WriteAheadLog>(sessions);
   Fill(store, sessions);
   std::size_t at = 0;
   for (auto _ : state) {
-    if constexpr (std::is_same_v<Store, Flat>) {
-      benchmark::DoNotOptimize(store.ledger.Find(KeyOf(kGroup, names[at++ % kProbes])));
+    if constexpr (std::is_same_v<WriteAheadLog, Flat>) {
+      benchmark::DoNotOptimize(store.watermark_table.Find(SessionKeyOf(kGroup, names[at++ % kProbes])));
     } else {
-      benchmark::DoNotOptimize(store.marks.find(names[at++ % kProbes]));
+      benchmark::DoNotOptimize(store.watermarks.find(names[at++ % kProbes]));
     }
   }
   Report(state, store, before);
 }
 
-template <typename Store>
+template <typename WriteAheadLog>
 void Write(benchmark::State& state) {
   const auto sessions = static_cast<std::size_t>(state.range(0));
   const auto names = Probes(sessions);
   const std::size_t before = Allocated();
-  Store store = Made<Store>(sessions);
+  WriteAheadLog store = Made<WriteAheadLog>(sessions);
   Fill(store, sessions);
   std::size_t at = 0;
   for (auto _ : state) {
@@ -116,17 +116,18 @@
   Fill(store, static_cast<std::size_t>(state.range(0)));
   for (auto _ : state) {
     benchmark::DoNotOptimize(
-        std::erase_if(store.marks, [](const auto& item) { return item.second < At(-1); }));
+        std::erase_if(store.watermarks, [](const auto& item) { return item.second < At(-1); }));
   }
 }
 
 // A write into a ledger far past its size: each forgets another session's mark.
 void WriteForgetting(benchmark::State& state) {
-  Ledger ledger(static_cast<std::size_t>(state.range(0)));
+  SessionWatermarkTable watermark_table(static_cast<std::size_t>(state.range(0)));
   std::mt19937_64 random(2);
   std::int64_t ms = 0;
-  for (std::int64_t i = 0; i < state.range(0) * 4; ++i) ledger.Note(Key(random()), {At(++ms), MemberId(1)});
-  for (auto _ : state) ledger.Note(Key(random()), {At(++ms), MemberId(1)});
+  for (std::int64_t i = 0; i < state.range(0) * 4; ++i)
+    watermark_table.Note(SessionKey(random()), {At(++ms), ServerId(1)});
+  for (auto _ : state) watermark_table.Note(SessionKey(random()), {At(++ms), ServerId(1)});
 }
 
 constexpr std::int64_t kSmall = 10'000, kLarge = 1'000'000, kHuge = 10'000'000;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -4,9 +4,9 @@
 
 namespace lynxgrade::admin {
 
-class Server::Asking final : private net::Connection::Owner {
+class AdminServer::Asking final : private net::Connection::Owner {
  public:
-  Asking(Server& server, net::ObjectPtr<GSocket> socket)
+  Asking(AdminServer& server, net::ObjectPtr<GSocket> socket)
       : server_(server),
         connection_(
             net::Connection::Adopt(server.loop_, std::move(socket), *this, kLongestQuestion, kLongestAnswer)),
@@ -38,13 +38,13 @@
   }
   void OnBroken() override { server_.Drop(this); }
 
-  Server& server_;
+  AdminServer& server_;
   std::shared_ptr<net::Connection> connection_;
   net::Timer patience_;
   bool answered_ = false;
 };
 
-Server::Server(net::Loop& loop, std::map<std::string, Answer> answers)
+AdminServer::AdminServer(net::Loop& loop, std::map<std::string, Answer> answers)
     : loop_(loop),
       answers_(std::move(answers)),
       listener_(
@@ -55,8 +55,8 @@
             asking_.emplace(key, std::move(asking));
           }) {}
 
-Server::~Server() = default;
+AdminServer::~AdminServer() = default;
 
-void Server::Drop(Asking* asking) { asking_.erase(asking); }
+void AdminServer::Drop(Asking* asking) { asking_.erase(asking); }
 
 }  // namespace lynxgrade::admin
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -17,12 +17,12 @@
 
 namespace lynxgrade::admin {
 
-class Server {
+class AdminServer {
  public:
   using Answer = std::function<std::string()>;
 
-  Server(net::Loop& loop, std::map<std::string, Answer> answers);
-  ~Server();
+  AdminServer(net::Loop& loop, std::map<std::string, Answer> answers);
+  ~AdminServer();
 
   // Empty, or what keeps it from listening.
   std::string Listen(const net::Address& address) { return listener_.Open(address); }
--- a/src/capacity/model.cpp
+++ b/src/capacity/model.cpp
@@ -403,7 +403,7 @@
   const std::vector<Term> by_packets = {Term::kOne, Term::kPackets, Term::kFleetWrites};
   const std::vector<Term> peers = {Term::kOne, Term::kPoolers};
   const std::size_t before = build.rows.size();
-  const std::vector<Term> reigns = each ? std::vector<Term>{Term::kOne, Term::kReignsTold} : by_owners;
+  const std::vector<Term> timelines = each ? std::vector<Term>{Term::kOne, Term::kReignsTold} : by_owners;
   Builder::Packets packets;
   if (each) {
     // Those that were not yet at the bound show how packets grow up to it.
@@ -431,7 +431,7 @@
   };
   std::vector<Kind> kinds = {{"membership", "membership", "src/membership/swim", Choices{peers}},
                              {"marks", "marks", "src/replication/exchange", either(by_packets)},
-                             {"reigns", "reigns of primaries", "src/replication/exchange", either(reigns)},
+                             {"reigns", "reigns of primaries", "src/replication/exchange", either(timelines)},
                              {"ledger", "whole ledgers", "src/replication/exchange", Choices{peers}}};
   for (const std::string& figure : OtherKinds(build.Kept(keep))) {
     kinds.push_back({figure, figure, "src/" + figure, either(by_packets)});
@@ -596,10 +596,10 @@
   build.Arithmetic(sessions, [](const Target& target, Column column) {
     return Worked(ValueOf(Term::kFleetWrites, SizeIn(target, column)) * kRecallS);
   });
-  const Keep ledger = build.Newest("ledger");
+  const Keep watermark_table = build.Newest("ledger");
   const Row& session = build.Fitted(
       Named(role, "state", "a session in the ledger, bytes", "src/consistency/session_watermark_table"),
-      "ledger_bytes_per_session", {Term::kOne}, ledger);
+      "ledger_bytes_per_session", {Term::kOne}, watermark_table);
   build.Arithmetic(Named(role, "memory", "the ledger with all these sessions, MB",
                          "src/consistency/session_watermark_table",
                          "those sessions x the bytes of one; beside what the row of control holds"),
@@ -649,16 +649,16 @@
     const double poolers = SizeIn(target, column).poolers;
     return Worked(2 * std::max(kIdleFlushMs, PauseMs(poolers)));
   });
-  Row reigns = Named(
+  Row timelines = Named(
       role, "messages", "round in which all reigns of primaries are told to one pooler again, s",
       "src/replication/exchange",
       "from each to each, databases / members of a group, 8 a packet; a reign that changed goes first, with "
       "the "
       "next packet, and one whose packet was lost is told again within a round: beside the time in which a "
       "change of primary is to be over");
-  reigns.budget = [](const Target& target) { return target.primary_change_within_s; };
-  reigns.issue = "38";
-  build.Arithmetic(reigns, [](const Target& target, Column column) {
+  timelines.budget = [](const Target& target) { return target.primary_change_within_s; };
+  timelines.issue = "38";
+  build.Arithmetic(timelines, [](const Target& target, Column column) {
     const Size size = SizeIn(target, column);
     const double packets = std::ceil(size.groups / kReignsAPacket);
     return Worked(std::max(kReignsEveryMs, packets * std::max(kIdleFlushMs, PauseMs(size.poolers))) / 1000);
@@ -843,18 +843,18 @@
       [](const Target& target, Column column) {
         return Worked(SizeIn(target, column).poolers * kBlankLineBytes / kBlankLineS);
       });
-  build.Arithmetic(Named(role, "messages", "calls a second, `ask`, first round after all fell silent",
-                         "src/fleet/discovery_retry_policy",
-                         "poolers / the window in which each draws its first wait; with `push` none"),
-                   [](const Target& target, Column column) {
-                     const double poolers = SizeIn(target, column).poolers;
-                     fleet::CallWaits waits(true, static_cast<std::uint32_t>(poolers),
-                                            fleet::Duration(static_cast<std::int64_t>(kDrainGraceS * 1e6)));
-                     // All that draw just under one draw the window's end.
-                     const double window =
-                         static_cast<double>(waits.Next(0.999999, fleet::Duration{}).count()) / 1e6;
-                     return Worked(poolers / window);
-                   });
+  build.Arithmetic(
+      Named(role, "messages", "calls a second, `ask`, first round after all fell silent",
+            "src/fleet/discovery_retry_policy",
+            "poolers / the window in which each draws its first wait; with `push` none"),
+      [](const Target& target, Column column) {
+        const double poolers = SizeIn(target, column).poolers;
+        fleet::DiscoveryRetryPolicy waits(true, static_cast<std::uint32_t>(poolers),
+                                          fleet::Duration(static_cast<std::int64_t>(kDrainGraceS * 1e6)));
+        // All that draw just under one draw the window's end.
+        const double window = static_cast<double>(waits.Next(0.999999, fleet::Duration{}).count()) / 1e6;
+        return Worked(poolers / window);
+      });
   build.NotMeasured(Named(role, "processor", "% of a core", "none"));
   build.NotMeasured(Named(role, "memory", "MB", "none"));
   build.Arithmetic(
--- a/src/consistency/primary_timeline.cpp
+++ b/src/consistency/primary_timeline.cpp
@@ -4,35 +4,35 @@
 
 namespace lynxgrade::consistency {
 
-bool Reigns::Primary(MemberId member, Position position) {
-  if (primary_ == member && !stepped_down_) {
+bool PrimaryTimeline::Primary(ServerId server, LogPosition position) {
+  if (primary_ == server && !stepped_down_) {
     since_ = std::min(since_, position);
     confirmed_ = std::max(confirmed_, position);
     return false;
   }
   // An old claim that is heard late changes nothing: the present reign is known to have begun after it.
   if (primary_ && position < since_) return false;
-  Begin(member, position);
+  Begin(server, position);
   return true;
 }
 
-void Reigns::Begin(MemberId member, Position position) {
-  const auto standby = standby_.extract(member);
-  held_ = standby.empty() ? Position{} : standby.mapped();
-  if (primary_ == member) {
+void PrimaryTimeline::Begin(ServerId server, LogPosition position) {
+  const auto standby = standby_.extract(server);
+  held_ = standby.empty() ? LogPosition{} : standby.mapped();
+  if (primary_ == server) {
     // It was a replica in between, of a primary that was never heard: what it said of its log as such proves
     // nothing of its own writes.
-    held_ = Position{};
+    held_ = LogPosition{};
     Add({std::nullopt, held_, position});
   } else {
-    Add({member, std::min(held_, position), position});
+    Add({server, std::min(held_, position), position});
   }
-  primary_ = member;
+  primary_ = server;
   stepped_down_ = false;
   since_ = confirmed_ = position;
 }
 
-void Reigns::Add(const Loss& loss) {
+void PrimaryTimeline::Add(const PossibleWriteLoss& loss) {
   losses_.push_back(loss);
   if (losses_.size() <= kMostLosses) return;
   losses_[1].successor.reset();
@@ -41,8 +41,8 @@
   losses_.erase(losses_.begin());
 }
 
-void Reigns::Standby(MemberId member, Position position) {
-  if (member == primary_) {
+void PrimaryTimeline::Standby(ServerId server, LogPosition position) {
+  if (server == primary_) {
     if (position < confirmed_) return;  // older than its last word as primary
     stepped_down_ = true;
   }
@@ -50,44 +50,45 @@
   // of the one that is: cut down to what is believed it would vouch for a tail that it may not hold.
   const auto most = Believed();
   if (most && position > *most) return;
-  Position& newest = standby_.try_emplace(member, position).first->second;
+  LogPosition& newest = standby_.try_emplace(server, position).first->second;
   newest = std::max(newest, position);
 }
 
-std::optional<Position> Reigns::Believed() const {
+std::optional<LogPosition> PrimaryTimeline::Believed() const {
   if (!primary_) return std::nullopt;
   return confirmed_ + least_failover_;
 }
 
 // What a primary answered after its successor was heard is on no timeline that goes on, unless it came to
 // reign again later.
-bool Reigns::InDoubt(const Mark& mark) const {
+bool PrimaryTimeline::InDoubt(const WriteWatermark& watermark) const {
   for (auto loss = losses_.begin(); loss != losses_.end(); ++loss) {
-    if (mark.position <= loss->held || (loss->successor && mark.by == loss->successor)) continue;
-    if (mark.position <= loss->until) return true;
-    const bool later = std::any_of(loss + 1, losses_.end(), [&](const Loss& next) {
-      return next.successor == mark.by && mark.position > next.held;
+    if (watermark.position <= loss->held || (loss->successor && watermark.by == loss->successor)) continue;
+    if (watermark.position <= loss->until) return true;
+    const bool later = std::any_of(loss + 1, losses_.end(), [&](const PossibleWriteLoss& next) {
+      return next.successor == watermark.by && watermark.position > next.held;
     });
-    if (mark.by && !later) return true;
+    if (watermark.by && !later) return true;
   }
   return false;
 }
 
-bool Reigns::InDoubt(Position from, Position to) const {
-  return std::ranges::any_of(losses_, [&](const Loss& loss) { return loss.held < to && from < loss.until; });
+bool PrimaryTimeline::InDoubt(LogPosition from, LogPosition to) const {
+  return std::ranges::any_of(
+      losses_, [&](const PossibleWriteLoss& loss) { return loss.held < to && from < loss.until; });
 }
 
-bool Reigns::Learn(MemberId primary, Position since, Position held, Position confirmed) {
+bool PrimaryTimeline::Learn(ServerId primary, LogPosition since, LogPosition held, LogPosition confirmed) {
   if (!primary_ || (*primary_ != primary && since > confirmed_)) {
-    if (held > Position{}) {
-      Position& newest = standby_.try_emplace(primary, held).first->second;
+    if (held > LogPosition{}) {
+      LogPosition& newest = standby_.try_emplace(primary, held).first->second;
       newest = std::max(newest, held);
     }
     Begin(primary, since);
     confirmed_ = std::max(confirmed_, confirmed);
     return true;
   }
-  for (Loss& loss : losses_) {
+  for (PossibleWriteLoss& loss : losses_) {
     if (loss.successor != primary || since > loss.until) continue;
     // The same reign, heard earlier: fewer writes of its predecessor can have been answered after it began.
     if (held > loss.until) continue;
@@ -102,8 +103,8 @@
   return false;
 }
 
-std::size_t Reigns::Forget(Position position) {
-  return std::erase_if(losses_, [&](const Loss& loss) { return loss.until < position; });
+std::size_t PrimaryTimeline::Forget(LogPosition position) {
+  return std::erase_if(losses_, [&](const PossibleWriteLoss& loss) { return loss.until < position; });
 }
 
 }  // namespace lynxgrade::consistency
--- a/src/consistency/primary_timeline.h
+++ b/src/consistency/primary_timeline.h
@@ -17,66 +17,66 @@
 // Writes answered by members other than `successor` in (held, until] may be lost: the successor is known to
 // have held all up to `held`, and was first heard as primary at `until`. Without a successor, one that was
 // never heard may have lost anybody's.
-struct Loss {
-  std::optional<MemberId> successor{};
-  Position held{};
-  Position until{};
-  bool operator==(const Loss&) const = default;
+struct PossibleWriteLoss {
+  std::optional<ServerId> successor{};
+  LogPosition held{};
+  LogPosition until{};
+  bool operator==(const PossibleWriteLoss&) const = default;
 };
 
-class Reigns {
+class PrimaryTimeline {
  public:
   // `least_failover`: no successor takes over sooner than this after its predecessor's last answer as
   // primary.
-  explicit Reigns(Duration least_failover) : least_failover_(least_failover) {}
+  explicit PrimaryTimeline(Duration least_failover) : least_failover_(least_failover) {}
 
   // A member answered as primary at `position`, or a write of this position. True where that begins a reign
   // that may have lost writes.
-  bool Primary(MemberId member, Position position);
+  bool Primary(ServerId server, LogPosition position);
   // A member answered as a replica that has applied all up to `position`.
-  void Standby(MemberId member, Position position);
+  void Standby(ServerId server, LogPosition position);
 
   // How far a replica's word counts: up to here it belongs to the reign that is known. Absent: no primary has
   // been heard yet.
-  std::optional<Position> Believed() const;
+  std::optional<LogPosition> Believed() const;
 
   // The member is gone; what it said as a replica proves nothing any more.
-  void Drop(MemberId member) { standby_.erase(member); }
+  void Drop(ServerId server) { standby_.erase(server); }
 
-  bool InDoubt(const Mark& mark) const;
+  bool InDoubt(const WriteWatermark& watermark) const;
   // Whether a write answered in (from, to], by whomever, may be lost.
-  bool InDoubt(Position from, Position to) const;
+  bool InDoubt(LogPosition from, LogPosition to) const;
 
   // What others heard, or was recovered: the reign of `primary` was known at `since` already, with `held`
   // heard before. Narrows a loss of the same successor; otherwise it tells of a reign that was missed
   // here, and returns true.
-  bool Learn(MemberId primary, Position since, Position held, Position confirmed);
+  bool Learn(ServerId primary, LogPosition since, LogPosition held, LogPosition confirmed);
 
   // Losses whose writes were answered before `position` are no longer guarded against. How many went.
-  std::size_t Forget(Position position);
+  std::size_t Forget(LogPosition position);
 
-  std::optional<MemberId> primary() const { return primary_; }
-  Position since() const { return since_; }
-  Position held() const { return held_; }
-  Position confirmed() const { return confirmed_; }
-  const std::vector<Loss>& losses() const { return losses_; }
+  std::optional<ServerId> primary() const { return primary_; }
+  LogPosition since() const { return since_; }
+  LogPosition held() const { return held_; }
+  LogPosition confirmed() const { return confirmed_; }
+  const std::vector<PossibleWriteLoss>& losses() const { return losses_; }
 
  private:
   // A group whose primary changes more often than this within the time of recall has worse troubles; the
   // oldest are merged, which doubts more.
   static constexpr std::size_t kMostLosses = 32;
 
-  void Begin(MemberId member, Position position);
-  void Add(const Loss& loss);
+  void Begin(ServerId server, LogPosition position);
+  void Add(const PossibleWriteLoss& loss);
 
   Duration least_failover_;
-  std::optional<MemberId> primary_;
-  bool stepped_down_ = false;             // it said that it is none now, and no other was heard yet
-  Position since_{};                      // first word of the present reign
-  Position held_{};                       // of its primary, before that
-  Position confirmed_{};                  // newest word of the present reign
-  std::map<MemberId, Position> standby_;  // newest word of each as a replica, since it last was primary
-  std::vector<Loss> losses_;
+  std::optional<ServerId> primary_;
+  bool stepped_down_ = false;                // it said that it is none now, and no other was heard yet
+  LogPosition since_{};                      // first word of the present reign
+  LogPosition held_{};                       // of its primary, before that
+  LogPosition confirmed_{};                  // newest word of the present reign
+  std::map<ServerId, LogPosition> standby_;  // newest word of each as a replica, since it last was primary
+  std::vector<PossibleWriteLoss> losses_;
 };
 
 }  // namespace lynxgrade::consistency
--- a/src/consistency/session_consistency_guard.cpp
+++ b/src/consistency/session_consistency_guard.cpp
@@ -10,7 +10,7 @@
 constexpr int kHeardLately = 8;      // times what a read is held for word from the others
 constexpr Duration kRounding{1000};  // positions come in whole milliseconds
 
-std::int64_t Milliseconds(Position position) { return position.time_since_epoch().count() / 1000; }
+std::int64_t Milliseconds(LogPosition position) { return position.time_since_epoch().count() / 1000; }
 
 }  // namespace
 
@@ -24,13 +24,13 @@
   return "";
 }
 
-Keeper::Keeper(const Settings& settings, Options options)
+SessionConsistencyGuard::SessionConsistencyGuard(const Settings& settings, Options options)
     : classes_(settings.classes),
       carried_(settings.sessions_carried),
       options_(options),
-      ledger_(options.sessions) {}
+      watermark_table_(options.sessions) {}
 
-void Keeper::Before(Time now, Event& event) {
+void SessionConsistencyGuard::Before(TimePoint now, Event& event) {
   now_ = now;
   if (auto* list = std::get_if<ListEvent>(&event)) {
     if (Everywhere()) Take(now, *list);
@@ -38,59 +38,59 @@
     Take(now, *request);
   } else if (auto* outcome = std::get_if<OutcomeEvent>(&event)) {
     Take(now, *outcome);
-  } else if (auto* probe = std::get_if<ProbeEvent>(&event)) {
+  } else if (auto* probe = std::get_if<HealthCheckEvent>(&event)) {
     if (Everywhere()) Take(now, *probe);
-  } else if (const auto* gone = std::get_if<GoneEvent>(&event)) {
+  } else if (const auto* gone = std::get_if<ClientDisconnectedEvent>(&event)) {
     open_.erase(gone->id);
   }
 }
 
-void Keeper::After(const Actions& actions) {
+void SessionConsistencyGuard::After(const Actions& actions) {
   for (const Action& action : actions) {
-    if (const auto* refuse = std::get_if<Refuse>(&action)) open_.erase(refuse->id);
+    if (const auto* refuse = std::get_if<Reject>(&action)) open_.erase(refuse->id);
     if (const auto* fail = std::get_if<Fail>(&action)) open_.erase(fail->id);
   }
 }
 
-Reigns& Keeper::ReignsOf(GroupId group) {
-  return reigns_.try_emplace(group, options_.least_failover).first->second;
+PrimaryTimeline& SessionConsistencyGuard::ReignsOf(GroupId group) {
+  return timelines_.try_emplace(group, options_.least_failover).first->second;
 }
 
 // Data servers are replaced all day long: what is said of those that are gone is forgotten with them.
-void Keeper::Take(Time, ListEvent& event) {
+void SessionConsistencyGuard::Take(TimePoint, ListEvent& event) {
   if (event.kind == ListKind::kError) return;
-  std::unordered_map<MemberId, GroupId> named;
+  std::unordered_map<ServerId, GroupId> named;
   for (const ListEntry& entry : event.entries) {
-    if (entry.lifecycle != Lifecycle::kDeleted) named[entry.member] = entry.group;
-    if (entry.lifecycle == Lifecycle::kDeleted) Drop(entry.member);
+    if (entry.lifecycle != Lifecycle::kDeleted) named[entry.server] = entry.group;
+    if (entry.lifecycle == Lifecycle::kDeleted) Drop(entry.server);
   }
   if (event.kind != ListKind::kPartial) {
-    std::vector<MemberId> missing;
-    for (const auto& [member, group] : groups_) {
-      if (!named.contains(member)) missing.push_back(member);
+    std::vector<ServerId> missing;
+    for (const auto& [server, group] : groups_) {
+      if (!named.contains(server)) missing.push_back(server);
     }
-    for (const MemberId member : missing) Drop(member);
+    for (const ServerId server : missing) Drop(server);
   }
   groups_.merge(named);
 }
 
-void Keeper::Drop(MemberId member) {
-  const auto group = groups_.find(member);
+void SessionConsistencyGuard::Drop(ServerId server) {
+  const auto group = groups_.find(server);
   if (group == groups_.end()) return;
-  const auto reigns = reigns_.find(group->second);
-  if (reigns != reigns_.end()) reigns->second.Drop(member);
+  const auto timelines = timelines_.find(group->second);
+  if (timelines != timelines_.end()) timelines->second.Drop(server);
   groups_.erase(group);
 }
 
 // ---- Reads and writes ---------------------------------------------------------------------------------
 
-void Keeper::Take(Time now, RequestEvent& event) {
+void SessionConsistencyGuard::Take(TimePoint now, RequestEvent& event) {
   if (event.cls >= classes_.size()) return;
   const ReadKind kind = classes_[event.cls].kind;
   if (kind != ReadKind::kWrite && kind != ReadKind::kSession) return;
   Open open;
   open.group = event.group;
-  open.key = KeyOf(event.group, event.session);
+  open.key = SessionKeyOf(event.group, event.session);
   open.arrived = event.arrived.value_or(now);
   open.write = kind == ReadKind::kWrite;
   if (open.write) {
@@ -101,19 +101,21 @@
   ++counts_.reads;
   if (!carried_ && !Everywhere()) event.target.reset();  // where sessions carry nothing, it is noise
   if (carried_) {
-    if (event.since_write) event.target = std::max(event.target.value_or(Time{}), now - *event.since_write);
+    if (event.since_write)
+      event.target = std::max(event.target.value_or(TimePoint{}), now - *event.since_write);
     if (!Everywhere()) return;
   }
-  const Ledger::Known known = ledger_.Find(open.key);
-  const Position oldest = now - options_.recall;
-  std::optional<Position> floor;
-  if (known.mark && known.mark->position >= oldest) {
-    open.mark = known.mark;
+  const SessionWatermarkTable::Known known = watermark_table_.Find(open.key);
+  const LogPosition oldest = now - options_.recall;
+  std::optional<LogPosition> floor;
+  if (known.watermark && known.watermark->position >= oldest) {
+    open.watermark = known.watermark;
     ++counts_.marked;
-  } else if (!known.mark && known.floor && *known.floor >= oldest) {
+  } else if (!known.watermark && known.floor && *known.floor >= oldest) {
     floor = known.floor;
   }
-  if (open.mark) event.target = std::max(event.target.value_or(open.mark->position), open.mark->position);
+  if (open.watermark)
+    event.target = std::max(event.target.value_or(open.watermark->position), open.watermark->position);
   if (floor) event.target = std::max(event.target.value_or(*floor), *floor);
   if (!Everywhere()) return;
   if (holding_ != nullptr && !carried_) open.exact = holding_->Exact(open.key);
@@ -131,42 +133,42 @@
   open_[event.id] = open;
 }
 
-void Keeper::Turn(RequestId id, Reason reason) {
+void SessionConsistencyGuard::Turn(RequestId id, Reason reason) {
   turned_.push_back({id, reason});
   ++(reason == Reason::kLost ? counts_.lost : counts_.unknown);
 }
 
 // A read may not be served if a write of its session may have been lost, be it known or not. Serving it would
 // pass off the loss as the session's own state.
-std::optional<Reason> Keeper::Doubt(const Open& read, Time now) const {
+std::optional<Reason> SessionConsistencyGuard::Doubt(const Open& read, TimePoint now) const {
   if (!options_.refuse_doubt) return std::nullopt;
-  const auto it = reigns_.find(read.group);
-  if (it == reigns_.end()) return std::nullopt;
-  const Reigns& reigns = it->second;
-  if (read.mark && reigns.InDoubt(*read.mark)) return Reason::kLost;
-  const Position oldest = now - options_.recall;
+  const auto it = timelines_.find(read.group);
+  if (it == timelines_.end()) return std::nullopt;
+  const PrimaryTimeline& timelines = it->second;
+  if (read.watermark && timelines.InDoubt(*read.watermark)) return Reason::kLost;
+  const LogPosition oldest = now - options_.recall;
   for (const Gap& gap : GapsOf(read)) {
-    if (reigns.InDoubt(std::max(gap.from, oldest), gap.to)) return Reason::kUnknown;
+    if (timelines.InDoubt(std::max(gap.from, oldest), gap.to)) return Reason::kUnknown;
   }
   // What was forgotten may have been answered at any time up to the floor.
-  const auto forgotten = read.mark ? std::nullopt : ledger_.Find(read.key).floor;
-  if (forgotten && reigns.InDoubt(oldest, *forgotten)) return Reason::kUnknown;
+  const auto forgotten = read.watermark ? std::nullopt : watermark_table_.Find(read.key).floor;
+  if (forgotten && timelines.InDoubt(oldest, *forgotten)) return Reason::kUnknown;
   return std::nullopt;
 }
 
-void Keeper::Take(Time now, OutcomeEvent& event) {
+void SessionConsistencyGuard::Take(TimePoint now, OutcomeEvent& event) {
   const auto it = open_.find(event.id);
   const bool known = it != open_.end();
   const bool write = known && it->second.write;
   if (Everywhere()) {
-    const auto group = groups_.find(event.member);
+    const auto group = groups_.find(event.server);
     if (known || group != groups_.end()) {
       // A write's answer gives its commit, which only its primary has.
-      TakeRole(known ? it->second.group : group->second, event.member, event.note.primary,
+      TakeRole(known ? it->second.group : group->second, event.server, event.note.primary,
                event.note.position, now);
     }
     if (event.report && group != groups_.end()) {
-      TakeRole(group->second, event.member, event.report->primary, event.report->position, now);
+      TakeRole(group->second, event.server, event.report->primary, event.report->position, now);
     }
   }
   if (!known) return;
@@ -175,9 +177,9 @@
   if (open == open_.end()) return;
   const bool served = event.outcome == Outcome::kOk;
   if (served && write && event.note.position && !carried_) {
-    const Mark mark{*event.note.position, event.member};
-    ledger_.Note(open->second.key, mark);
-    if (wrote_) wrote_(open->second.group, open->second.key, mark);
+    const WriteWatermark watermark{*event.note.position, event.server};
+    watermark_table_.Note(open->second.key, watermark);
+    if (wrote_) wrote_(open->second.group, open->second.key, watermark);
   }
   // A primary stands at the present, and its position is rounded down: only one that speaks of the past has
   // been replaced.
@@ -191,40 +193,41 @@
   if (event.request_done || event.outcome == Outcome::kOk) open_.erase(open);
 }
 
-void Keeper::Take(Time now, ProbeEvent& event) {
-  const auto group = groups_.find(event.member);
+void SessionConsistencyGuard::Take(TimePoint now, HealthCheckEvent& event) {
+  const auto group = groups_.find(event.server);
   if (group == groups_.end() || !event.report) return;
-  TakeRole(group->second, event.member, event.report->primary, event.report->position, now);
+  TakeRole(group->second, event.server, event.report->primary, event.report->position, now);
 }
 
 // Learns from what a member says of itself, and keeps a position from the module that proves nothing.
-void Keeper::TakeRole(GroupId group, MemberId member, std::optional<bool> primary,
-                      std::optional<Position>& position, Time now) {
-  Reigns& reigns = ReignsOf(group);
+void SessionConsistencyGuard::TakeRole(GroupId group, ServerId server, std::optional<bool> primary,
+                                       std::optional<LogPosition>& position, TimePoint now) {
+  PrimaryTimeline& timelines = ReignsOf(group);
   if (!position || *position > now + options_.recall) {
     position.reset();  // not a time that a log could have reached
     return;
   }
   if (!primary) return position.reset();
   if (*primary) {
-    if (reigns.Primary(member, *position)) NewReign(group, now);
+    if (timelines.Primary(server, *position)) NewReign(group, now);
     return;
   }
-  reigns.Standby(member, *position);
-  const auto believed = reigns.Believed();
+  timelines.Standby(server, *position);
+  const auto believed = timelines.Believed();
   if (!believed || *position > *believed) position.reset();
 }
 
-void Keeper::NewReign(GroupId group, Time now) {
-  Reigns& reigns = ReignsOf(group);
-  reigns.Forget(now - options_.recall);
+void SessionConsistencyGuard::NewReign(GroupId group, TimePoint now) {
+  PrimaryTimeline& timelines = ReignsOf(group);
+  timelines.Forget(now - options_.recall);
   ++counts_.losses;
   if (reign_changed_) reign_changed_();
-  if (say_ && reigns.primary() && options_.refuse_doubt) {
+  if (say_ && timelines.primary() && options_.refuse_doubt) {
     say_("group " + std::to_string(static_cast<std::int64_t>(group)) + ": data server " +
-         std::to_string(static_cast<std::uint32_t>(*reigns.primary())) + " is primary since " +
-         std::to_string(Milliseconds(reigns.since())) + " at the latest, known to have held the log up to " +
-         std::to_string(Milliseconds(reigns.held())) +
+         std::to_string(static_cast<std::uint32_t>(*timelines.primary())) + " is primary since " +
+         std::to_string(Milliseconds(timelines.since())) +
+         " at the latest, known to have held the log up to " +
+         std::to_string(Milliseconds(timelines.held())) +
          "; own-reads of sessions that wrote in between are refused until they write again");
   }
   for (auto it = open_.begin(); it != open_.end();) {
@@ -242,55 +245,58 @@
 
 // ---- What is not known --------------------------------------------------------------------------------
 
-void Keeper::Started(Time now, std::optional<Time> recovered_to) {
+void SessionConsistencyGuard::Started(TimePoint now, std::optional<TimePoint> recovered_to) {
   started_ = now;
   recovered_to_ = recovered_to;
 }
 
-void Keeper::Covered(std::uint64_t peer, Time upto) {
-  Time& covered = covered_.try_emplace(peer, upto).first->second;
+void SessionConsistencyGuard::Covered(std::uint64_t peer, TimePoint upto) {
+  TimePoint& covered = covered_.try_emplace(peer, upto).first->second;
   covered = std::max(covered, upto);
 }
 
-std::optional<Time> Keeper::CoveredUpTo() const {
-  std::optional<Time> least;
+std::optional<TimePoint> SessionConsistencyGuard::CoveredUpTo() const {
+  std::optional<TimePoint> least;
   for (const auto& [peer, upto] : covered_) least = std::min(least.value_or(upto), upto);
   return least;
 }
 
-std::vector<Keeper::Gap> Keeper::Gaps(Time at, const std::optional<Mark>& mark) const {
+std::vector<SessionConsistencyGuard::Gap> SessionConsistencyGuard::Gaps(
+    TimePoint at, const std::optional<WriteWatermark>& watermark) const {
   std::vector<Gap> gaps;
-  const Time oldest = std::max(at - options_.recall, mark ? mark->position : Time{});
-  const auto add = [&](Time from, Time to) {
+  const TimePoint oldest = std::max(at - options_.recall, watermark ? watermark->position : TimePoint{});
+  const auto add = [&](TimePoint from, TimePoint to) {
     from = std::max(from, oldest);
     if (from < to) gaps.push_back({from, to, 0});
   };
-  if (started_) add(recovered_to_.value_or(Time{}), *started_);
+  if (started_) add(recovered_to_.value_or(TimePoint{}), *started_);
   for (const auto& [peer, upto] : covered_) add(upto, at);
   for (const Gap& gap : gaps_) add(gap.from, gap.to);
   return gaps;
 }
 
-std::vector<Keeper::Gap> Keeper::GapsOf(const Open& read) const {
-  if (holding_ == nullptr || carried_) return Gaps(read.arrived, read.mark);
+std::vector<SessionConsistencyGuard::Gap> SessionConsistencyGuard::GapsOf(const Open& read) const {
+  if (holding_ == nullptr || carried_) return Gaps(read.arrived, read.watermark);
   // Where sessions are held by one instance coverage says nothing: others answer without telling.
-  const Position from = std::max(read.arrived - options_.recall, read.mark ? read.mark->position : Time{});
-  const Position to = std::min(read.exact.value_or(read.arrived), read.arrived);
+  const LogPosition from =
+      std::max(read.arrived - options_.recall, read.watermark ? read.watermark->position : TimePoint{});
+  const LogPosition to = std::min(read.exact.value_or(read.arrived), read.arrived);
   if (from < to) return {{from, to, 0}};
   return {};
 }
 
-bool Keeper::WordCame(const RequestEvent& event) const {
-  if (holding_ != nullptr && !carried_) return holding_->Exact(KeyOf(event.group, event.session)).has_value();
+bool SessionConsistencyGuard::WordCame(const RequestEvent& event) const {
+  if (holding_ != nullptr && !carried_)
+    return holding_->Exact(SessionKeyOf(event.group, event.session)).has_value();
   const auto covered = CoveredUpTo();
   return !covered || *covered >= *event.arrived;
 }
 
-bool Keeper::WorthHolding(const RequestEvent& event, Time arrived) {
+bool SessionConsistencyGuard::WorthHolding(const RequestEvent& event, TimePoint arrived) {
   if (!Everywhere() || event.cls >= classes_.size()) return false;
   if (classes_[event.cls].kind != ReadKind::kSession) return false;
   if (holding_ != nullptr && !carried_) {
-    const Key key = KeyOf(event.group, event.session);
+    const SessionKey key = SessionKeyOf(event.group, event.session);
     // A read of a session that is held is also what keeps its lease.
     const bool expected = holding_->Want(event.group, key, false);
     return expected && !holding_->Exact(key);
@@ -301,15 +307,16 @@
   return covered && *covered < arrived && arrived - *covered < options_.hold * kHeardLately;
 }
 
-void Keeper::Learn(std::optional<GroupId> group, Key key, const Mark& mark) {
-  ledger_.Note(key, mark);
+void SessionConsistencyGuard::Learn(std::optional<GroupId> group, SessionKey key,
+                                    const WriteWatermark& watermark) {
+  watermark_table_.Note(key, watermark);
   // Its answer was also the word of a primary.
-  if (Everywhere() && group && mark.by && ReignsOf(*group).Primary(*mark.by, mark.position)) {
+  if (Everywhere() && group && watermark.by && ReignsOf(*group).Primary(*watermark.by, watermark.position)) {
     NewReign(*group, now_);
   }
 }
 
-void Keeper::AddGap(std::uint64_t peer, Time from, Time to) {
+void SessionConsistencyGuard::AddGap(std::uint64_t peer, TimePoint from, TimePoint to) {
   std::erase_if(gaps_, [&](const Gap& gap) { return gap.to + options_.recall < to; });
   for (Gap& gap : gaps_) {
     if (gap.peer != peer || from > gap.to || to < gap.from) continue;
@@ -320,11 +327,12 @@
   if (from < to) gaps_.push_back({from, to, peer});
 }
 
-void Keeper::CloseGaps(std::uint64_t peer) {
+void SessionConsistencyGuard::CloseGaps(std::uint64_t peer) {
   std::erase_if(gaps_, [peer](const Gap& gap) { return gap.peer == peer; });
 }
 
-void Keeper::LearnReign(GroupId group, MemberId primary, Position since, Position held, Position confirmed) {
+void SessionConsistencyGuard::LearnReign(GroupId group, ServerId primary, LogPosition since, LogPosition held,
+                                         LogPosition confirmed) {
   // Heard from another, a new reign ends the reads under way as well as one that was seen here.
   if (ReignsOf(group).Learn(primary, since, held, confirmed)) NewReign(group, now_);
 }
--- a/src/consistency/session_consistency_guard.h
+++ b/src/consistency/session_consistency_guard.h
@@ -31,7 +31,7 @@
   std::size_t sessions = 8192;  // marks held at about half load: 256 KB
   Duration recall{120000000};   // how long after its answer a write is still guarded
   // kEverywhere alone, from here on:
-  Duration least_failover{1000000};  // see Reigns
+  Duration least_failover{1000000};  // see PrimaryTimeline
   bool refuse_doubt = true;          // a write that may be lost turns reads away; else they are served
   Duration hold{30000};              // how long a read may wait for word from the other instances
 };
@@ -43,12 +43,12 @@
 };
 const char* NameOf(Reason reason);
 
-struct Turned {
+struct RejectedRead {
   RequestId id{};
   Reason reason = Reason::kLost;
 };
 
-struct KeeperCounts {
+struct SessionConsistencyCounts {
   std::uint64_t reads = 0;    // session reads seen
   std::uint64_t marked = 0;   // whose session's write was known
   std::uint64_t floored = 0;  // which got a target for what is not known
@@ -61,34 +61,34 @@
 
 // Who may answer a session's writes, where one instance holds a session at a time (src/lease). Without it
 // every instance may, and what the others answered is told by coverage.
-class Holding {
+class SessionLeases {
  public:
   // All writes of the session that any instance has answered up to now are known here, but for those up to
   // the position that is returned. Absent: they may not be.
-  virtual std::optional<Position> Exact(Key key) = 0;
+  virtual std::optional<LogPosition> Exact(SessionKey key) = 0;
   // The session has come with a write, or else a read. Whether an answer is expected that may make it exact.
-  virtual bool Want(GroupId group, Key key, bool write) = 0;
+  virtual bool Want(GroupId group, SessionKey key, bool write) = 0;
 
  protected:
-  ~Holding() = default;
+  ~SessionLeases() = default;
 };
 
-class Keeper {
+class SessionConsistencyGuard {
  public:
-  Keeper(const Settings& settings, Options options);
+  SessionConsistencyGuard(const Settings& settings, Options options);
 
   // To be called with each event before the module sees it, at a clock that never falls. Fills in a read's
   // target; takes away a position that proves nothing; makes a miss of an answer that is too old.
-  void Before(Time now, Event& event);
+  void Before(TimePoint now, Event& event);
   // The reads that can no longer be kept, each named once: the host answers them refused, does not serve
   // them, and tells the module, if it has them, that they are gone. To be asked for after Before and Learn.
-  std::vector<Turned> TakeTurned() { return std::exchange(turned_, {}); }
+  std::vector<RejectedRead> TakeTurned() { return std::exchange(turned_, {}); }
   // The request has had its final answer by one of these.
   void After(const Actions& actions);
   void Over(RequestId id) { open_.erase(id); }
 
   // A write that was answered here: for the other instances and the disk.
-  using Wrote = std::function<void(GroupId, Key, const Mark&)>;
+  using Wrote = std::function<void(GroupId, SessionKey, const WriteWatermark&)>;
   void OnWrite(Wrote wrote) { wrote_ = std::move(wrote); }
   // The reigns have changed.
   void OnReign(std::function<void()> changed) { reign_changed_ = std::move(changed); }
@@ -100,87 +100,88 @@
 
   // This instance began at `now`, and knows of all writes answered before `recovered_to` (absent: of none).
   // Those answered after that, until `now`, are not known.
-  void Started(Time now, std::optional<Time> recovered_to);
+  void Started(TimePoint now, std::optional<TimePoint> recovered_to);
   // A mark whose group is not told says nothing of who is primary.
-  void Learn(std::optional<GroupId> group, Key key, const Mark& mark);
-  void LearnReign(GroupId group, MemberId primary, Position since, Position held, Position confirmed);
+  void Learn(std::optional<GroupId> group, SessionKey key, const WriteWatermark& watermark);
+  void LearnReign(GroupId group, ServerId primary, LogPosition since, LogPosition held,
+                  LogPosition confirmed);
   // What was forgotten there: any session may have written up to here.
-  void LearnForgotten(Position position) { ledger_.RaiseFloor(position); }
+  void LearnForgotten(LogPosition position) { watermark_table_.RaiseFloor(position); }
   // Instance `peer` answers writes too, and all that it answered before `upto` is known here.
-  void Covered(std::uint64_t peer, Time upto);
+  void Covered(std::uint64_t peer, TimePoint upto);
   // It answers no more, or its writes no longer count.
   void Uncount(std::uint64_t peer) { covered_.erase(peer); }
   // Writes that `peer` may have answered in (from, to] are not known, and may never be.
-  void AddGap(std::uint64_t peer, Time from, Time to);
+  void AddGap(std::uint64_t peer, TimePoint from, TimePoint to);
   // They are known after all.
   void CloseGaps(std::uint64_t peer);
   // Up to when the writes of all other instances are known; absent where there are none.
-  std::optional<Time> CoveredUpTo() const;
+  std::optional<TimePoint> CoveredUpTo() const;
   // Whether a session read that arrived at `arrived` gains by waiting for word from the other instances; asks
   // for it where sessions are held by one instance at a time.
-  bool WorthHolding(const RequestEvent& event, Time arrived);
+  bool WorthHolding(const RequestEvent& event, TimePoint arrived);
   // Whether that word has come, to one that has waited.
   bool WordCame(const RequestEvent& event) const;
   // From now on sessions are held by one instance at a time, as this one knows.
-  void SetHolding(Holding* holding) { holding_ = holding; }
+  void SetHolding(SessionLeases* holding) { holding_ = holding; }
   Duration hold() const { return options_.hold; }
 
-  const Ledger& ledger() const { return ledger_; }
-  const std::map<GroupId, Reigns>& reigns() const { return reigns_; }
-  const KeeperCounts& counts() const { return counts_; }
+  const SessionWatermarkTable& watermark_table() const { return watermark_table_; }
+  const std::map<GroupId, PrimaryTimeline>& timelines() const { return timelines_; }
+  const SessionConsistencyCounts& counts() const { return counts_; }
   Scope scope() const { return options_.scope; }
   Duration recall() const { return options_.recall; }
 
  private:
   struct Open {
     GroupId group{};
-    Key key{};
-    Time arrived{};
+    SessionKey key{};
+    TimePoint arrived{};
     bool write = false;
-    std::optional<Mark> mark;
-    std::optional<Position> target;
-    std::optional<Position> exact;  // see Holding
+    std::optional<WriteWatermark> watermark;
+    std::optional<LogPosition> target;
+    std::optional<LogPosition> exact;  // see Holding
   };
   struct Gap {
-    Position from, to;
+    LogPosition from, to;
     std::uint64_t peer = 0;
   };
 
   bool Everywhere() const { return options_.scope == Scope::kEverywhere; }
-  void Take(Time now, ListEvent& event);
-  void Drop(MemberId member);
-  void Take(Time now, RequestEvent& event);
-  void Take(Time now, OutcomeEvent& event);
-  void Take(Time now, ProbeEvent& event);
-  void TakeRole(GroupId group, MemberId member, std::optional<bool> primary,
-                std::optional<Position>& position, Time now);
-  Reigns& ReignsOf(GroupId group);
+  void Take(TimePoint now, ListEvent& event);
+  void Drop(ServerId server);
+  void Take(TimePoint now, RequestEvent& event);
+  void Take(TimePoint now, OutcomeEvent& event);
+  void Take(TimePoint now, HealthCheckEvent& event);
+  void TakeRole(GroupId group, ServerId server, std::optional<bool> primary,
+                std::optional<LogPosition>& position, TimePoint now);
+  PrimaryTimeline& ReignsOf(GroupId group);
   // Times in which writes may have been answered that are not known here, for a read that arrived at `at`.
   // Those before its session's newest known write do not matter to it.
-  std::vector<Gap> Gaps(Time at, const std::optional<Mark>& mark) const;
+  std::vector<Gap> Gaps(TimePoint at, const std::optional<WriteWatermark>& watermark) const;
   std::vector<Gap> GapsOf(const Open& read) const;
-  std::optional<Reason> Doubt(const Open& read, Time now) const;
-  void NewReign(GroupId group, Time now);
+  std::optional<Reason> Doubt(const Open& read, TimePoint now) const;
+  void NewReign(GroupId group, TimePoint now);
   void Turn(RequestId id, Reason reason);
 
   std::vector<RequestClass> classes_;
   bool carried_;
   Options options_;
-  Ledger ledger_;
-  std::map<GroupId, Reigns> reigns_;
-  std::unordered_map<MemberId, GroupId> groups_;
+  SessionWatermarkTable watermark_table_;
+  std::map<GroupId, PrimaryTimeline> timelines_;
+  std::unordered_map<ServerId, GroupId> groups_;
   std::unordered_map<RequestId, Open> open_;
-  std::map<std::uint64_t, Time> covered_;
+  std::map<std::uint64_t, TimePoint> covered_;
   std::vector<Gap> gaps_;
-  Holding* holding_ = nullptr;
-  std::optional<Time> started_;
-  std::optional<Time> recovered_to_;
-  Time now_{};
+  SessionLeases* holding_ = nullptr;
+  std::optional<TimePoint> started_;
+  std::optional<TimePoint> recovered_to_;
+  TimePoint now_{};
   Wrote wrote_;
   std::function<void()> reign_changed_;
   Say say_;
-  std::vector<Turned> turned_;
-  KeeperCounts counts_;
+  std::vector<RejectedRead> turned_;
+  SessionConsistencyCounts counts_;
 };
 
 }  // namespace lynxgrade::consistency
--- a/src/consistency/session_watermark_table.cpp
+++ b/src/consistency/session_watermark_table.cpp
@@ -22,13 +22,14 @@
 
 }  // namespace
 
-Key KeyOf(GroupId group, std::string_view session) {
-  return Key(XXH3_64bits_withSeed(session.data(), session.size(), static_cast<std::uint64_t>(group)));
+SessionKey SessionKeyOf(GroupId group, std::string_view session) {
+  return SessionKey(XXH3_64bits_withSeed(session.data(), session.size(), static_cast<std::uint64_t>(group)));
 }
 
-void Ledger::Free::operator()(void* block) const { std::free(block); }
+void SessionWatermarkTable::Free::operator()(void* block) const { std::free(block); }
 
-Ledger::Ledger(std::size_t sessions) : buckets_(std::max<std::size_t>(1, sessions * 2 / kSlots)) {
+SessionWatermarkTable::SessionWatermarkTable(std::size_t sessions)
+    : buckets_(std::max<std::size_t>(1, sessions * 2 / kSlots)) {
   // Zero pages from the kernel: a table costs memory only as it fills.
   block_.reset(std::calloc(buckets_ + 1, sizeof(Bucket)));
   if (block_ == nullptr) throw std::bad_alloc();
@@ -37,25 +38,27 @@
   table_ = static_cast<Bucket*>(std::align(sizeof(Bucket), buckets_ * sizeof(Bucket), at, space));
 }
 
-Ledger::~Ledger() = default;
-Ledger::Ledger(Ledger&&) noexcept = default;
-Ledger& Ledger::operator=(Ledger&&) noexcept = default;
+SessionWatermarkTable::~SessionWatermarkTable() = default;
+SessionWatermarkTable::SessionWatermarkTable(SessionWatermarkTable&&) noexcept = default;
+SessionWatermarkTable& SessionWatermarkTable::operator=(SessionWatermarkTable&&) noexcept = default;
 
 // Multiply-shift over the whole hash: any number of buckets will do.
-Ledger::Bucket& Ledger::BucketOf(Key key) const {
+SessionWatermarkTable::Bucket& SessionWatermarkTable::BucketOf(SessionKey key) const {
   const auto wide = static_cast<Wide>(static_cast<std::uint64_t>(key)) * buckets_;
   return table_[static_cast<std::size_t>(wide >> 64)];
 }
 
-Position Ledger::PositionOf(std::uint32_t stored) const { return *base_ + kUnit * std::int64_t{stored}; }
+LogPosition SessionWatermarkTable::PositionOf(std::uint32_t stored) const {
+  return *base_ + kUnit * std::int64_t{stored};
+}
 
-Mark Ledger::MarkOf(const Bucket& bucket, std::size_t slot) const {
+WriteWatermark SessionWatermarkTable::WatermarkOf(const Bucket& bucket, std::size_t slot) const {
   const std::uint16_t era = bucket.eras[slot];
   return {PositionOf(bucket.positions[slot]),
-          era == 0 ? std::nullopt : std::optional<MemberId>(members_[era - 1u])};
+          era == 0 ? std::nullopt : std::optional<ServerId>(members_[era - 1u])};
 }
 
-std::uint32_t Ledger::Stored(Position position) {
+std::uint32_t SessionWatermarkTable::Stored(LogPosition position) {
   if (!base_) base_ = position - kUnit * std::int64_t{kRoomBefore};
   const std::int64_t units = ((position - *base_) + kUnit - Duration(1)) / kUnit;
   if (units < 1) return 1;
@@ -68,7 +71,7 @@
   return static_cast<std::uint32_t>(units);
 }
 
-void Ledger::Rebase(std::uint32_t by) {
+void SessionWatermarkTable::Rebase(std::uint32_t by) {
   const auto lower = [by](std::uint32_t& stored) {
     if (stored != 0) stored = stored > by ? stored - by : 1;
   };
@@ -79,7 +82,7 @@
   *base_ += kUnit * std::int64_t{by};
 }
 
-std::uint16_t Ledger::EraOf(const std::optional<MemberId>& by) {
+std::uint16_t SessionWatermarkTable::EraOf(const std::optional<ServerId>& by) {
   if (!by) return 0;
   const auto it = eras_.find(*by);
   if (it != eras_.end()) return it->second;
@@ -90,10 +93,10 @@
   return era;
 }
 
-void Ledger::Note(Key key, const Mark& mark) {
-  if (floor_ && mark.position <= *floor_) return;
-  const std::uint32_t stored = Stored(mark.position);
-  const std::uint16_t era = EraOf(mark.by);
+void SessionWatermarkTable::Note(SessionKey key, const WriteWatermark& watermark) {
+  if (floor_ && watermark.position <= *floor_) return;
+  const std::uint32_t stored = Stored(watermark.position);
+  const std::uint16_t era = EraOf(watermark.by);
   Bucket& bucket = BucketOf(key);
   const auto raw = static_cast<std::uint64_t>(key);
   std::size_t lowest = 0;
@@ -125,23 +128,25 @@
   bucket.eras[lowest] = era;
 }
 
-Ledger::Known Ledger::Find(Key key) const {
+SessionWatermarkTable::Known SessionWatermarkTable::Find(SessionKey key) const {
   Known known;
   if (base_) {
     const Bucket& bucket = BucketOf(key);
     for (std::size_t slot = 0; slot < kSlots; ++slot) {
       if (bucket.keys[slot] == static_cast<std::uint64_t>(key) && bucket.positions[slot] != 0) {
-        known.mark = MarkOf(bucket, slot);
+        known.watermark = WatermarkOf(bucket, slot);
         break;
       }
     }
     if (bucket.floor != 0) known.floor = PositionOf(bucket.floor);
   }
   if (floor_) known.floor = std::max(known.floor.value_or(*floor_), *floor_);
-  if (known.mark && floor_ && known.mark->position <= *floor_) known.mark.reset();
+  if (known.watermark && floor_ && known.watermark->position <= *floor_) known.watermark.reset();
   return known;
 }
 
-void Ledger::RaiseFloor(Position position) { floor_ = std::max(floor_.value_or(position), position); }
+void SessionWatermarkTable::RaiseFloor(LogPosition position) {
+  floor_ = std::max(floor_.value_or(position), position);
+}
 
 }  // namespace lynxgrade::consistency
--- a/src/consistency/session_watermark_table.h
+++ b/src/consistency/session_watermark_table.h
@@ -20,36 +20,36 @@
 
 // A session of one group, as the 64-bit XXH3 hash of both: the same at every instance, as marks are exchanged
 // by it. Two sessions of one hash share the newer mark, and wait for it.
-enum class Key : std::uint64_t {};
-Key KeyOf(GroupId group, std::string_view session);
+enum class SessionKey : std::uint64_t {};
+SessionKey SessionKeyOf(GroupId group, std::string_view session);
 
 // A write that was answered: its commit, and the member that answered as primary. Absent where that is not
 // known any more, which is to be taken for whichever member would be worst.
-struct Mark {
-  Position position{};
-  std::optional<MemberId> by{};
-  bool operator==(const Mark&) const = default;
+struct WriteWatermark {
+  LogPosition position{};
+  std::optional<ServerId> by{};
+  bool operator==(const WriteWatermark&) const = default;
 };
 
-class Ledger {
+class SessionWatermarkTable {
  public:
   // Holds about `sessions` of them at half load, in 16 bytes each at full load; memory is touched as it
   // fills.
-  explicit Ledger(std::size_t sessions);
-  ~Ledger();
-  Ledger(Ledger&& other) noexcept;
-  Ledger& operator=(Ledger&& other) noexcept;
+  explicit SessionWatermarkTable(std::size_t sessions);
+  ~SessionWatermarkTable();
+  SessionWatermarkTable(SessionWatermarkTable&& other) noexcept;
+  SessionWatermarkTable& operator=(SessionWatermarkTable&& other) noexcept;
 
   // Keeps the newer of this mark and the one known. Positions are rounded up to whole milliseconds from the
   // first one noted. Amortised O(1), and at most one bucket is touched.
-  void Note(Key key, const Mark& mark);
+  void Note(SessionKey key, const WriteWatermark& watermark);
 
   // A session's newest mark where `mark` is set; else it wrote, if at all, no later than `floor`.
   struct Known {
-    std::optional<Mark> mark;
-    std::optional<Position> floor;
+    std::optional<WriteWatermark> watermark;
+    std::optional<LogPosition> floor;
   };
-  Known Find(Key key) const;
+  Known Find(SessionKey key) const;
 
   // All marks, and with each bucket's floor what has been forgotten there. Order is that of the table.
   template <typename Call>
@@ -61,13 +61,13 @@
   void Visit(std::size_t at, Call call) const {
     const Bucket& bucket = table_[at];
     for (std::size_t slot = 0; slot < kSlots; ++slot) {
-      if (bucket.positions[slot] != 0) call(Key(bucket.keys[slot]), MarkOf(bucket, slot));
+      if (bucket.positions[slot] != 0) call(SessionKey(bucket.keys[slot]), WatermarkOf(bucket, slot));
     }
   }
   // Of everything forgotten so far the newest; absent where nothing was.
-  std::optional<Position> newest_forgotten() const { return newest_forgotten_; }
+  std::optional<LogPosition> newest_forgotten() const { return newest_forgotten_; }
   // Every session not known by its own mark may have written up to here.
-  void RaiseFloor(Position position);
+  void RaiseFloor(LogPosition position);
 
   std::size_t buckets() const { return buckets_; }
   std::size_t size() const { return size_; }
@@ -89,22 +89,22 @@
     void operator()(void* block) const;
   };
 
-  Bucket& BucketOf(Key key) const;
-  Mark MarkOf(const Bucket& bucket, std::size_t slot) const;
-  Position PositionOf(std::uint32_t stored) const;
+  Bucket& BucketOf(SessionKey key) const;
+  WriteWatermark WatermarkOf(const Bucket& bucket, std::size_t slot) const;
+  LogPosition PositionOf(std::uint32_t stored) const;
   // Rounded up; what lies before the base stands at its first millisecond, which is later and so safe.
-  std::uint32_t Stored(Position position);
-  std::uint16_t EraOf(const std::optional<MemberId>& by);
+  std::uint32_t Stored(LogPosition position);
+  std::uint16_t EraOf(const std::optional<ServerId>& by);
   void Rebase(std::uint32_t by);
 
   std::size_t buckets_;
   std::unique_ptr<void, Free> block_;
   Bucket* table_;
-  std::optional<Position> base_;
-  std::vector<MemberId> members_;  // by era less one; era zero is a member not known
-  std::unordered_map<MemberId, std::uint16_t> eras_;
-  std::optional<Position> newest_forgotten_;
-  std::optional<Position> floor_;
+  std::optional<LogPosition> base_;
+  std::vector<ServerId> members_;  // by era less one; era zero is a member not known
+  std::unordered_map<ServerId, std::uint16_t> eras_;
+  std::optional<LogPosition> newest_forgotten_;
+  std::optional<LogPosition> floor_;
   std::size_t size_ = 0;
   std::uint64_t evicted_ = 0;
 };
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -35,28 +35,28 @@
 
 }  // namespace
 
-MemberId RosterReader::IdOf(const std::string& uid) {
+ServerId EndpointListReader::IdOf(const std::string& uid) {
   const auto known = ids_.find(uid);
   if (known != ids_.end()) return known->second;
   std::uint32_t number = Hash(uid);
-  while (uids_.contains(MemberId(number))) ++number;
-  uids_.emplace(MemberId(number), uid);
-  ids_.emplace(uid, MemberId(number));
-  return MemberId(number);
+  while (uids_.contains(ServerId(number))) ++number;
+  uids_.emplace(ServerId(number), uid);
+  ids_.emplace(uid, ServerId(number));
+  return ServerId(number);
 }
 
-std::vector<MemberId> RosterReader::Prune(const RosterChange& change) {
-  std::set<MemberId> stay, end;
-  for (const Target& target : change.targets) {
-    (target.entry.lifecycle == Lifecycle::kDeleted ? end : stay).insert(target.entry.member);
+std::vector<ServerId> EndpointListReader::Prune(const EndpointListUpdate& change) {
+  std::set<ServerId> stay, end;
+  for (const Endpoint& target : change.targets) {
+    (target.entry.lifecycle == Lifecycle::kDeleted ? end : stay).insert(target.entry.server);
   }
   if (change.whole) {
-    for (const auto& [member, uid] : uids_) {
-      if (!stay.contains(member)) end.insert(member);
+    for (const auto& [server, uid] : uids_) {
+      if (!stay.contains(server)) end.insert(server);
     }
   }
-  for (const MemberId member : end) {
-    const auto it = uids_.find(member);
+  for (const ServerId server : end) {
+    const auto it = uids_.find(server);
     if (it == uids_.end()) continue;
     ids_.erase(it->second);
     uids_.erase(it);
@@ -64,18 +64,18 @@
   return {end.begin(), end.end()};
 }
 
-ZoneIndex RosterReader::ZoneOf(const std::string& name) {
+ZoneIndex EndpointListReader::ZoneOf(const std::string& name) {
   const auto it = std::ranges::find(zones_, name);
   if (it == zones_.end()) zones_.push_back(name);
   return static_cast<ZoneIndex>(std::ranges::find(zones_, name) - zones_.begin());
 }
 
-std::optional<Target> RosterReader::ReadTarget(const Json& json, std::string& wrong) {
+std::optional<Endpoint> EndpointListReader::ReadEndpoint(const Json& json, std::string& wrong) {
   if (!json.is_object()) {
     wrong = "an entry is not an object";
     return std::nullopt;
   }
-  Target target;
+  Endpoint target;
   target.uid = Text(json, "uid");
   if (target.uid.empty()) {
     wrong = "an entry has no uid";
@@ -102,12 +102,12 @@
   if (weight != nullptr && weight->is_number()) target.entry.weight = weight->get<double>();
   target.entry.primary = Text(json, "replication") == "primary";
   const std::int64_t started = Whole(json, "boot_ms").value_or(0);
-  if (started > 0 && started <= kMostMs) target.entry.started = Time(std::chrono::milliseconds(started));
-  target.entry.member = IdOf(target.uid);
+  if (started > 0 && started <= kMostMs) target.entry.started = TimePoint(std::chrono::milliseconds(started));
+  target.entry.server = IdOf(target.uid);
   return target;
 }
 
-std::optional<RosterChange> RosterReader::Read(std::string_view text, std::string& wrong) {
+std::optional<EndpointListUpdate> EndpointListReader::Read(std::string_view text, std::string& wrong) {
   const Json json = Json::parse(text, nullptr, false);
   if (json.is_discarded()) {
     wrong = "malformed JSON";
@@ -116,7 +116,7 @@
   return Read(json, wrong);
 }
 
-std::optional<RosterChange> RosterReader::Read(const Json& json, std::string& wrong) {
+std::optional<EndpointListUpdate> EndpointListReader::Read(const Json& json, std::string& wrong) {
   const Json* targets = json.is_object() ? Find(json, "targets") : nullptr;
   const auto revision = json.is_object() ? Whole(json, "rev") : std::nullopt;
   const Json* all = json.is_object() ? Find(json, "all") : nullptr;
@@ -124,9 +124,9 @@
     wrong = "not a list of data servers";
     return std::nullopt;
   }
-  RosterChange change{*revision, all->get<bool>(), {}};
+  EndpointListUpdate change{*revision, all->get<bool>(), {}};
   for (const Json& item : *targets) {
-    std::optional<Target> target = ReadTarget(item, wrong);
+    std::optional<Endpoint> target = ReadEndpoint(item, wrong);
     if (target) change.targets.push_back(std::move(*target));
   }
   return change;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-Watch::Watch(net::Loop& loop, net::Address address, RosterReader& reader, std::int64_t since,
+Watch::Watch(net::Loop& loop, net::Address address, EndpointListReader& reader, std::int64_t since,
              std::uint64_t seed, Callers callers, Changed changed)
     : loop_(loop),
       address_(std::move(address)),
@@ -90,10 +90,10 @@
   const std::shared_ptr<net::Connection> connection = connection_;
   while (auto piece = text_.Take()) {
     std::string wrong = "a list that was cut";
-    std::optional<RosterChange> change;
-    if (piece->kind != ListText::Kind::kCut) wrong.clear();
-    if (piece->kind == ListText::Kind::kValue) change = reader_.Read(piece->text, wrong);
-    if (piece->kind != ListText::Kind::kBlank && !change) {
+    std::optional<EndpointListUpdate> change;
+    if (piece->kind != WatchBodyParser::Kind::kCut) wrong.clear();
+    if (piece->kind == WatchBodyParser::Kind::kValue) change = reader_.Read(piece->text, wrong);
+    if (piece->kind != WatchBodyParser::Kind::kBlank && !change) {
       // What it would have told is asked for again: the next change would not bring it.
       const auto level = waits_.failures() > 0 ? spdlog::level::debug : spdlog::level::warn;
       spdlog::log(level, "discovery: {}", wrong);
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -18,7 +18,7 @@
 
 class Watch final : private net::Connection::Owner {
  public:
-  using Changed = std::function<void(const RosterChange&)>;
+  using Changed = std::function<void(const EndpointListUpdate&)>;
 
   // Who answers the calls: an agent of this instance's own, at once and at no cost, or one service that all
   // `instances` call, which a call of all of them at one moment would overload.
@@ -28,8 +28,8 @@
     Duration grace{};  // for which a list may be followed after it has counted as told
   };
 
-  Watch(net::Loop& loop, net::Address address, RosterReader& reader, std::int64_t since, std::uint64_t seed,
-        Callers callers, Changed changed);
+  Watch(net::Loop& loop, net::Address address, EndpointListReader& reader, std::int64_t since,
+        std::uint64_t seed, Callers callers, Changed changed);
   ~Watch();
 
   // Calls an agent at once: what it has counts as told, and its word on who drains binds from then on. A
@@ -40,7 +40,7 @@
   void MoveTo(const net::Address& address);
   bool heard() const { return heard_; }
   // When the next call is due, where one is waited for.
-  std::optional<Time> calls_at() const { return again_.due(); }
+  std::optional<TimePoint> calls_at() const { return again_.due(); }
 
  private:
   void OnUp() override;
@@ -58,18 +58,18 @@
 
   net::Loop& loop_;
   net::Address address_;
-  RosterReader& reader_;
+  EndpointListReader& reader_;
   std::int64_t since_;
   Callers callers_;
   std::minstd_rand random_;
   Changed changed_;
   std::shared_ptr<net::Connection> connection_;
   std::optional<HttpResponse> response_;
-  ListText text_;
+  WatchBodyParser text_;
   net::Timer deadline_;
   net::Timer again_;
-  fleet::CallWaits waits_;
-  Time heard_at_;  // the last sign of life, or the start
+  fleet::DiscoveryRetryPolicy waits_;
+  TimePoint heard_at_;  // the last sign of life, or the start
   bool heard_ = false;
 };
 
--- a/src/discovery/watch_body_parser.cpp
+++ b/src/discovery/watch_body_parser.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void ListText::Feed(std::string_view bytes) {
+void WatchBodyParser::Feed(std::string_view bytes) {
   for (const char c : bytes) {
     if (c == '\n') {
       EndLine();
@@ -22,7 +22,7 @@
   }
 }
 
-void ListText::End() {
+void WatchBodyParser::End() {
   if (!value_.empty() || depth_ > 0) EndLine();
   if (depth_ > 0) {
     Clear();
@@ -30,21 +30,21 @@
   }
 }
 
-std::optional<ListText::Piece> ListText::Take() {
+std::optional<WatchBodyParser::Piece> WatchBodyParser::Take() {
   if (pieces_.empty()) return std::nullopt;
   Piece piece = std::move(pieces_.front());
   pieces_.pop_front();
   return piece;
 }
 
-void ListText::Clear() {
+void WatchBodyParser::Clear() {
   value_.clear();
   depth_ = 0;
   in_string_ = escaped_ = false;
   bare_ = true;
 }
 
-void ListText::EndLine() {
+void WatchBodyParser::EndLine() {
   const bool bare = std::exchange(bare_, true);
   if (depth_ == 0 && !in_string_) {
     pieces_.push_back({bare ? Kind::kBlank : Kind::kValue, bare ? std::string() : std::move(value_)});
@@ -60,7 +60,7 @@
   value_ += '\n';
 }
 
-void ListText::Scan(char c) {
+void WatchBodyParser::Scan(char c) {
   value_ += c;
   if (c != ' ' && c != '\t' && c != '\r') bare_ = false;
   if (in_string_) {
--- a/src/discovery/watch_body_parser.h
+++ b/src/discovery/watch_body_parser.h
@@ -10,7 +10,7 @@
 
 namespace lynxgrade::discovery {
 
-class ListText {
+class WatchBodyParser {
  public:
   // kBlank: an empty line. kCut: an empty line or an end inside a value, or one that is too long.
   enum class Kind { kBlank, kValue, kCut };
--- a/src/durability/record_format.cpp
+++ b/src/durability/record_format.cpp
@@ -74,7 +74,7 @@
   head.instance = Get<std::uint64_t>(file, at);
   head.boot = Get<std::uint64_t>(file, at);
   head.generation = Get<std::uint64_t>(file, at);
-  head.begun = Time(Duration(Get<std::int64_t>(file, at)));
+  head.begun = TimePoint(Duration(Get<std::int64_t>(file, at)));
   return HeadFault::kNone;
 }
 
@@ -95,7 +95,7 @@
     record.c = Get<std::int64_t>(rest, at);
     record.d = Get<std::int64_t>(rest, at);
     if (record.type == Type::kWhole) contents.whole = true;
-    if (record.type >= Type::kWhole) contents.clock = Time(Duration(record.b));
+    if (record.type >= Type::kWhole) contents.clock = TimePoint(Duration(record.b));
     contents.stopped = record.type == Type::kStopped;
     contents.moved = record.type == Type::kMoved ? std::optional(record.a) : std::nullopt;
     contents.records.push_back(record);
--- a/src/durability/record_format.h
+++ b/src/durability/record_format.h
@@ -24,7 +24,7 @@
   std::uint64_t instance = 0;  // hash of the name whose state it is
   std::uint64_t boot = 0;  // hash of the machine's boot: after another one, what was not synced may be gone
   std::uint64_t generation = 0;  // of the file
-  Time begun{};
+  TimePoint begun{};
 };
 
 enum class Type : std::uint8_t {
@@ -58,7 +58,7 @@
   bool whole = false;                    // the snapshot has its end
   bool torn = false;                     // the file ends in the middle of a record
   std::uint64_t damaged = 0;             // bytes after the last sound record that are not a torn one
-  std::optional<Time> clock{};           // newest time up to which it is complete by its own word
+  std::optional<TimePoint> clock{};      // newest time up to which it is complete by its own word
   bool stopped = false;                  // it ends with the word of an orderly stop
   std::optional<std::uint64_t> moved{};  // it ends with the word of where it goes on
 };
--- a/src/durability/write_ahead_log.cpp
+++ b/src/durability/write_ahead_log.cpp
@@ -24,8 +24,8 @@
 constexpr std::size_t kMostFile = 8ull << 30;  // no state of ours is larger; a larger file is not read
 
 std::uint64_t HashOf(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
-std::int64_t Us(Time time) { return time.time_since_epoch().count(); }
-Time At(std::int64_t us) { return Time(Duration(us)); }
+std::int64_t Us(TimePoint time) { return time.time_since_epoch().count(); }
+TimePoint At(std::int64_t us) { return TimePoint(Duration(us)); }
 
 std::optional<std::uint64_t> GenerationOf(std::string_view name) {
   if (!name.starts_with(kPrefix)) return std::nullopt;
@@ -36,10 +36,10 @@
   return generation;
 }
 
-Record RecordOf(consistency::Key key, const consistency::Mark& mark) {
-  Record record{Type::kMark, mark.by ? static_cast<std::uint32_t>(*mark.by) : 0};
+Record RecordOf(consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
+  Record record{Type::kMark, watermark.by ? static_cast<std::uint32_t>(*watermark.by) : 0};
   record.a = static_cast<std::uint64_t>(key);
-  record.b = Us(mark.position);
+  record.b = Us(watermark.position);
   return record;
 }
 
@@ -163,19 +163,20 @@
   return recovered;
 }
 
-void Apply(const Recovered& recovered, consistency::Keeper& keeper) {
+void Apply(const Recovered& recovered, consistency::SessionConsistencyGuard& consistency_guard) {
   for (const Record& record : recovered.records) {
     switch (record.type) {
       case Type::kMark:
-        keeper.Learn(std::nullopt, consistency::Key(record.a),
-                     {At(record.b), record.who == 0 ? std::nullopt : std::optional(MemberId(record.who))});
+        consistency_guard.Learn(
+            std::nullopt, consistency::SessionKey(record.a),
+            {At(record.b), record.who == 0 ? std::nullopt : std::optional(ServerId(record.who))});
         break;
       case Type::kReign:
-        keeper.LearnReign(GroupId(static_cast<std::int64_t>(record.a)), MemberId(record.who), At(record.b),
-                          At(record.c), At(record.d));
+        consistency_guard.LearnReign(GroupId(static_cast<std::int64_t>(record.a)), ServerId(record.who),
+                                     At(record.b), At(record.c), At(record.d));
         break;
       case Type::kForgotten:
-        keeper.LearnForgotten(At(record.b));
+        consistency_guard.LearnForgotten(At(record.b));
         break;
       case Type::kWhole:
       case Type::kClock:
@@ -186,11 +187,16 @@
   }
 }
 
-Store::Store(net::Loop& loop, const StateSetup& setup, const std::string& instance,
-             consistency::Keeper& keeper)
-    : loop_(loop), setup_(setup), instance_(instance), keeper_(keeper), beat_(loop), go_on_(loop) {}
+WriteAheadLog::WriteAheadLog(net::Loop& loop, const DurabilitySettings& setup, const std::string& instance,
+                             consistency::SessionConsistencyGuard& consistency_guard)
+    : loop_(loop),
+      setup_(setup),
+      instance_(instance),
+      consistency_guard_(consistency_guard),
+      beat_(loop),
+      go_on_(loop) {}
 
-Store::~Store() {
+WriteAheadLog::~WriteAheadLog() {
   if (thread_.joinable()) {
     {
       const std::lock_guard lock(mutex_);
@@ -205,12 +211,12 @@
   }
 }
 
-std::string Store::PathOf(std::uint64_t generation, bool finished) const {
+std::string WriteAheadLog::PathOf(std::uint64_t generation, bool finished) const {
   return setup_.folder + "/" + std::string(kPrefix) + std::to_string(generation) +
          (finished ? "" : std::string(kUnfinished));
 }
 
-std::string Store::Open() {
+std::string WriteAheadLog::Open() {
   if (mkdir(setup_.folder.c_str(), 0700) != 0 && errno != EEXIST) {
     return "the folder " + setup_.folder + " cannot be made: " + std::strerror(errno);
   }
@@ -228,7 +234,7 @@
 
 // Before anything is answered: from then on the folder holds all of it, or nothing that could be taken for
 // all.
-std::string Store::Begin() {
+std::string WriteAheadLog::Begin() {
   BeginSnapshot();
   while (snapshot_at_) GoOnWithSnapshot();
   std::unique_lock lock(mutex_);
@@ -247,7 +253,7 @@
 
 // ---- The main loop's side -----------------------------------------------------------------------------
 
-void Store::Push(Job job) {
+void WriteAheadLog::Push(Job job) {
   job.ticket = ++tickets_;
   {
     const std::lock_guard lock(mutex_);
@@ -257,40 +263,40 @@
   condition_.notify_one();
 }
 
-void Store::Append(const Record& record) {
+void WriteAheadLog::Append(const Record& record) {
   Job job;
   AppendRecord(job.bytes, head_, index_++, record);
   bytes_ += job.bytes.size();
   Push(std::move(job));
 }
 
-void Store::Wrote(consistency::Key key, const consistency::Mark& mark) {
+void WriteAheadLog::Wrote(consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
   if (!on_) return;
-  Append(RecordOf(key, mark));
+  Append(RecordOf(key, watermark));
 }
 
-bool Store::WhenSafe(std::function<void()> call) {
+bool WriteAheadLog::WhenSafe(std::function<void()> call) {
   if (safe_ >= tickets_) return false;
   waiters_.push_back({tickets_, std::move(call), loop_.Now() + setup_.stall});
   return true;
 }
 
-void Store::ReignsChanged() {
+void WriteAheadLog::ReignsChanged() {
   if (!on_) return;
-  for (const auto& [group, reigns] : keeper_.reigns()) {
-    if (!reigns.primary()) continue;
-    Record record{Type::kReign, static_cast<std::uint32_t>(*reigns.primary())};
+  for (const auto& [group, timelines] : consistency_guard_.timelines()) {
+    if (!timelines.primary()) continue;
+    Record record{Type::kReign, static_cast<std::uint32_t>(*timelines.primary())};
     record.a = static_cast<std::uint64_t>(group);
-    record.b = Us(reigns.since());
-    record.c = Us(reigns.held());
-    record.d = Us(reigns.confirmed());
+    record.b = Us(timelines.since());
+    record.c = Us(timelines.held());
+    record.d = Us(timelines.confirmed());
     Append(record);
   }
 }
 
 // A new file: the whole state, a part a turn, while what is answered meanwhile goes in between. Until it is
 // finished the old one, which gets the same, is what counts.
-void Store::BeginSnapshot() {
+void WriteAheadLog::BeginSnapshot() {
   if (on_) {
     Record moved{Type::kMoved};
     moved.a = head_.generation + 1;
@@ -307,9 +313,9 @@
   bytes_ = job.bytes.size();
   Push(std::move(job));
   on_ = true;
-  if (keeper_.ledger().newest_forgotten()) {
+  if (consistency_guard_.watermark_table().newest_forgotten()) {
     Record record{Type::kForgotten};
-    record.b = Us(*keeper_.ledger().newest_forgotten());
+    record.b = Us(*consistency_guard_.watermark_table().newest_forgotten());
     Append(record);
   }
   ReignsChanged();
@@ -317,21 +323,21 @@
   GoOnWithSnapshot();
 }
 
-void Store::GoOnWithSnapshot() {
+void WriteAheadLog::GoOnWithSnapshot() {
   if (!on_ || !snapshot_at_) return;
-  const consistency::Ledger& ledger = keeper_.ledger();
-  const std::size_t end = std::min(ledger.buckets(), *snapshot_at_ + kBucketsATurn);
+  const consistency::SessionWatermarkTable& watermark_table = consistency_guard_.watermark_table();
+  const std::size_t end = std::min(watermark_table.buckets(), *snapshot_at_ + kBucketsATurn);
   Job part;
   for (std::size_t at = *snapshot_at_; at < end; ++at) {
-    ledger.Visit(at, [&](consistency::Key key, const consistency::Mark& mark) {
-      if (mark.position + keeper_.recall() < loop_.Now()) return;
-      AppendRecord(part.bytes, head_, index_++, RecordOf(key, mark));
+    watermark_table.Visit(at, [&](consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
+      if (watermark.position + consistency_guard_.recall() < loop_.Now()) return;
+      AppendRecord(part.bytes, head_, index_++, RecordOf(key, watermark));
     });
   }
   bytes_ += part.bytes.size();
   if (!part.bytes.empty()) Push(std::move(part));
   snapshot_at_ = end;
-  if (end < ledger.buckets()) return go_on_.After(Duration{0}, [this] { GoOnWithSnapshot(); });
+  if (end < watermark_table.buckets()) return go_on_.After(Duration{0}, [this] { GoOnWithSnapshot(); });
   snapshot_at_.reset();
   Record whole{Type::kWhole};
   whole.b = Us(loop_.Now());
@@ -342,10 +348,10 @@
   Push(std::move(finish));
 }
 
-void Store::Beat() {
+void WriteAheadLog::Beat() {
   // Time for which this loop, or the whole process, stood still is not the disk's: answers would go out
   // before their writes are safe.
-  const Duration late = beat_due_ == Time{} ? Duration{0} : loop_.Now() - beat_due_;
+  const Duration late = beat_due_ == TimePoint{} ? Duration{0} : loop_.Now() - beat_due_;
   if (late > kClockEvery / 2) {
     for (Waiter& waiter : waiters_) waiter.until += late;
   }
@@ -381,7 +387,7 @@
     clock.b = Us(loop_.Now());
     Append(clock);
     if (bytes_ > setup_.snapshot_bytes && !snapshot_at_ &&
-        bytes_ > 2 * kRecordSize * keeper_.ledger().size()) {
+        bytes_ > 2 * kRecordSize * consistency_guard_.watermark_table().size()) {
       BeginSnapshot();
     }
   }
@@ -389,7 +395,7 @@
 
 // What is in the folder is no longer all that was answered: it has to go before anything else is answered, as
 // a later start would take it for whole.
-void Store::Fail(const std::string& why) {
+void WriteAheadLog::Fail(const std::string& why) {
   spdlog::error("state: {}; the folder's state is given up, and begun anew in {} s", why,
                 kAgain.count() / 1000000);
   on_ = false;
@@ -405,7 +411,7 @@
   Push(std::move(job));
 }
 
-void Store::Stop() {
+void WriteAheadLog::Stop() {
   if (!on_) return;
   Record stopped{Type::kStopped};
   stopped.b = Us(loop_.Now());
@@ -416,7 +422,7 @@
   on_ = false;
 }
 
-void Store::OnEvents(std::uint32_t) {
+void WriteAheadLog::OnEvents(std::uint32_t) {
   std::uint64_t count = 0;
   while (read(wake_, &count, sizeof count) > 0) {
   }
@@ -428,7 +434,7 @@
   Release(done);
 }
 
-void Store::Release(std::uint64_t ticket) {
+void WriteAheadLog::Release(std::uint64_t ticket) {
   safe_ = std::max(safe_, ticket);
   while (!waiters_.empty() && waiters_.front().ticket <= safe_) {
     auto call = std::move(waiters_.front().call);
@@ -440,7 +446,7 @@
 // ---- The thread's side --------------------------------------------------------------------------------
 
 // Takes all that waits as one: one write and, where answers wait for the disk, one sync for all of it.
-void Store::Work() {
+void WriteAheadLog::Work() {
   while (true) {
     std::deque<Job> jobs;
     {
@@ -475,7 +481,7 @@
   if (file_ >= 0) close(file_);
 }
 
-std::string Store::Carry(const Job& job) {
+std::string WriteAheadLog::Carry(const Job& job) {
   const auto failed = [this](const std::string& what) {
     return what + " in " + setup_.folder + " failed: " + std::strerror(errno);
   };
--- a/src/durability/write_ahead_log.h
+++ b/src/durability/write_ahead_log.h
@@ -26,7 +26,7 @@
 struct Recovered {
   std::vector<Record> records;
   // All that this instance answered before is known up to here; the present, if it is known to be all.
-  std::optional<Time> complete_to{};
+  std::optional<TimePoint> complete_to{};
   bool complete = false;
   std::string sentence;  // for the log: what was found
   std::uint64_t generation = 0;
@@ -37,14 +37,15 @@
 // A hash of the machine's present boot; zero where it cannot be told.
 std::uint64_t ThisBoot();
 // Gives the keeper what was recovered.
-void Apply(const Recovered& recovered, consistency::Keeper& keeper);
+void Apply(const Recovered& recovered, consistency::SessionConsistencyGuard& consistency_guard);
 
-class Store final : private net::Poller::Handler {
+class WriteAheadLog final : private net::Poller::Handler {
  public:
-  Store(net::Loop& loop, const StateSetup& setup, const std::string& instance, consistency::Keeper& keeper);
-  ~Store();
-  Store(const Store&) = delete;
-  Store& operator=(const Store&) = delete;
+  WriteAheadLog(net::Loop& loop, const DurabilitySettings& setup, const std::string& instance,
+                consistency::SessionConsistencyGuard& consistency_guard);
+  ~WriteAheadLog();
+  WriteAheadLog(const WriteAheadLog&) = delete;
+  WriteAheadLog& operator=(const WriteAheadLog&) = delete;
 
   // Recovers what there is. Empty, or one sentence on why there will be no state: the service goes on
   // without.
@@ -53,7 +54,7 @@
   std::string Begin();
   const Recovered& recovered() const { return recovered_; }
 
-  void Wrote(consistency::Key key, const consistency::Mark& mark);
+  void Wrote(consistency::SessionKey key, const consistency::WriteWatermark& watermark);
   // Calls back once all that was written so far is safe, or the wait was too long; false where it is already,
   // or where there is no state.
   bool WhenSafe(std::function<void()> call);
@@ -80,7 +81,7 @@
   struct Waiter {
     std::uint64_t ticket = 0;
     std::function<void()> call;
-    Time until{};
+    TimePoint until{};
   };
 
   std::string PathOf(std::uint64_t generation, bool finished) const;
@@ -98,9 +99,9 @@
   std::string Carry(const Job& job);
 
   net::Loop& loop_;
-  StateSetup setup_;
+  DurabilitySettings setup_;
   std::string instance_;
-  consistency::Keeper& keeper_;
+  consistency::SessionConsistencyGuard& consistency_guard_;
   Recovered recovered_;
   Head head_;
   std::uint64_t index_ = 0;
@@ -110,9 +111,9 @@
   std::uint64_t tickets_ = 0, safe_ = 0;
   std::deque<Waiter> waiters_;
   net::Timer beat_, go_on_;
-  Time last_clock_{};
-  Time beat_due_{};
-  Time failed_{};
+  TimePoint last_clock_{};
+  TimePoint beat_due_{};
+  TimePoint failed_{};
   std::uint64_t stalls_ = 0;
   int wake_ = -1;
 
--- a/src/estimation/client_patience_estimator.cpp
+++ b/src/estimation/client_patience_estimator.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void Stay::Seen(double aims, bool left) {
+void ClientPatienceEstimator::Seen(double aims, bool left) {
   const auto last = static_cast<std::size_t>(std::max(0.0, aims) * kBins);
   for (std::size_t i = 0; i < kBins; ++i) {
     there_[i] = there_[i] * kKept + (i <= last ? 1 : 0);
@@ -19,7 +19,7 @@
   }
 }
 
-double Stay::Part() const {
+double ClientPatienceEstimator::Part() const {
   double still = 1;
   for (std::size_t i = 0; i < kBins; ++i) {
     still *= 1 - left_[i] / (there_[i] + kPrior);
--- a/src/estimation/client_patience_estimator.h
+++ b/src/estimation/client_patience_estimator.h
@@ -9,7 +9,7 @@
 // The product-limit estimate (Kaplan and Meier, "Nonparametric Estimation from Incomplete Observations",
 // 1958) of how many clients are still there at an age: those who were answered before tell that they had
 // stayed so long, and no more. Few who leave early do not stand for all.
-class Stay {
+class ClientPatienceEstimator {
  public:
   // A client left, or was answered or turned away, after so many of its class's aims.
   void Seen(double aims, bool left);
--- a/src/estimation/first_attempt_estimator.cpp
+++ b/src/estimation/first_attempt_estimator.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Duration FirstTry::Age(Duration deadline, Duration left, bool repeat) {
+Duration FirstAttemptEstimator::Age(Duration deadline, Duration left, bool repeat) {
   if (deadline <= Duration{0}) return Duration{0};
   const double part = Seconds(left) / Seconds(deadline);
   const bool alike = votes_ > 0 && std::abs(part - usual_) < kAlike;
@@ -30,6 +30,6 @@
   return repeat ? std::min(most, Duration(static_cast<std::int64_t>(age_ * 1e6))) : Duration{0};
 }
 
-void FirstTry::Unserved(Duration age) { age_ += kAgeGain * (Seconds(age) - age_); }
+void FirstAttemptEstimator::Unserved(Duration age) { age_ += kAgeGain * (Seconds(age) - age_); }
 
 }  // namespace lynxgrade::estimation
--- a/src/estimation/first_attempt_estimator.h
+++ b/src/estimation/first_attempt_estimator.h
@@ -12,7 +12,7 @@
 
 using Duration = std::chrono::duration<std::int64_t, std::micro>;
 
-class FirstTry {
+class FirstAttemptEstimator {
  public:
   // How long ago the client first asked. `deadline` is the class's, over all tries; `left` is what the client
   // gives this try; `repeat`: it is marked as a later one. Never under zero, nor over `deadline` - `left`.
--- a/src/estimation/replica_position.cpp
+++ b/src/estimation/replica_position.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-bool LogPosition::Seen(Instant now, Instant position) {
+bool ReplicaPosition::Seen(Instant now, Instant position) {
   if (proven_ && position <= *proven_ && now - heard_ < kSameWithin) return false;
   proven_ = std::max(position, proven_.value_or(position));
   heard_ = now;
@@ -32,20 +32,20 @@
   return true;
 }
 
-Instant LogPosition::Expected(Instant now) const {
+Instant ReplicaPosition::Expected(Instant now) const {
   return proven_.value_or(Instant{0}) + Times(now - heard_, std::min(1.0, pace_));
 }
 
-bool LogPosition::Known(Instant now, Instant target) const {
+bool ReplicaPosition::Known(Instant now, Instant target) const {
   if (Proven(target)) return true;
   return proven_ && now - heard_ <= kTrusted + std::max(Duration{0}, target - Expected(now));
 }
 
-bool LogPosition::MayHold(Instant now, Instant target) const {
+bool ReplicaPosition::MayHold(Instant now, Instant target) const {
   return !measured_ || target - *proven_ <= Times(now - heard_, kMostPace);
 }
 
-bool LogPosition::MayReach(Instant now, Duration within, Instant target, bool moves) const {
+bool ReplicaPosition::MayReach(Instant now, Duration within, Instant target, bool moves) const {
   if (!measured_ || now - heard_ > kForgotten) return true;
   const Duration behind = target - *proven_ - Times(now - heard_, pace_);
   const double closes = std::max(0.0, pace_ - (moves ? 1 : 0));
@@ -53,7 +53,7 @@
   return behind - kTrusted <= Times(within, closes);
 }
 
-void LogPosition::Forgive(Instant now, Duration stall) {
+void ReplicaPosition::Forgive(Instant now, Duration stall) {
   if (!pace_at_) return;
   pace_at_ = std::min(now, *pace_at_ + stall);
   pace_from_ = std::min(*proven_, pace_from_ + stall);
--- a/src/estimation/replica_position.h
+++ b/src/estimation/replica_position.h
@@ -15,7 +15,7 @@
 // Of the log and of the clock alike: positions are times.
 using Instant = Duration;
 
-class LogPosition {
+class ReplicaPosition {
  public:
   // Heard at `now`. False: it tells nothing new.
   bool Seen(Instant now, Instant position);
--- a/src/fleet/capped_weighted_choice.cpp
+++ b/src/fleet/capped_weighted_choice.cpp
@@ -5,7 +5,7 @@
 
 namespace lynxgrade::fleet {
 
-std::optional<std::size_t> Draw(std::span<const Lot> lots, double chance) {
+std::optional<std::size_t> ChooseCapped(std::span<const WeightedCandidate> lots, double chance) {
   std::vector<double> part(lots.size(), -1);  // of all draws; below zero: not at its cap
   double free = 1;
   for (bool again = true; again;) {
--- a/src/fleet/capped_weighted_choice.h
+++ b/src/fleet/capped_weighted_choice.h
@@ -9,13 +9,13 @@
 
 // One that may be drawn: its odds against the others', and the most of all draws that may fall on it (1: no
 // cap).
-struct Lot {
+struct WeightedCandidate {
   double odds = 0;
   double most = 1;
 };
 
 // Picks one with `chance`, even in [0, 1). Nobody is picked more often than its cap; what a cap cuts off goes
 // to those that are under theirs, in proportion to their odds, and to nobody once all are at theirs.
-std::optional<std::size_t> Draw(std::span<const Lot> lots, double chance);
+std::optional<std::size_t> ChooseCapped(std::span<const WeightedCandidate> lots, double chance);
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/demand.cpp
+++ b/src/fleet/demand.cpp
@@ -14,28 +14,30 @@
 
 }  // namespace
 
-double Demand::Sum(Duration now) const {
+double DemandEstimator::Sum(Duration now) const {
   return begun_ ? sum_ * std::exp(-Seconds(std::max(Duration{0}, now - last_)) / kOver) : 0;
 }
 
 // How much time the sum stands for: less than its time constant while that has not passed yet.
-double Demand::Watched(Duration now) const {
+double DemandEstimator::Watched(Duration now) const {
   if (!begun_) return 0;
   return kOver * (1 - std::exp(-Seconds(std::max(Duration{0}, now - first_)) / kOver));
 }
 
-void Demand::Add(Duration now, double work) {
+void DemandEstimator::Add(Duration now, double work) {
   sum_ = Sum(now) + work;
   if (!begun_) first_ = now;
   begun_ = true;
   last_ = std::max(last_, now);
 }
 
-double Demand::PerSecond(Duration now, double prior) const {
+double DemandEstimator::PerSecond(Duration now, double prior) const {
   return (Sum(now) + prior * kPriorWeight) / (Watched(now) + kPriorWeight);
 }
 
-double Demand::PerSecond(Duration now) const { return Sum(now) / std::max(kLeastWatched, Watched(now)); }
+double DemandEstimator::PerSecond(Duration now) const {
+  return Sum(now) / std::max(kLeastWatched, Watched(now));
+}
 
 double Odds(double allowed, double wanted) {
   return wanted <= allowed || wanted <= 0 ? 1 : std::max(0.0, allowed) / wanted;
--- a/src/fleet/demand.h
+++ b/src/fleet/demand.h
@@ -8,7 +8,7 @@
 // Work a second over about the last three seconds. One instance of a hundred sees an arrival for a given
 // group once in a while: its own count is weighed with a prior, what the instance sees of all groups, in
 // equal parts (a Gamma prior's mean with as much time behind it as the count itself has).
-class Demand {
+class DemandEstimator {
  public:
   // Times are on any clock that does not fall; `work` in seconds.
   void Add(Duration now, double work);
--- a/src/fleet/discovery_retry_policy.cpp
+++ b/src/fleet/discovery_retry_policy.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-CallWaits::CallWaits(bool shared, std::uint32_t instances, Duration grace)
+DiscoveryRetryPolicy::DiscoveryRetryPolicy(bool shared, std::uint32_t instances, Duration grace)
     : answer_(shared ? kAnswer : kAgents),
       allowed_(Allowed(shared, grace)),
       call_(std::clamp(allowed_ / 2, kShortest, kMostCall)),
@@ -32,9 +32,9 @@
       backoff_(shared ? instances : 1, kFirstWait, kSpacing,
                std::max(kShortest, allowed_ - call_ - answer_)) {}
 
-Duration CallWaits::silence() const { return kSilence; }
+Duration DiscoveryRetryPolicy::silence() const { return kSilence; }
 
-Duration CallWaits::Next(double chance, Duration quiet) {
+Duration DiscoveryRetryPolicy::Next(double chance, Duration quiet) {
   // Two calls before what was missed since the last sign of life binds: the first in half of the time that is
   // left, the second in what is left then. After that only what may change from now on counts.
   const int before = backoff_.failures();
--- a/src/fleet/discovery_retry_policy.h
+++ b/src/fleet/discovery_retry_policy.h
@@ -12,11 +12,11 @@
 //   a watch that falls silent:  silence + wait + answer
 //   and one call refused then:  silence + wait + wait + answer
 //   a call that hangs as discovery comes back:  call + wait + answer
-class CallWaits {
+class DiscoveryRetryPolicy {
  public:
   // `shared`: one service answers the calls of all `instances`, which a call of all at one moment would
   // overload; else an agent of this instance's own, at no cost.
-  CallWaits(bool shared, std::uint32_t instances, Duration grace);
+  DiscoveryRetryPolicy(bool shared, std::uint32_t instances, Duration grace);
 
   // From one sign of life to the next: an empty line is due every 2 s.
   Duration silence() const;
--- a/src/fleet/latency.cpp
+++ b/src/fleet/latency.cpp
@@ -19,40 +19,40 @@
 
 }  // namespace
 
-double Crowd::Kept(Duration now) const {
+double GroupLatencyEstimator::Kept(Duration now) const {
   return std::exp(-Seconds(std::max(Duration{0}, now - last_)) / kFades);
 }
 
-void Crowd::Add(Duration now, double slowness) {
+void GroupLatencyEstimator::Add(Duration now, double slowness) {
   const double kept = Kept(now);
   sum_ = sum_ * kept + slowness;
   count_ = count_ * kept + 1;
   last_ = std::max(last_, now);
 }
 
-double Crowd::Mean(Duration now, double otherwise) const {
+double GroupLatencyEstimator::Mean(Duration now, double otherwise) const {
   const double kept = Kept(now);
   return (sum_ * kept + kCrowdPrior * otherwise) / (count_ * kept + kCrowdPrior);
 }
 
-double Latency::Gain(Duration now) const {
+double ServerLatencyEstimator::Gain(Duration now) const {
   const double faded = 1 - std::exp(-Seconds(std::max(Duration{0}, now - heard_)) / kFades);
   return std::clamp(faded, kLeastGain, kMostGain);
 }
 
-void Latency::Answered(Duration now, double slowness, std::size_t beside) {
+void ServerLatencyEstimator::Answered(Duration now, double slowness, std::size_t beside) {
   const double gain = Gain(now);
   slowness_ += gain * (slowness - slowness_);
   each_ += gain * (slowness / static_cast<double>(beside + 1) - each_);
   heard_ = std::max(heard_, now);
 }
 
-void Latency::Overdue(Duration now, double slowness) {
+void ServerLatencyEstimator::Overdue(Duration now, double slowness) {
   slowness_ += std::min(kMostLostGain, Gain(now)) * std::max(0.0, slowness - slowness_);
   heard_ = std::max(heard_, now);
 }
 
-double Latency::Slowness(Duration now, const Crowd& group) const {
+double ServerLatencyEstimator::Slowness(Duration now, const GroupLatencyEstimator& group) const {
   const double own = std::exp(-Seconds(std::max(Duration{0}, now - heard_)) / kOldAfter);
   return own * slowness_ + (1 - own) * group.Mean(now, slowness_);
 }
--- a/src/fleet/latency.h
+++ b/src/fleet/latency.h
@@ -10,7 +10,7 @@
 
 // The mean of what a group's members showed lately, each answer for about a second: what they are asked comes
 // from the same clients, and the log that they apply is the same, so they are crowded together.
-class Crowd {
+class GroupLatencyEstimator {
  public:
   void Add(Duration now, double slowness);
   // Nearer to `otherwise` the less was heard.
@@ -25,14 +25,14 @@
 };
 
 // A member's latency as a multiple of what its requests usually take.
-class Latency {
+class ServerLatencyEstimator {
  public:
   // An answer, with `beside` others of this instance at the member when it was asked.
   void Answered(Duration now, double slowness, std::size_t beside);
   // An attempt that ended without one after so long, and would have taken longer: it can only raise.
   void Overdue(Duration now, double slowness);
   // By now: what was heard of the member itself, and of its group as that grows old.
-  double Slowness(Duration now, const Crowd& group) const;
+  double Slowness(Duration now, const GroupLatencyEstimator& group) const;
   // What each request in flight adds.
   double each() const { return each_; }
 
--- a/src/fleet/slow_start.cpp
+++ b/src/fleet/slow_start.cpp
@@ -17,20 +17,20 @@
 
 }  // namespace
 
-double WarmUp::Share(Duration age) const { return start + (1 - start) * Grown(age, time); }
+double SlowStartRule::Share(Duration age) const { return start + (1 - start) * Grown(age, time); }
 
-double WarmUp::Rate(Duration age, double carry) const {
+double SlowStartRule::Rate(Duration age, double carry) const {
   return kSafety * (1 + kGrowth * Grown(age, time)) * factor * Share(age) * carry;
 }
 
-double WarmUp::Hold() const { return std::max(kLeastHold, Seconds(fall) / 2); }
+double SlowStartRule::Hold() const { return std::max(kLeastHold, Seconds(fall) / 2); }
 
-void ColdStore::Begin(Duration now, const WarmUp& rule) {
+void WarmingTokenBucket::Begin(Duration now, const SlowStartRule& rule) {
   work_ = 0;
   at_ = now - rule.fall / 2;
 }
 
-double ColdStore::Fill(Duration now, double rate, double hold, double most) {
+double WarmingTokenBucket::Fill(Duration now, double rate, double hold, double most) {
   work_ = std::min(rate * hold, work_ + rate * std::min(Seconds(now - at_), most));
   at_ = now;
   return rate * hold;
--- a/src/fleet/slow_start.h
+++ b/src/fleet/slow_start.h
@@ -9,7 +9,7 @@
 
 // The rule as the settings give it: sent `factor` times what it can do at the moment for `fall` a cold member
 // falls.
-struct WarmUp {
+struct SlowStartRule {
   double start = 1;  // the share of its capacity that a member begins with, at least
   Duration time{0};  // in which it is warm, at the latest
   double factor = 1;
@@ -25,10 +25,10 @@
 };
 
 // What one instance has saved up for one member, in work; below zero: a debt.
-class ColdStore {
+class WarmingTokenBucket {
  public:
   // Full as of `now`, for a member that starts.
-  void Begin(Duration now, const WarmUp& rule);
+  void Begin(Duration now, const SlowStartRule& rule);
   // Adds what the time since the last call brought, of which no more than `most` seconds count; returns what
   // may be held at most. A longer request than that goes when the store is full, and leaves a debt.
   double Fill(Duration now, double rate, double hold, double most);
--- a/src/fleet/warm_server_throughput.cpp
+++ b/src/fleet/warm_server_throughput.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void Carried::End(double span, double warm) {
+void WarmServerThroughput::End(double span, double warm) {
   const double keep = std::exp(-span / kOver);
   rate_ = rate_ * keep + work_ / span / std::max(1.0, warm) * (1 - keep);
   work_ = 0;
--- a/src/fleet/warm_server_throughput.h
+++ b/src/fleet/warm_server_throughput.h
@@ -3,7 +3,7 @@
 
 namespace lynxgrade::fleet {
 
-class Carried {
+class WarmServerThroughput {
  public:
   // Work that was answered, in seconds of it.
   void Add(double work) { work_ += work; }
--- a/src/frontend/client_session.cpp
+++ b/src/frontend/client_session.cpp
@@ -64,7 +64,7 @@
 Session::Session(Front& front, net::DescriptorBudget& budget)
     : front_(front), slot_(budget.clients()), again_(front.loop_), look_(front.loop_) {}
 
-void Session::Begin(net::ObjectPtr<GSocket> socket, Time queued_since) {
+void Session::Begin(net::ObjectPtr<GSocket> socket, TimePoint queued_since) {
   connection_ =
       net::Connection::Adopt(front_.loop_, std::move(socket), *this, pg::kRingLimit, pg::kRingLimit);
   connection_->KeepArrivals(queued_since);
@@ -104,7 +104,7 @@
 
 // A CancelRequest that had come before this request was taken, or before the one ahead of it was answered,
 // means an earlier one.
-void Session::Cancel(std::uint32_t secret, Time came) {
+void Session::Cancel(std::uint32_t secret, TimePoint came) {
   if (secret != secret_ || state_ != State::kAsking || came < cancels_from_) return;
   front_.proxy_.Withdraw(request_);
   AnswerError("57014", "canceling statement due to user request");
@@ -178,11 +178,11 @@
   } else if (state_ == State::kStartup || !connection_->in().empty()) {
     shelf = Shelf::kSilent;
   }
-  const Time now = front_.loop_.Now();
+  const TimePoint now = front_.loop_.Now();
   if (shelf == Shelf::kSilent && state_ != State::kStartup) {
     // From its first byte, which may have come while the request before it was served; but not from before
     // its rest could be read.
-    const Time began = std::max(connection_->CameAt(0), read_from_);
+    const TimePoint began = std::max(connection_->CameAt(0), read_from_);
     if (shelf != shelf_ || began != since_) front_.Place(*this, shelf, began);
   } else if (shelf != shelf_ || shelf == Shelf::kIdle) {
     front_.Place(*this, shelf, now);
@@ -324,7 +324,7 @@
   if (kind.kind == ReadKind::kWrite || kind.kind == ReadKind::kSession) ask.event.session = comment.object;
   // Of a session that carries its newest write; a time that has not come is nobody's write.
   if (kind.kind == ReadKind::kSession && comment.after_ms) {
-    const Position after{std::chrono::milliseconds(std::min(*comment.after_ms, kMostMs))};
+    const LogPosition after{std::chrono::milliseconds(std::min(*comment.after_ms, kMostMs))};
     ask.event.target = std::min(after, front_.loop_.Now());
   }
   ask.event.repeat = comment.retry;
--- a/src/frontend/client_session.h
+++ b/src/frontend/client_session.h
@@ -37,7 +37,7 @@
  public:
   Session(Front& front, net::DescriptorBudget& budget);
   // `queued_since`: what it brings may have come as early as that.
-  void Begin(net::ObjectPtr<GSocket> socket, Time queued_since);
+  void Begin(net::ObjectPtr<GSocket> socket, TimePoint queued_since);
   void Close();
   // Its time on a shelf is over. Ends it as Leave does, or goes on where something has come meanwhile; the
   // client hears why, if it is in the middle of saying something.
@@ -48,7 +48,7 @@
   // Whether nothing has come that was not read.
   bool Quiet() const { return connection_->in().empty() && !connection_->SomethingCame(); }
   // The client wants no answer any more, as it says by another connection, on which that came at `came`.
-  void Cancel(std::uint32_t secret, Time came);
+  void Cancel(std::uint32_t secret, TimePoint came);
   // Ends the request being answered, as nothing can be waited for any more.
   void GiveUp();
 
@@ -93,18 +93,18 @@
   std::uint32_t process_ = 0;  // the key for CancelRequest, from the start on
   std::uint32_t secret_ = 0;
   RequestId request_{};
-  Time came_{};          // the last byte of the message that is being taken
-  Time read_from_{};     // when reading went on after the ring had been full
-  Time answered_{};      // when the newest answer to a request was given
-  Time cancels_from_{};  // CancelRequests that came before mean an earlier request
-  std::string id_;       // as the client named its open request
+  TimePoint came_{};          // the last byte of the message that is being taken
+  TimePoint read_from_{};     // when reading went on after the ring had been full
+  TimePoint answered_{};      // when the newest answer to a request was given
+  TimePoint cancels_from_{};  // CancelRequests that came before mean an earlier request
+  std::string id_;            // as the client named its open request
   std::size_t thrown_away_ = 0;
   net::Timer again_;
   net::Timer look_;
   // Kept by the front.
   std::optional<Shelf> shelf_;
   std::list<Session*>::iterator place_{};
-  Time since_{};
+  TimePoint since_{};
 };
 
 }  // namespace lynxgrade::frontend
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -79,7 +79,7 @@
   session->Begin(std::move(socket), listener_.queued_since());
 }
 
-void Front::Place(Session& session, Session::Shelf shelf, Time since) {
+void Front::Place(Session& session, Session::Shelf shelf, TimePoint since) {
   Shelf& to = shelves_[static_cast<std::size_t>(shelf)];
   if (session.shelf_) shelves_[static_cast<std::size_t>(*session.shelf_)].erase(session.place_);
   // Nearly all come last.
@@ -128,7 +128,7 @@
   return last_number_;
 }
 
-void Front::Cancel(std::uint32_t process, std::uint32_t secret, Time came) {
+void Front::Cancel(std::uint32_t process, std::uint32_t secret, TimePoint came) {
   const auto it = keys_.find(process);
   if (it == keys_.end()) return;
   const auto held = sessions_.at(it->second);
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -44,7 +44,7 @@
   bool MayAccept();
   void Accepted(net::ObjectPtr<GSocket> socket);
   // Puts a session on the shelf for its state, where it has stood since then.
-  void Place(Session& session, Session::Shelf shelf, Time since);
+  void Place(Session& session, Session::Shelf shelf, TimePoint since);
   void Sweep();
   // Closes those on a shelf that have stood there for so long.
   void CloseAfter(Session::Shelf shelf, Duration time);
@@ -55,7 +55,7 @@
   void Closed(Session& session);
   // A key for CancelRequest that no other open connection has.
   std::uint32_t NewKey(Session& session);
-  void Cancel(std::uint32_t process, std::uint32_t secret, Time came);
+  void Cancel(std::uint32_t process, std::uint32_t secret, TimePoint came);
   bool leaving() const { return leaving_; }
   // The time that a request may take: less than its client gives it, where this program ends before.
   Duration Within(Duration budget) const;
@@ -79,7 +79,7 @@
   net::Timer drain_;
   net::Timer last_;
   std::function<void()> done_;
-  std::optional<Time> drain_from_;
+  std::optional<TimePoint> drain_from_;
   std::uint32_t last_number_ = 0;
   bool ready_ = false;
   bool leaving_ = false;
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -6,8 +6,8 @@
 
 namespace lynxgrade {
 
-Instance::Instance(net::Loop& loop, const Config& config, const Setup& setup, proxy::Backends& backends,
-                   Host host)
+Instance::Instance(net::Loop& loop, const PlatformConfig& config, const ProgramSettings& setup,
+                   proxy::Backends& backends, Host host)
     : loop_(loop),
       config_(config),
       setup_(setup),
@@ -38,22 +38,23 @@
                  fleet::Size(0));
   }
   watch_.emplace(loop_, config_.discovery, reader_, since, config_.seed, callers,
-                 [this](const discovery::RosterChange& change) { Changed(change); });
+                 [this](const discovery::EndpointListUpdate& change) { Changed(change); });
   return {};
 }
 
 std::string Instance::StartSessions() {
   if (setup_.sessions.scope != consistency::Scope::kEverywhere) return {};
-  consistency::Keeper& keeper = proxy_.keeper();
-  const Time now = loop_.Precise();
+  consistency::SessionConsistencyGuard& consistency_guard = proxy_.consistency_guard();
+  const TimePoint now = loop_.Precise();
   bool recovered = false;
-  std::optional<Time> known_to;
+  std::optional<TimePoint> known_to;
   if (!setup_.state.folder.empty()) {
-    store_ = std::make_unique<durability::Store>(loop_, setup_.state, config_.name, keeper);
+    store_ =
+        std::make_unique<durability::WriteAheadLog>(loop_, setup_.state, config_.name, consistency_guard);
     const std::string fault = store_->Open();
     if (fault.empty()) {
       const durability::Recovered& found = store_->recovered();
-      durability::Apply(found, keeper);
+      durability::Apply(found, consistency_guard);
       recovered = found.complete;
       known_to = found.complete ? std::optional(now) : found.complete_to;
       spdlog::info("state: {}{}", found.sentence,
@@ -65,24 +66,26 @@
       store_.reset();
     }
   }
-  keeper.Started(now, known_to);
+  consistency_guard.Started(now, known_to);
   if (setup_.peers.listen) {
-    replication::Parts parts{loop_,     setup_.peers, config_.name,
-                             recovered, keeper,       [this] { proxy_.Relearnt(); }};
-    auto loaded = host_.make_peers ? host_.make_peers(std::move(parts)) : replication::Load(std::move(parts));
+    replication::ReplicationContext parts{loop_,     setup_.peers,      config_.name,
+                                          recovered, consistency_guard, [this] { proxy_.Relearnt(); }};
+    auto loaded = host_.make_peers ? host_.make_peers(std::move(parts))
+                                   : replication::LoadReplicationModule(std::move(parts));
     if (const auto* wrong = std::get_if<std::string>(&loaded)) return *wrong;
-    peers_ = std::move(std::get<std::unique_ptr<replication::Service>>(loaded));
+    peers_ = std::move(std::get<std::unique_ptr<replication::ReplicationService>>(loaded));
     const std::string fault = peers_->Start();
     if (!fault.empty()) return fault;
   }
   proxy::Proxy::Waits waits;
-  waits.wrote = [this](GroupId group, consistency::Key key, const consistency::Mark& mark) {
-    if (peers_ != nullptr) peers_->Wrote(group, key, mark);
-    if (store_ != nullptr) store_->Wrote(key, mark);
+  waits.wrote = [this](GroupId group, consistency::SessionKey key,
+                       const consistency::WriteWatermark& watermark) {
+    if (peers_ != nullptr) peers_->Wrote(group, key, watermark);
+    if (store_ != nullptr) store_->Wrote(key, watermark);
   };
   // The store first: whether a session is held is to be so when the answer goes out.
   if (store_ != nullptr || peers_ != nullptr) {
-    waits.safe = [this](GroupId group, consistency::Key key, std::function<void()> call) {
+    waits.safe = [this](GroupId group, consistency::SessionKey key, std::function<void()> call) {
       if (peers_ == nullptr) return store_->WhenSafe(std::move(call));
       const bool waits_for_disk = store_ != nullptr && store_->WhenSafe([this, group, key, call] {
         if (!peers_->WhenHeld(group, key, call)) call();
@@ -91,7 +94,7 @@
     };
   }
   if (store_ != nullptr) {
-    keeper.OnReign([this] { store_->ReignsChanged(); });
+    consistency_guard.OnReign([this] { store_->ReignsChanged(); });
   }
   if (peers_ != nullptr) waits.ask_others = [this] { peers_->Solicit(); };
   proxy_.SetWaits(std::move(waits));
@@ -108,20 +111,20 @@
   if (store_ != nullptr) store_->Stop();
 }
 
-std::vector<ListEntry> Instance::Entries(const discovery::RosterChange& change) {
+std::vector<ListEntry> Instance::Entries(const discovery::EndpointListUpdate& change) {
   std::vector<ListEntry> entries;
-  for (const discovery::Target& target : change.targets) {
-    if (target.address) host_.address(target.entry.member, *target.address);
+  for (const discovery::Endpoint& target : change.targets) {
+    if (target.address) host_.address(target.entry.server, *target.address);
     entries.push_back(target.entry);
     listed_ = true;
   }
   return entries;
 }
 
-void Instance::Changed(const discovery::RosterChange& change) {
-  for (const discovery::Target& target : change.targets) {
+void Instance::Changed(const discovery::EndpointListUpdate& change) {
+  for (const discovery::Endpoint& target : change.targets) {
     spdlog::info("discovery: version {}: {} ({}) {}", change.revision, target.uid,
-                 static_cast<std::uint32_t>(target.entry.member),
+                 static_cast<std::uint32_t>(target.entry.server),
                  target.entry.lifecycle == Lifecycle::kServing    ? "serves"
                  : target.entry.lifecycle == Lifecycle::kDraining ? "drains"
                                                                   : "is gone");
@@ -129,7 +132,7 @@
   proxy_.ListChanged({change.whole ? ListKind::kComplete : ListKind::kPartial, Entries(change)});
   // Where being gone does not bind, requests may still be sent there.
   if (!config_.settings.gone_not_binding) {
-    for (const MemberId member : reader_.Prune(change)) host_.forget(member);
+    for (const ServerId server : reader_.Prune(change)) host_.forget(server);
   }
   if (host_.changed) host_.changed();
 }
--- a/src/instance.h
+++ b/src/instance.h
@@ -29,18 +29,20 @@
   // What the host does for it; each but the first two may be absent.
   struct Host {
     // Where a data server is to be reached, told before the module hears of it.
-    std::function<void(MemberId, const net::Address&)> address;
+    std::function<void(ServerId, const net::Address&)> address;
     // The list names it no more.
-    std::function<void(MemberId)> forget;
+    std::function<void(ServerId)> forget;
     // A change of the list has been taken in.
     std::function<void()> changed;
     // Makes the exchange with the others; absent: from the module beside the program.
-    std::function<std::variant<std::unique_ptr<replication::Service>, std::string>(replication::Parts)>
+    std::function<std::variant<std::unique_ptr<replication::ReplicationService>, std::string>(
+        replication::ReplicationContext)>
         make_peers;
   };
 
   // `config` and `setup` outlive it.
-  Instance(net::Loop& loop, const Config& config, const Setup& setup, proxy::Backends& backends, Host host);
+  Instance(net::Loop& loop, const PlatformConfig& config, const ProgramSettings& setup,
+           proxy::Backends& backends, Host host);
 
   // Takes the list of the configuration, finds the durable state and joins the others. Empty, or what keeps
   // it from starting.
@@ -59,22 +61,22 @@
   proxy::Proxy& proxy() { return proxy_; }
   const proxy::Proxy& proxy() const { return proxy_; }
   // The exchange with the others; null where the settings name none.
-  const replication::Service* peers() const { return peers_.get(); }
+  const replication::ReplicationService* peers() const { return peers_.get(); }
   std::size_t data_servers() const { return reader_.known(); }
 
  private:
   std::string StartSessions();
-  std::vector<ListEntry> Entries(const discovery::RosterChange& change);
-  void Changed(const discovery::RosterChange& change);
+  std::vector<ListEntry> Entries(const discovery::EndpointListUpdate& change);
+  void Changed(const discovery::EndpointListUpdate& change);
 
   net::Loop& loop_;
-  const Config& config_;
-  const Setup& setup_;
+  const PlatformConfig& config_;
+  const ProgramSettings& setup_;
   Host host_;
-  discovery::RosterReader reader_;
+  discovery::EndpointListReader reader_;
   proxy::Proxy proxy_;
-  std::unique_ptr<durability::Store> store_;
-  std::unique_ptr<replication::Service> peers_;
+  std::unique_ptr<durability::WriteAheadLog> store_;
+  std::unique_ptr<replication::ReplicationService> peers_;
   std::optional<discovery::Watch> watch_;
   bool listed_ = false;
 };
--- a/src/lease/bandwidth_budget.h
+++ b/src/lease/bandwidth_budget.h
@@ -9,24 +9,25 @@
 
 namespace lynxgrade::lease {
 
-class Budget {
+class BandwidthBudget {
  public:
   // Zero: there is none, and all is allowed.
-  Budget(double bytes_per_s, Time now) : bytes_per_s_(bytes_per_s), left_(bytes_per_s * kSaved), at_(now) {}
+  BandwidthBudget(double bytes_per_s, TimePoint now)
+      : bytes_per_s_(bytes_per_s), left_(bytes_per_s * kSaved), at_(now) {}
 
   // What was sent or received, whether it could have waited or not.
-  void Spend(Time now, std::size_t bytes) {
+  void Spend(TimePoint now, std::size_t bytes) {
     Fill(now);
     // A storm of what cannot wait is not paid for by reads long after it.
     left_ = std::max(left_ - static_cast<double>(bytes), -bytes_per_s_ * kOwed);
   }
   // Whether so many more would be within it.
-  bool Allows(Time now, std::size_t bytes) {
+  bool Allows(TimePoint now, std::size_t bytes) {
     Fill(now);
     return bytes_per_s_ <= 0 || left_ >= static_cast<double>(bytes);
   }
   // Whether under half of what may be saved up is left: what can be said in fewer bytes should be.
-  bool Short(Time now) {
+  bool Short(TimePoint now) {
     Fill(now);
     return bytes_per_s_ > 0 && left_ < bytes_per_s_ * kSaved / 2;
   }
@@ -36,7 +37,7 @@
   // enough that no second takes much over its budget.
   static constexpr double kSaved = 0.5;
   static constexpr double kOwed = 2;  // likewise
-  void Fill(Time now) {
+  void Fill(TimePoint now) {
     const double seconds = std::max(0.0, 1e-6 * static_cast<double>((now - at_).count()));
     left_ = std::min(bytes_per_s_ * kSaved, left_ + seconds * bytes_per_s_);
     at_ = now;
@@ -44,7 +45,7 @@
 
   double bytes_per_s_;
   double left_;
-  Time at_;
+  TimePoint at_;
 };
 
 }  // namespace lynxgrade::lease
--- a/src/lease/lease_message_relay.cpp
+++ b/src/lease/lease_message_relay.cpp
@@ -5,13 +5,13 @@
 
 namespace lynxgrade::lease {
 
-void Courier::See(std::uint64_t view, const std::vector<Life>& owners, Life by) {
+void LeaseMessageRelay::See(std::uint64_t view, const std::vector<IncarnationId>& owners, IncarnationId by) {
   if (view != view_) owners_ = owners;
   view_ = view;
   by_ = by;
 }
 
-void Courier::Post(Time now, const Outgoing& one, Legs& out) {
+void LeaseMessageRelay::Post(TimePoint now, const OutgoingLeaseMessage& one, Legs& out) {
   Leg leg{one.to, one.message, one.tries};
   if (ForOwner(one.message)) {
     // A release of another view is for who owned the key there.
@@ -34,11 +34,11 @@
   out.push_back(std::move(leg));
 }
 
-Life Courier::Take(Time now, Life sender, const Leg& leg, Legs& out) {
-  const Message& message = leg.message;
+IncarnationId LeaseMessageRelay::Take(TimePoint now, IncarnationId sender, const Leg& leg, Legs& out) {
+  const LeaseMessage& message = leg.message;
   const bool between = leg.by_way || leg.pass_to != 0;
   // Whoever stands by another view finds other owners; what is dropped is said again, and then straight.
-  const Life owner = between && message.view == view_ ? OwnerOf(message.key, owners_) : 0;
+  const IncarnationId owner = between && message.view == view_ ? OwnerOf(message.key, owners_) : 0;
   if (between && owner == 0) {
     ++counts_.strays;
     return 0;
@@ -75,14 +75,14 @@
   return sender;
 }
 
-void Courier::Wait(Time now, Leg leg) {
+void LeaseMessageRelay::Wait(TimePoint now, Leg leg) {
   ++counts_.waited;
   Waiting& waiting = waiting_[{leg.to, leg.message.view}];
   if (waiting.legs.empty()) waiting.due = now + options_.coalesce;
   waiting.legs.push_back(std::move(leg));
 }
 
-void Courier::Due(Time now, Legs& out) {
+void LeaseMessageRelay::Due(TimePoint now, Legs& out) {
   std::erase_if(waiting_, [&](auto& item) {
     if (now < item.second.due) return false;
     std::ranges::move(item.second.legs, std::back_inserter(out));
--- a/src/lease/lease_message_relay.h
+++ b/src/lease/lease_message_relay.h
@@ -17,38 +17,38 @@
 
 namespace lynxgrade::lease {
 
-class Courier {
+class LeaseMessageRelay {
  public:
   struct Options {
-    Life self = 0;
+    IncarnationId self = 0;
     Duration coalesce{};  // for which a message waits for company, at the most
   };
   // One message on its next leg.
   struct Leg {
-    Life to = 0;  // who gets it next
-    Message message;
+    IncarnationId to = 0;  // who gets it next
+    LeaseMessage message;
     int tries = 1;
-    bool by_way = false;  // between an instance and the owner by way of which it speaks
-    Life origin = 0;      // between two owners: who says it, to the owner of its key
-    Life pass_to = 0;     // likewise: for whom the owner of its key says it
+    bool by_way = false;        // between an instance and the owner by way of which it speaks
+    IncarnationId origin = 0;   // between two owners: who says it, to the owner of its key
+    IncarnationId pass_to = 0;  // likewise: for whom the owner of its key says it
   };
   using Legs = std::vector<Leg>;
   struct Counts {
     std::uint64_t waited = 0, passed_on = 0, strays = 0;
   };
 
-  explicit Courier(const Options& options) : options_(options) {}
+  explicit LeaseMessageRelay(const Options& options) : options_(options) {}
 
   // The view by which this instance stands, its owners, and the one of these by way of which it speaks while
   // bytes are short; zero: none, as no one is set aside, some do not pass on, or this instance owns itself.
-  void See(std::uint64_t view, const std::vector<Life>& owners, Life by);
+  void See(std::uint64_t view, const std::vector<IncarnationId>& owners, IncarnationId by);
   // What this instance says.
-  void Post(Time now, const Outgoing& one, Legs& out);
+  void Post(TimePoint now, const OutgoingLeaseMessage& one, Legs& out);
   // A message as it came in from `sender`; `leg.to` is not looked at. Who says it, where it is for this
   // instance; zero: it goes on, by `out` or later, or is dropped and will be said again.
-  Life Take(Time now, Life sender, const Leg& leg, Legs& out);
+  IncarnationId Take(TimePoint now, IncarnationId sender, const Leg& leg, Legs& out);
   // What has waited long enough. To be called every few milliseconds.
-  void Due(Time now, Legs& out);
+  void Due(TimePoint now, Legs& out);
 
   const Counts& counts() const { return counts_; }
 
@@ -56,26 +56,26 @@
   // For which an instance that has spoken by way of an owner is answered, and recalled, by way of it.
   static constexpr Duration kHeardFor{2000000};
   struct Heard {
-    Life by = 0;
-    Time until{};
+    IncarnationId by = 0;
+    TimePoint until{};
   };
   struct Waiting {
-    Time due{};
+    TimePoint due{};
     Legs legs;
   };
 
-  static bool ForOwner(const Message& message) {
-    return message.kind == Message::Kind::kAsk || message.kind == Message::Kind::kRelease;
+  static bool ForOwner(const LeaseMessage& message) {
+    return message.kind == LeaseMessage::Kind::kAcquire || message.kind == LeaseMessage::Kind::kRelease;
   }
-  void Wait(Time now, Leg leg);
+  void Wait(TimePoint now, Leg leg);
 
   Options options_;
   std::uint64_t view_ = 0;
-  std::vector<Life> owners_;
-  Life by_ = 0;
-  std::map<std::pair<Life, std::uint64_t>, Waiting> waiting_;  // by receiver and view: one packet's
-  std::unordered_map<Life, Heard> heard_;
-  Time swept_{};
+  std::vector<IncarnationId> owners_;
+  IncarnationId by_ = 0;
+  std::map<std::pair<IncarnationId, std::uint64_t>, Waiting> waiting_;  // by receiver and view: one packet's
+  std::unordered_map<IncarnationId, Heard> heard_;
+  TimePoint swept_{};
   Counts counts_;
 };
 
--- a/src/lease/rendezvous_hash.cpp
+++ b/src/lease/rendezvous_hash.cpp
@@ -11,13 +11,13 @@
 
 }  // namespace
 
-Life OwnerOf(consistency::Key key, const std::vector<Life>& lives) {
-  Life owner = 0;
+IncarnationId OwnerOf(consistency::SessionKey key, const std::vector<IncarnationId>& incarnation_ids) {
+  IncarnationId owner = 0;
   std::uint64_t highest = 0;
-  for (const Life life : lives) {
-    const std::uint64_t weight = Mixed(static_cast<std::uint64_t>(key) + Mixed(life));
-    if (owner != 0 && (weight < highest || (weight == highest && life < owner))) continue;
-    owner = life;
+  for (const IncarnationId incarnation_id : incarnation_ids) {
+    const std::uint64_t weight = Mixed(static_cast<std::uint64_t>(key) + Mixed(incarnation_id));
+    if (owner != 0 && (weight < highest || (weight == highest && incarnation_id < owner))) continue;
+    owner = incarnation_id;
     highest = weight;
   }
   return owner;
--- a/src/lease/rendezvous_hash.h
+++ b/src/lease/rendezvous_hash.h
@@ -10,11 +10,11 @@
 namespace lynxgrade::lease {
 
 // A run of an instance's process; drawn by chance, never zero.
-using Life = std::uint64_t;
+using IncarnationId = std::uint64_t;
 
 // Of `lives` the one with the highest weight for `key`; zero where there are none. Whoever has the same
 // lives, in whatever order, finds the same one, and where one goes only its own keys move. Linear in the
 // lives.
-Life OwnerOf(consistency::Key key, const std::vector<Life>& lives);
+IncarnationId OwnerOf(consistency::SessionKey key, const std::vector<IncarnationId>& incarnation_ids);
 
 }  // namespace lynxgrade::lease
--- a/src/lease/session_lease_client.cpp
+++ b/src/lease/session_lease_client.cpp
@@ -5,9 +5,9 @@
 
 namespace lynxgrade::lease {
 
-Directory::Directory(const Options& options, Marks& marks, Time started)
+SessionLeaseClient::SessionLeaseClient(const Options& options, KnownWatermarks& watermarks, TimePoint started)
     : options_(options),
-      marks_(marks),
+      watermarks_(watermarks),
       started_(started),
       owner_(options.owner),
       budget_(options.bytes_per_s, started) {
@@ -15,50 +15,51 @@
   tokens_at_ = started;
 }
 
-void Directory::See(Time now, const Standpoint& standpoint) {
+void SessionLeaseClient::See(TimePoint now, const ViewAgreement& standpoint) {
   const std::uint64_t declares = standpoint.declares;
   if (declares != 0) {
     if (declares != view_) {
       view_ = declares;
-      lives_ = *standpoint.lives;
+      incarnation_ids_ = *standpoint.incarnation_ids;
       holds_.clear();
       wants_.clear();
       whole_ = false;
-      first_whole_ = Time{};
+      first_whole_ = TimePoint{};
     }
     declared_ = now;
   }
   const bool whole = declares != 0 && standpoint.whole.value_or(whole_);
   if (whole && !whole_) {
     whole_since_ = now;
-    if (first_whole_ == Time{}) first_whole_ = now;
+    if (first_whole_ == TimePoint{}) first_whole_ = now;
   }
   whole_ = whole;
 }
 
-std::optional<Time> Directory::WholeSince(std::uint64_t view) const {
+std::optional<TimePoint> SessionLeaseClient::WholeSince(std::uint64_t view) const {
   if (!whole_ || view != view_) return std::nullopt;
   return options_.owner_unbroken ? whole_since_ : first_whole_;
 }
 
-bool Directory::Bound(Time now) const {
+bool SessionLeaseClient::Bound(TimePoint now) const {
   if (view_ != 0) return now - declared_ <= BoundFor();
   return options_.start_waits && !options_.alone && now - started_ <= BoundFor();
 }
 
-const Directory::Hold* Directory::LiveHold(Time now, consistency::Key key) const {
+const SessionLeaseClient::Hold* SessionLeaseClient::LiveHold(TimePoint now,
+                                                             consistency::SessionKey key) const {
   const auto it = holds_.find(key);
   if (it == holds_.end() || now - it->second.leased >= options_.owner.lease) return nullptr;
   return &it->second;
 }
 
-bool Directory::MayAnswer(Time now, consistency::Key key) const {
+bool SessionLeaseClient::MayAnswer(TimePoint now, consistency::SessionKey key) const {
   if (!options_.writes_wait) return true;
   if (aside_) return false;
   return !Bound(now) || LiveHold(now, key) != nullptr;
 }
 
-std::optional<Position> Directory::Exact(Time now, consistency::Key key) const {
+std::optional<LogPosition> SessionLeaseClient::Exact(TimePoint now, consistency::SessionKey key) const {
   if (!whole_) return std::nullopt;
   const Hold* hold = LiveHold(now, key);
   if (hold == nullptr || !hold->exact) return std::nullopt;
@@ -66,7 +67,7 @@
   return hold->floor;
 }
 
-bool Directory::Token(Time now) {
+bool SessionLeaseClient::Token(TimePoint now) {
   const double seconds = 1e-6 * static_cast<double>((now - tokens_at_).count());
   tokens_ = std::min(std::max(1.0, options_.reads_per_s), tokens_ + seconds * options_.reads_per_s);
   tokens_at_ = now;
@@ -75,7 +76,7 @@
   return true;
 }
 
-bool Directory::Admits(Time now) {
+bool SessionLeaseClient::Admits(TimePoint now) {
   // What is out already will be answered, and none of that is spent yet.
   if (!budget_.Allows(now, kAskBytes * (wants_.size() + 1))) {
     ++counts_.capped;
@@ -87,9 +88,10 @@
   return false;
 }
 
-bool Directory::Want(Time now, GroupId group, consistency::Key key, Use use, Outbox& out) {
+bool SessionLeaseClient::Want(TimePoint now, GroupId group, consistency::SessionKey key, Use use,
+                              LeaseOutbox& out) {
   if (!Bound(now) || view_ == 0) return false;  // nobody owns anything for who stands by nothing
-  const Time until = now + (use == Use::kWrite ? kWantWrite : kWantRead);
+  const TimePoint until = now + (use == Use::kWrite ? kWantWrite : kWantRead);
   if (const auto wanted = wants_.find(key); wanted != wants_.end()) {
     wanted->second.until = std::max(wanted->second.until, until);
     return true;
@@ -102,7 +104,7 @@
   }
   // Where this instance is not proven whole itself no grant helps a read.
   if (use == Use::kRead && !whole_) return false;
-  if (use == Use::kRead && OwnerOf(key, lives_) != options_.self && !Admits(now)) return false;
+  if (use == Use::kRead && OwnerOf(key, incarnation_ids_) != options_.self && !Admits(now)) return false;
   Want_& want = wants_[key];
   want = {++last_id_, group, now, now, kFirstRetry, 0, until};
   // By a third there are two round trips, and each leg may wait.
@@ -111,52 +113,54 @@
   return true;
 }
 
-void Directory::Ask(Time now, consistency::Key key, Want_& want, Outbox& out) {
+void SessionLeaseClient::Ask(TimePoint now, consistency::SessionKey key, Want_& want, LeaseOutbox& out) {
   want.next = now + want.pause;
   want.pause = std::min(want.pause * 2, kLastRetry);
   ++counts_.asks;
-  Message ask{Message::Kind::kAsk, view_, key, want.group};
+  LeaseMessage ask{LeaseMessage::Kind::kAcquire, view_, key, want.group};
   ask.id = want.id;
   const int tries = ++want.tries;
-  Send(now, {OwnerOf(key, lives_), ask, tries, tries == 1 && MayWait(now)}, out);
+  Send(now, {OwnerOf(key, incarnation_ids_), ask, tries, tries == 1 && MayWait(now)}, out);
 }
 
 // What goes to this instance itself never leaves it.
-void Directory::Send(Time now, const Outgoing& one, Outbox& out) {
+void SessionLeaseClient::Send(TimePoint now, const OutgoingLeaseMessage& one, LeaseOutbox& out) {
   if (one.to != options_.self) return out.push_back(one);
   Handle(now, one.to, one.message, out);
 }
 
-void Directory::Handle(Time now, Life from, const Message& message, Outbox& out) {
-  Outbox said;
+void SessionLeaseClient::Handle(TimePoint now, IncarnationId from, const LeaseMessage& message,
+                                LeaseOutbox& out) {
+  LeaseOutbox said;
   switch (message.kind) {
-    case Message::Kind::kAsk:
+    case LeaseMessage::Kind::kAcquire:
       owner_.Ask(now, from, message, WholeSince(message.view), said);
       break;
-    case Message::Kind::kGrant:
+    case LeaseMessage::Kind::kGrant:
       TakeGrant(now, from, message);
       break;
-    case Message::Kind::kRecall:
+    case LeaseMessage::Kind::kRevoke:
       TakeRecall(now, from, message, said);
       break;
-    case Message::Kind::kRelease:
+    case LeaseMessage::Kind::kRelease:
       owner_.Release(now, from, message, WholeSince(message.view), said);
       break;
   }
-  for (const Outgoing& one : said) Send(now, one, out);
+  for (const OutgoingLeaseMessage& one : said) Send(now, one, out);
 }
 
-void Directory::Take(Time now, Life from, const Message& message, Outbox& out) {
+void SessionLeaseClient::Take(TimePoint now, IncarnationId from, const LeaseMessage& message,
+                              LeaseOutbox& out) {
   Handle(now, from, message, out);
 }
 
-void Directory::Tick(Time now, Outbox& out) {
+void SessionLeaseClient::Tick(TimePoint now, LeaseOutbox& out) {
   std::erase_if(wants_, [&](const auto& item) { return item.second.until < now; });
-  std::vector<consistency::Key> due;  // an ask of this instance's own may end its want
+  std::vector<consistency::SessionKey> due;  // an ask of this instance's own may end its want
   for (const auto& [key, want] : wants_) {
     if (now >= want.next) due.push_back(key);
   }
-  for (const consistency::Key key : due) {
+  for (const consistency::SessionKey key : due) {
     const auto it = wants_.find(key);
     if (it != wants_.end()) Ask(now, key, it->second, out);
   }
@@ -166,14 +170,14 @@
   std::erase_if(holds_, [&](const auto& item) { return now - item.second.leased >= options_.owner.lease; });
 }
 
-void Directory::TakeGrant(Time now, Life from, const Message& grant) {
-  if (grant.mark) marks_.Learn(grant.key, *grant.mark);
+void SessionLeaseClient::TakeGrant(TimePoint now, IncarnationId from, const LeaseMessage& grant) {
+  if (grant.watermark) watermarks_.Learn(grant.key, *grant.watermark);
   const auto wanted = wants_.find(grant.key);
   if (grant.view != view_) return;
   const bool asked = wanted != wants_.end() && wanted->second.id == grant.id;
   if (!asked && options_.serials) return;  // the ask was given up, or answered
-  if (from != OwnerOf(grant.key, lives_)) return;
-  const Time asked_at = wanted != wants_.end() ? wanted->second.asked : now;
+  if (from != OwnerOf(grant.key, incarnation_ids_)) return;
+  const TimePoint asked_at = wanted != wants_.end() ? wanted->second.asked : now;
   if (wanted != wants_.end()) wants_.erase(wanted);
   ++counts_.grants;
   // A hold may be forgotten at any time; who lacks one asks.
@@ -199,7 +203,8 @@
   holds_[grant.key] = hold;
 }
 
-void Directory::TakeRecall(Time now, Life from, const Message& recall, Outbox& out) {
+void SessionLeaseClient::TakeRecall(TimePoint now, IncarnationId from, const LeaseMessage& recall,
+                                    LeaseOutbox& out) {
   if (recall.view == view_) {
     const auto held = holds_.find(recall.key);
     if (held != holds_.end()) {
@@ -214,11 +219,11 @@
     }
   }
   ++counts_.recalled;
-  const consistency::Ledger::Known known = marks_.Newest(recall.key);
-  Message release{Message::Kind::kRelease, recall.view, recall.key, recall.group};
+  const consistency::SessionWatermarkTable::Known known = watermarks_.Newest(recall.key);
+  LeaseMessage release{LeaseMessage::Kind::kRelease, recall.view, recall.key, recall.group};
   release.serial = recall.serial;
-  release.mark = known.mark;
-  if (!known.mark) release.forgotten = known.floor;
+  release.watermark = known.watermark;
+  if (!known.watermark) release.forgotten = known.floor;
   Send(now, {from, release, 1, MayWait(now)}, out);
 }
 
--- a/src/lease/session_lease_client.h
+++ b/src/lease/session_lease_client.h
@@ -17,39 +17,40 @@
 namespace lynxgrade::lease {
 
 // The marks that this instance knows, wherever they came from.
-class Marks {
+class KnownWatermarks {
  public:
-  virtual consistency::Ledger::Known Newest(consistency::Key key) const = 0;
+  virtual consistency::SessionWatermarkTable::Known Newest(consistency::SessionKey key) const = 0;
   // It says nothing of who is primary in which group: names of up to three bytes in two groups may share a
   // key (XXH3 only adds the seed to so few, and other bytes make up for it).
-  virtual void Learn(consistency::Key key, const consistency::Mark& mark) = 0;
+  virtual void Learn(consistency::SessionKey key, const consistency::WriteWatermark& watermark) = 0;
 
  protected:
-  ~Marks() = default;
+  ~KnownWatermarks() = default;
 };
 
-// Where this instance stands, by members::Standing.
-struct Standpoint {
+// Where this instance stands, by members::QuorumTracker.
+struct ViewAgreement {
   std::uint64_t declares = 0;  // the view that it says it stands by; zero: none
   // It has a live word for that view from every instance that may answer writes, and the view has all of
   // them. Absent: not looked at.
   std::optional<bool> whole{};
-  const std::vector<Life>* lives = nullptr;  // of that view those that may own, its own included
+  const std::vector<IncarnationId>* incarnation_ids =
+      nullptr;  // of that view those that may own, its own included
 };
 
-class Directory {
+class SessionLeaseClient {
  public:
   struct Options {
-    Life self = 0;
-    Duration proof{5000000};  // how long a word counts: members::Standing::Options::proof
+    IncarnationId self = 0;
+    Duration proof{5000000};  // how long a word counts: members::QuorumTracker::Options::proof
     bool alone = false;       // the fleet is this instance: no former life's word counts with anybody
-    Owner::Options owner;
+    SessionLeaseManager::Options owner;
     std::size_t holds = 65536;
     double reads_per_s = 50;  // asks for reads; beyond it they take the conservative target
     // Of all kinds, sent and received: reads ask only while it holds. Zero: there is no such budget.
     double bytes_per_s = 0;
     // While that is short, what this instance says may wait so long for company, and what it is told likewise
-    // (see Courier). Zero: never.
+    // (see LeaseMessageRelay). Zero: never.
     Duration coalesce{};
     // Taken out by tests and the laboratory alone: each makes stale reads possible.
     bool writes_wait = true;     // rule W
@@ -64,37 +65,37 @@
     std::uint64_t over_budget = 0;  // of these by that of bytes
   };
 
-  Directory(const Options& options, Marks& marks, Time started);
+  SessionLeaseClient(const Options& options, KnownWatermarks& watermarks, TimePoint started);
 
   // To be called before each word from others is counted, after it, and before each call below, with what
   // then is so: of a word that lapsed in between nothing would be known. Whenever something is sent that says
   // by which view this instance stands it is to be called too; there `whole` may be absent.
-  void See(Time now, const Standpoint& standpoint);
+  void See(TimePoint now, const ViewAgreement& standpoint);
 
   // Rule W: whether a write of the session may be answered now.
-  bool MayAnswer(Time now, consistency::Key key) const;
+  bool MayAnswer(TimePoint now, consistency::SessionKey key) const;
   // Rule R: all writes of the session that were answered up to now are known here, but for those up to the
   // position that is returned. Absent: they may not be.
-  std::optional<Position> Exact(Time now, consistency::Key key) const;
+  std::optional<LogPosition> Exact(TimePoint now, consistency::SessionKey key) const;
   // The session is to be held, for a write or for a read; asks its owner unless that has been asked. Where it
   // is held, renews a lease that comes to its end. Whether an answer is expected that may make it so.
   enum class Use { kRead, kWrite };
-  bool Want(Time now, GroupId group, consistency::Key key, Use use, Outbox& out);
+  bool Want(TimePoint now, GroupId group, consistency::SessionKey key, Use use, LeaseOutbox& out);
   // What this instance has sent or received, of whichever kind, heads included.
-  void Spent(Time now, std::size_t bytes) { budget_.Spend(now, bytes); }
+  void Spent(TimePoint now, std::size_t bytes) { budget_.Spend(now, bytes); }
   // Asks again where no answer has come.
-  void Tick(Time now, Outbox& out);
-  void Take(Time now, Life from, const Message& message, Outbox& out);
+  void Tick(TimePoint now, LeaseOutbox& out);
+  void Take(TimePoint now, IncarnationId from, const LeaseMessage& message, LeaseOutbox& out);
   // Whether an instance of the same name, started later, runs: this one answers no writes, free or not.
   void StandAside(bool aside) { aside_ = aside; }
 
-  bool Bound(Time now) const;
+  bool Bound(TimePoint now) const;
   // Whether it has stood by any view in its life.
   bool Declared() const { return view_ != 0; }
   // Since when it has been whole under `view`, without a break.
-  std::optional<Time> WholeSince(std::uint64_t view) const;
+  std::optional<TimePoint> WholeSince(std::uint64_t view) const;
   const Counts& counts() const { return counts_; }
-  const Owner& owner() const { return owner_; }
+  const SessionLeaseManager& owner() const { return owner_; }
   std::size_t holds() const { return holds_.size(); }
 
  private:
@@ -109,51 +110,51 @@
 
   struct Hold {
     std::uint64_t serial = 0;
-    Time leased{};  // when it was asked for: the lease is counted from then
+    TimePoint leased{};  // when it was asked for: the lease is counted from then
     bool exact = false;
-    Time exact_asked{};
-    Position floor{};
+    TimePoint exact_asked{};
+    LogPosition floor{};
   };
   struct Want_ {
     std::uint64_t id = 0;
     GroupId group{};
-    Time asked{};  // first, under this id
-    Time next{};
+    TimePoint asked{};  // first, under this id
+    TimePoint next{};
     Duration pause{};
     int tries = 0;
-    Time until{};
+    TimePoint until{};
   };
 
-  const Hold* LiveHold(Time now, consistency::Key key) const;
-  void Ask(Time now, consistency::Key key, Want_& want, Outbox& out);
-  void Send(Time now, const Outgoing& one, Outbox& out);
-  void Handle(Time now, Life from, const Message& message, Outbox& out);
-  void TakeGrant(Time now, Life from, const Message& grant);
-  void TakeRecall(Time now, Life from, const Message& recall, Outbox& out);
-  bool Token(Time now);
-  bool MayWait(Time now) { return options_.coalesce > Duration{0} && budget_.Short(now); }
+  const Hold* LiveHold(TimePoint now, consistency::SessionKey key) const;
+  void Ask(TimePoint now, consistency::SessionKey key, Want_& want, LeaseOutbox& out);
+  void Send(TimePoint now, const OutgoingLeaseMessage& one, LeaseOutbox& out);
+  void Handle(TimePoint now, IncarnationId from, const LeaseMessage& message, LeaseOutbox& out);
+  void TakeGrant(TimePoint now, IncarnationId from, const LeaseMessage& grant);
+  void TakeRecall(TimePoint now, IncarnationId from, const LeaseMessage& recall, LeaseOutbox& out);
+  bool Token(TimePoint now);
+  bool MayWait(TimePoint now) { return options_.coalesce > Duration{0} && budget_.Short(now); }
   // Whether a read may ask another instance.
-  bool Admits(Time now);
+  bool Admits(TimePoint now);
   Duration BoundFor() const { return options_.proof + options_.proof / 10; }
 
   Options options_;
-  Marks& marks_;
-  Time started_;
-  Owner owner_;
-  std::uint64_t view_ = 0;   // that was last declared
-  std::vector<Life> lives_;  // of it
-  Time declared_{};          // when it last was
+  KnownWatermarks& watermarks_;
+  TimePoint started_;
+  SessionLeaseManager owner_;
+  std::uint64_t view_ = 0;                      // that was last declared
+  std::vector<IncarnationId> incarnation_ids_;  // of it
+  TimePoint declared_{};                        // when it last was
   bool whole_ = false;
-  Time whole_since_{};
-  Time first_whole_{};  // under this view
+  TimePoint whole_since_{};
+  TimePoint first_whole_{};  // under this view
   bool aside_ = false;
-  std::unordered_map<consistency::Key, Hold> holds_;   // under `view_`
-  std::unordered_map<consistency::Key, Want_> wants_;  // likewise
+  std::unordered_map<consistency::SessionKey, Hold> holds_;   // under `view_`
+  std::unordered_map<consistency::SessionKey, Want_> wants_;  // likewise
   std::uint64_t last_id_ = 0;
-  Budget budget_;
+  BandwidthBudget budget_;
   double tokens_ = 0;
-  Time tokens_at_{};
-  Time swept_{};
+  TimePoint tokens_at_{};
+  TimePoint swept_{};
   Counts counts_;
 };
 
--- a/src/lease/session_lease_manager.cpp
+++ b/src/lease/session_lease_manager.cpp
@@ -9,7 +9,8 @@
 
 }  // namespace
 
-void Owner::Ask(Time now, Life from, const Message& ask, std::optional<Time> whole_since, Outbox& out) {
+void SessionLeaseManager::Ask(TimePoint now, IncarnationId from, const LeaseMessage& ask,
+                              std::optional<TimePoint> whole_since, LeaseOutbox& out) {
   const Place place{ask.view, ask.key};
   auto it = table_.find(place);
   if (it == table_.end()) {
@@ -30,7 +31,7 @@
       entry.waiter = from;
       entry.waiter_id = ask.id;
       ++counts_.recalls;
-      Message recall{Message::Kind::kRecall, ask.view, ask.key, ask.group};
+      LeaseMessage recall{LeaseMessage::Kind::kRevoke, ask.view, ask.key, ask.group};
       recall.serial = entry.serial;
       out.push_back({entry.holder, recall, ++entry.recalls});
       return;
@@ -42,38 +43,39 @@
   Grant(now, from, ask.id, ask.group, place, entry, whole_since, out);
 }
 
-void Owner::Grant(Time now, Life to, std::uint64_t id, GroupId group, const Place& place, Entry& entry,
-                  std::optional<Time> whole_since, Outbox& out) {
+void SessionLeaseManager::Grant(TimePoint now, IncarnationId to, std::uint64_t id, GroupId group,
+                                const Place& place, Entry& entry, std::optional<TimePoint> whole_since,
+                                LeaseOutbox& out) {
   entry.holder = to;
   entry.serial = ++serial_;
   entry.expires = now + Lease();
   entry.waiter = 0;
   entry.recalls = 0;
   ++counts_.grants;
-  Message grant{Message::Kind::kGrant, place.view, place.key, group};
+  LeaseMessage grant{LeaseMessage::Kind::kGrant, place.view, place.key, group};
   grant.id = id;
   grant.serial = entry.serial;
-  grant.mark = entry.mark;
+  grant.watermark = entry.watermark;
   grant.forgotten = entry.forgotten;
   if (whole_since) {
     ++counts_.exact;
-    const Time floor = std::max(*whole_since, entry.floor.value_or(*whole_since));
+    const TimePoint floor = std::max(*whole_since, entry.floor.value_or(*whole_since));
     grant.floor_age = std::max(Duration{0}, now - floor);
   }
   out.push_back({to, grant, 1});
 }
 
-void Owner::Merge(Entry& entry, const Message& release) {
-  if (release.mark && (!entry.mark || release.mark->position > entry.mark->position)) {
-    entry.mark = release.mark;
+void SessionLeaseManager::Merge(Entry& entry, const LeaseMessage& release) {
+  if (release.watermark && (!entry.watermark || release.watermark->position > entry.watermark->position)) {
+    entry.watermark = release.watermark;
   }
   if (release.forgotten) {
     entry.forgotten = std::max(entry.forgotten.value_or(*release.forgotten), *release.forgotten);
   }
 }
 
-void Owner::Release(Time now, Life from, const Message& release, std::optional<Time> whole_since,
-                    Outbox& out) {
+void SessionLeaseManager::Release(TimePoint now, IncarnationId from, const LeaseMessage& release,
+                                  std::optional<TimePoint> whole_since, LeaseOutbox& out) {
   const Place place{release.view, release.key};
   const auto it = table_.find(place);
   if (it == table_.end()) return;
@@ -86,11 +88,11 @@
   Grant(now, entry.waiter, entry.waiter_id, release.group, place, entry, whole_since, out);
 }
 
-void Owner::Sweep(Time now) {
+void SessionLeaseManager::Sweep(TimePoint now) {
   std::erase_if(table_, [&](const auto& item) { return item.second.expires + options_.recall < now; });
 }
 
-bool Owner::Room(Time now) {
+bool SessionLeaseManager::Room(TimePoint now) {
   if (now - made_room_ < kRoomEvery) return false;
   made_room_ = now;
   std::erase_if(table_, [&](const auto& item) {
@@ -98,7 +100,7 @@
     if (now < entry.expires) return false;
     // What was known of it is forgotten: the next who asks takes the end of its lease for a floor, and so
     // does everybody else whose key is not recorded.
-    const Time until = std::max(entry.expires, entry.floor.value_or(entry.expires));
+    const TimePoint until = std::max(entry.expires, entry.floor.value_or(entry.expires));
     evicted_floor_ = std::max(evicted_floor_.value_or(until), until);
     ++counts_.evicted;
     return true;
--- a/src/lease/session_lease_manager.h
+++ b/src/lease/session_lease_manager.h
@@ -14,7 +14,7 @@
 
 namespace lynxgrade::lease {
 
-class Owner {
+class SessionLeaseManager {
  public:
   struct Options {
     Duration lease{30000000};   // as the holder counts it
@@ -29,15 +29,17 @@
     std::uint64_t grants = 0, exact = 0, recalls = 0, lapsed = 0, denied = 0, evicted = 0;
   };
 
-  explicit Owner(const Options& options) : options_(options) {}
+  explicit SessionLeaseManager(const Options& options) : options_(options) {}
 
   // `whole_since`: since when this instance has been proven whole under the view that the ask names, without
   // a break; absent if it is not.
-  void Ask(Time now, Life from, const Message& ask, std::optional<Time> whole_since, Outbox& out);
+  void Ask(TimePoint now, IncarnationId from, const LeaseMessage& ask, std::optional<TimePoint> whole_since,
+           LeaseOutbox& out);
   // `whole_since` likewise, for the grant to who waits for it.
-  void Release(Time now, Life from, const Message& release, std::optional<Time> whole_since, Outbox& out);
+  void Release(TimePoint now, IncarnationId from, const LeaseMessage& release,
+               std::optional<TimePoint> whole_since, LeaseOutbox& out);
   // Forgets what is no longer guarded. To be called now and then.
-  void Sweep(Time now);
+  void Sweep(TimePoint now);
 
   const Counts& counts() const { return counts_; }
   std::size_t size() const { return table_.size(); }
@@ -45,7 +47,7 @@
  private:
   struct Place {
     std::uint64_t view = 0;
-    consistency::Key key{};
+    consistency::SessionKey key{};
     bool operator==(const Place&) const = default;
   };
   struct Hash {  // views and keys are hashes already
@@ -54,28 +56,28 @@
     }
   };
   struct Entry {
-    Life holder = 0;  // zero: released
+    IncarnationId holder = 0;  // zero: released
     std::uint64_t serial = 0;
-    Time expires{};             // of the lease, as late as the holder's clock may make it
-    std::optional<Time> floor;  // others may have answered up to then what nobody handed on
-    std::optional<consistency::Mark> mark;
-    std::optional<Position> forgotten;
-    Life waiter = 0;
+    TimePoint expires{};             // of the lease, as late as the holder's clock may make it
+    std::optional<TimePoint> floor;  // others may have answered up to then what nobody handed on
+    std::optional<consistency::WriteWatermark> watermark;
+    std::optional<LogPosition> forgotten;
+    IncarnationId waiter = 0;
     std::uint64_t waiter_id = 0;
     int recalls = 0;  // of this grant
   };
 
-  void Grant(Time now, Life to, std::uint64_t id, GroupId group, const Place& place, Entry& entry,
-             std::optional<Time> whole_since, Outbox& out);
-  static void Merge(Entry& entry, const Message& release);
+  void Grant(TimePoint now, IncarnationId to, std::uint64_t id, GroupId group, const Place& place,
+             Entry& entry, std::optional<TimePoint> whole_since, LeaseOutbox& out);
+  static void Merge(Entry& entry, const LeaseMessage& release);
   // Makes room where the table is full; false if all leases run.
-  bool Room(Time now);
+  bool Room(TimePoint now);
   Duration Lease() const { return options_.lease + options_.lease / 10; }  // clocks run within a tenth
 
   Options options_;
   std::unordered_map<Place, Entry, Hash> table_;
-  std::optional<Time> evicted_floor_;  // of what had to be forgotten for want of room
-  Time made_room_{};
+  std::optional<TimePoint> evicted_floor_;  // of what had to be forgotten for want of room
+  TimePoint made_room_{};
   std::uint64_t serial_ = 0;
   Counts counts_;
 };
--- a/src/limits/aimd_window.cpp
+++ b/src/limits/aimd_window.cpp
@@ -11,12 +11,12 @@
 
 }  // namespace
 
-void Window::Return(bool grow) {
+void AimdWindow::Return(bool grow) {
   --out_;
   if (grow) size_ += kStep;
 }
 
-void Window::Cut(Duration now) {
+void AimdWindow::Cut(Duration now) {
   if (now - cut_ <= kStretch) return;
   size_ = std::max(1.0, size_ * kCut);
   cut_ = now;
--- a/src/limits/aimd_window.h
+++ b/src/limits/aimd_window.h
@@ -11,7 +11,7 @@
 
 // Additive increase and multiplicative decrease: grows with each that came back well, is cut once for each
 // stretch in which there was none to spare, and never falls below one.
-class Window {
+class AimdWindow {
  public:
   bool Open() const { return out_ < static_cast<int>(size_); }
   void Take() { ++out_; }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -44,12 +44,12 @@
   spdlog::set_default_logger(spdlog::stdout_logger_st("pooler"));
   spdlog::set_pattern("%Y-%m-%d %H:%M:%S.%e %L %v");
   spdlog::flush_on(spdlog::level::info);
-  const auto config = LoadConfig();
+  const auto config = LoadPlatformConfig();
   if (const auto* wrong = std::get_if<std::string>(&config)) return Complain(2, *wrong);
-  std::variant<Setup, std::string> setup;
-  if (!settings_file.empty()) setup = LoadSetup(settings_file);
+  std::variant<ProgramSettings, std::string> setup;
+  if (!settings_file.empty()) setup = LoadProgramSettings(settings_file);
   if (const auto* wrong = std::get_if<std::string>(&setup)) return Complain(2, *wrong);
-  Pooler pooler(std::get<Config>(config), std::get<Setup>(setup));
+  Pooler pooler(std::get<PlatformConfig>(config), std::get<ProgramSettings>(setup));
   const std::string fault = pooler.Start();
   if (!fault.empty()) return Complain(1, fault);
   held.Release();
@@ -59,7 +59,7 @@
 }
 
 int CheckSettings(const std::string& file) {
-  const auto setup = LoadSetup(file);
+  const auto setup = LoadProgramSettings(file);
   if (const auto* wrong = std::get_if<std::string>(&setup)) return Complain(2, *wrong);
   std::printf("%s: sound\n", file.c_str());
   return 0;
@@ -67,9 +67,9 @@
 
 // Asks the pooler that runs by these settings.
 int Peers(const std::string& settings_file, bool json) {
-  const auto setup = LoadSetup(settings_file);
+  const auto setup = LoadProgramSettings(settings_file);
   if (const auto* wrong = std::get_if<std::string>(&setup)) return Complain(2, *wrong);
-  const auto& at = std::get<Setup>(setup).control;
+  const auto& at = std::get<ProgramSettings>(setup).control;
   if (!at)
     return Complain(2, "the settings " + settings_file + ": 'control.listen' names no address to ask at");
   auto answer = admin::Ask(*at, "peers");
--- a/src/membership/quorum_tracker.h
+++ b/src/membership/quorum_tracker.h
@@ -21,21 +21,21 @@
 
 namespace lynxgrade::membership {
 
-enum class Part {
-  kInDoubt,      // nothing is proven: just started, stopped for a while, or the view has just changed
-  kAlone,        // nobody else is in reach
-  kSmaller,      // half of the fleet or less is
-  kLarger,       // more than half is, and stands by the same view
-  kSomeMissing,  // all but a tenth, or one
-  kWhole,        // all
+enum class QuorumState {
+  kUnknown,         // nothing is proven: just started, stopped for a while, or the view has just changed
+  kIsolated,        // nobody else is in reach
+  kMinority,        // half of the fleet or less is
+  kMajority,        // more than half is, and stands by the same view
+  kNearlyComplete,  // all but a tenth, or one
+  kComplete,        // all
 };
-const char* NameOf(Part part);
+const char* NameOf(QuorumState part);
 
 // Whether more than half of the fleet is proven to stand together: of two instances that are not of one view
 // at most one has this at any moment.
-constexpr bool IsMajority(Part part) { return part >= Part::kLarger; }
+constexpr bool IsMajority(QuorumState part) { return part >= QuorumState::kMajority; }
 
-class Standing {
+class QuorumTracker {
  public:
   struct Options {
     std::uint64_t self = 0;   // this instance's life
@@ -55,74 +55,79 @@
   static constexpr int kLeastLeftPercent = 33;
 
   // In doubt from `now` on.
-  Standing(Options options, Time now);
+  QuorumTracker(Options options, TimePoint now);
 
   // The view as it is now: a digest of those in reach, and their lives in ascending order, this instance's
   // included. Those of one digest have the same lives in the same order.
-  void Saw(Time now, std::uint64_t digest, const std::vector<std::uint64_t>& lives);
+  void Saw(TimePoint now, std::uint64_t digest, const std::vector<std::uint64_t>& incarnation_ids);
   // An answer to what was asked at `asked`: the life `who` then stood by the view `declares`; zero: by none.
-  void Answered(std::uint64_t who, Time asked, std::uint64_t declares);
+  void Answered(std::uint64_t who, TimePoint asked, std::uint64_t declares);
   // What that answer told of the words of others, if its sender has the same view.
-  void Told(Time asked, std::uint64_t view, std::string_view ages);
+  void Told(TimePoint asked, std::uint64_t view, std::string_view ages);
   // What an answer at `now` tells one who has the view `view`: a byte a member, in units of the proof's 250th
   // part, rounded up; kNoWord: no word of it counts. Empty where views differ.
-  std::string Ages(Time now, std::uint64_t view) const;
+  std::string Ages(TimePoint now, std::uint64_t view) const;
   // The same in fewer bytes. The view is cut into blocks of neighbours, as many as each has members or one
   // more. A *claim* for a block says since when at the latest all of it are known to have stood by the view:
   // a byte for each block. Behind them the ages of the members of the block of `asker`, who is of the view
   // (else empty): there single words meet, and become claims. Also empty where views differ.
-  std::string BlockAges(Time now, std::uint64_t view, std::uint64_t asker) const;
-  void ToldBlocks(Time asked, std::uint64_t view, std::string_view ages);
+  std::string BlockAges(TimePoint now, std::uint64_t view, std::uint64_t asker) const;
+  void ToldBlocks(TimePoint asked, std::uint64_t view, std::string_view ages);
   // Whether claims are enough for this instance at `now`, as it wants nothing in a hurry: all of a large view
   // are proven, and for long enough.
-  bool ClaimsSuffice(Time now) const;
+  bool ClaimsSuffice(TimePoint now) const;
   // The lives of this instance's own block, ascending.
   std::span<const std::uint64_t> OwnBlock() const;
   // The process stood still until `now`: others may have settled on what it knows nothing of.
-  void StoodStill(Time now);
+  void StoodStill(TimePoint now);
   // The view as last seen, and what goes out with each answer at `now`: the same, or zero while not settled.
   std::uint64_t view() const { return digest_; }
-  std::size_t count() const { return lives_.size(); }
-  const std::vector<std::uint64_t>& lives() const { return lives_; }  // of the view as last seen, ascending
-  std::uint64_t Declares(Time now) const;
+  std::size_t count() const { return incarnation_ids_.size(); }
+  const std::vector<std::uint64_t>& incarnation_ids() const {
+    return incarnation_ids_;
+  }  // of the view as last seen, ascending
+  std::uint64_t Declares(TimePoint now) const;
 
   // Up to when every other of the view is known to stand by it, as words are now. Absent where one is not, or
   // this instance stands by none.
-  std::optional<Time> AllUntil(Time now) const;
+  std::optional<TimePoint> AllUntil(TimePoint now) const;
 
   struct Value {
-    Part part = Part::kInDoubt;
-    Time since{};
-    std::optional<Time> until{};  // up to when it is proven; absent: it needs no proof
-    std::uint64_t view = 0;       // of which view
+    QuorumState part = QuorumState::kUnknown;
+    TimePoint since{};
+    std::optional<TimePoint> until{};  // up to when it is proven; absent: it needs no proof
+    std::uint64_t view = 0;            // of which view
   };
   // Never older than the options' `proof`, also in a process that has just gone on: what lapsed has lapsed.
-  Value At(Time now);
+  Value At(TimePoint now);
 
  private:
   struct Word {
-    Time asked{};
+    TimePoint asked{};
     std::uint64_t declares = 0;
   };
-  std::size_t PlaceOf(std::uint64_t life) const;  // in the view; how many there are, where it is not in it
+  std::size_t PlaceOf(
+      std::uint64_t incarnation_id) const;  // in the view; how many there are, where it is not in it
   // When the life at this place is known to have stood by the view, by its own word or by its block's claim.
   // A word that it stands by another, or none, undoes older claims.
-  std::optional<Time> StoodAt(std::size_t place) const;
-  unsigned char AgeOf(Time now, std::optional<Time> stood) const;
-  Time SaidAt(Time asked, unsigned char age) const { return asked - options_.proof * age / kAgeUnits; }
+  std::optional<TimePoint> StoodAt(std::size_t place) const;
+  unsigned char AgeOf(TimePoint now, std::optional<TimePoint> stood) const;
+  TimePoint SaidAt(TimePoint asked, unsigned char age) const {
+    return asked - options_.proof * age / kAgeUnits;
+  }
 
   Options options_;
   std::uint64_t digest_ = 0;
-  std::vector<std::uint64_t> lives_;
+  std::vector<std::uint64_t> incarnation_ids_;
   std::vector<Word> words_;                            // of these, in their order
   std::vector<std::size_t> blocks_;                    // where each begins, and the end of the last
   std::vector<std::size_t> block_of_;                  // by place
-  std::vector<Time> claims_;                           // by block; zero: none
+  std::vector<TimePoint> claims_;                      // by block; zero: none
   std::unordered_map<std::uint64_t, Word> strangers_;  // words of lives that are not of the view, yet
-  Time settled_;
-  Time heard_out_;  // until then those in reach may not all have been heard yet
-  Part part_ = Part::kInDoubt;
-  Time since_;
+  TimePoint settled_;
+  TimePoint heard_out_;  // until then those in reach may not all have been heard yet
+  QuorumState part_ = QuorumState::kUnknown;
+  TimePoint since_;
 };
 
 }  // namespace lynxgrade::membership
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -33,7 +33,7 @@
       self_(std::move(self)),
       unheard_(std::move(seeds)),
       random_(seed),
-      standing_({self_.life(), options.size, proof(), options.proven}, Time{}) {
+      quorum_tracker_({self_.incarnation_id(), options.size, proof(), options.proven}, TimePoint{}) {
   std::erase(unheard_, self_.address());
   self_.set_speaks(std::max(kSpeaks, options_.speaks));
   self_.set_owns(options_.owns);
@@ -59,8 +59,8 @@
 void Swim::Dress(proto::Packet& packet) {
   packet.set_version(1);
   *packet.mutable_sender() = self_;
-  packet.set_view(standing_.view());
-  packet.set_stands(standing_.Declares(now_) != 0);
+  packet.set_view(quorum_tracker_.view());
+  packet.set_stands(quorum_tracker_.Declares(now_) != 0);
   if (rumours_.empty()) return;
   std::vector<std::map<std::string, int>::iterator> order;
   order.reserve(rumours_.size());
@@ -84,13 +84,13 @@
   if (about != nullptr && about->member.state() != proto::Member::ALIVE) {
     *ping.packet.add_rumours() = about->member;
   }
-  if (standing_.ClaimsSuffice(now_)) ping.packet.set_block_ages(kClaimsSuffice);
+  if (quorum_tracker_.ClaimsSuffice(now_)) ping.packet.set_block_ages(kClaimsSuffice);
   Dress(ping.packet);
   out.push_back(std::move(ping));
 }
 
-void Swim::Tick(Time now, std::vector<Out>& out) {
-  if (next_ == Time{}) {
+void Swim::Tick(TimePoint now, std::vector<Out>& out) {
+  if (next_ == TimePoint{}) {
     // Instances that start together do not probe together.
     next_ = now +
             Duration(static_cast<std::int64_t>(
@@ -98,8 +98,8 @@
     for (const std::string& seed : unheard_) Ping(seed, random_(), out);
   }
   now_ = now;
-  if (ticked_ == Time{}) standing_.StoodStill(now);  // it starts
-  if (ticked_ != Time{} && now - ticked_ > options_.period) StoodStill(now, now - ticked_);
+  if (ticked_ == TimePoint{}) quorum_tracker_.StoodStill(now);  // it starts
+  if (ticked_ != TimePoint{} && now - ticked_ > options_.period) StoodStill(now, now - ticked_);
   ticked_ = now;
   Look(now);
   NackRelays(now, out);
@@ -118,7 +118,7 @@
   if (!unheard_.empty()) Ping(unheard_[next_seed_++ % unheard_.size()], random_(), out);
 }
 
-void Swim::CondemnSuspects(Time now) {
+void Swim::CondemnSuspects(TimePoint now) {
   for (auto& [name, peer] : peers_) {
     if (peer.member.state() != proto::Member::SUSPECT || now - peer.changed < Patience(peer)) continue;
     proto::Member dead = peer.member;
@@ -127,7 +127,7 @@
   }
 }
 
-void Swim::ForgetGone(Time now) {
+void Swim::ForgetGone(TimePoint now) {
   std::erase_if(peers_, [&](const auto& item) {
     if (item.second.member.state() < proto::Member::DEAD) return false;
     if (now - item.second.changed < options_.forget) return false;
@@ -139,7 +139,7 @@
   });
 }
 
-void Swim::PressProbe(Time now, std::vector<Out>& out) {
+void Swim::PressProbe(TimePoint now, std::vector<Out>& out) {
   const auto probed = probe_ ? peers_.find(probe_->name) : peers_.end();
   if (probed == peers_.end()) return;
   const Duration part = options_.period / kAckPart * (doubt_ + 1);
@@ -166,13 +166,13 @@
     Out request{others[i]->member.address(), {}};
     request.packet.mutable_ping_for()->set_address(address);
     request.packet.mutable_ping_for()->set_nonce(probe_->nonce);
-    if (standing_.ClaimsSuffice(now)) request.packet.set_block_ages(kClaimsSuffice);
+    if (quorum_tracker_.ClaimsSuffice(now)) request.packet.set_block_ages(kClaimsSuffice);
     Dress(request.packet);
     out.push_back(std::move(request));
   }
 }
 
-void Swim::PingDead(Time now, std::vector<Out>& out) {
+void Swim::PingDead(TimePoint now, std::vector<Out>& out) {
   if (now < next_dead_) return;
   next_dead_ = now + options_.period * kDeadEvery;
   if (gone_ == 0) return;
@@ -200,9 +200,9 @@
 
 // A process that was stopped, or starved, finds the others silent: it was not listening. What it held against
 // them while it could not hear is void, and for a while it takes itself for the slow one.
-void Swim::StoodStill(Time now, Duration stall) {
+void Swim::StoodStill(TimePoint now, Duration stall) {
   ++stalls_;
-  standing_.StoodStill(now);
+  quorum_tracker_.StoodStill(now);
   probe_.reset();
   relays_.clear();
   accused_.clear();
@@ -216,18 +216,19 @@
 // Who cannot reach it holds it dead; where it was heard not long ago that may be a matter of links. It is
 // asked, and refutes it. Taken as it comes, one that hears both sides of a cut condemns both by what the
 // other says.
-bool Swim::AskFirst(Time now, const Peer& peer, const proto::Member& told) {
-  if (peer.heard == Time{} || now - peer.heard >= options_.period * options_.ask_lately) return false;
+bool Swim::AskFirst(TimePoint now, const Peer& peer, const proto::Member& told) {
+  if (peer.heard == TimePoint{} || now - peer.heard >= options_.period * options_.ask_lately) return false;
   accused_.try_emplace(told.name(), Accusation{told, now});
   return true;
 }
 
-void Swim::AskAccused(Time now, std::vector<Out>& out) {
+void Swim::AskAccused(TimePoint now, std::vector<Out>& out) {
   for (auto next = accused_.begin(); next != accused_.end();) {
     const auto accused = next++;
     Accusation& accusation = accused->second;
     const auto it = peers_.find(accused->first);
-    const bool same = it != peers_.end() && it->second.member.life() == accusation.told.life() &&
+    const bool same = it != peers_.end() &&
+                      it->second.member.incarnation_id() == accusation.told.incarnation_id() &&
                       it->second.member.state() <= proto::Member::SUSPECT;
     if (!same || it->second.heard > accusation.at) {
       accused_.erase(accused);
@@ -245,20 +246,20 @@
   }
 }
 
-void Swim::NackRelays(Time now, std::vector<Out>& out) {
+void Swim::NackRelays(TimePoint now, std::vector<Out>& out) {
   for (auto& [nonce, relay] : relays_) {
     if (relay.nacked || now < relay.nack_at) continue;
     relay.nacked = true;
     Out nack{relay.address, {}};
     nack.packet.mutable_nack()->set_nonce(relay.nonce);
-    AddWords(now, relay.life, relay.view, relay.claims_suffice, nack.packet);
+    AddWords(now, relay.incarnation_id, relay.view, relay.claims_suffice, nack.packet);
     Dress(nack.packet);
     out.push_back(std::move(nack));
   }
   std::erase_if(relays_, [now](const auto& item) { return item.second.until < now; });
 }
 
-void Swim::EndProbe(Time now) {
+void Swim::EndProbe(TimePoint now) {
   if (!probe_) return;
   const Probe probe = *std::exchange(probe_, std::nullopt);
   // Helpers that are silent as well: it may be this instance that nobody reaches.
@@ -266,8 +267,8 @@
   const auto it = peers_.find(probe.name);
   if (it == peers_.end() || it->second.member.state() > proto::Member::SUSPECT) return;
   Peer& peer = it->second;
-  const bool first = peer.accusers.insert(self_.life()).second;
-  peer.member.set_accuser(self_.life());
+  const bool first = peer.accusers.insert(self_.incarnation_id()).second;
+  peer.member.set_accuser(self_.incarnation_id());
   if (peer.member.state() == proto::Member::ALIVE) {
     Set(now, peer, proto::Member::SUSPECT);
   } else if (first) {
@@ -275,7 +276,7 @@
   }
 }
 
-bool Swim::ProbeNext(Time now, std::vector<std::string>& round, std::vector<Out>& out) {
+bool Swim::ProbeNext(TimePoint now, std::vector<std::string>& round, std::vector<Out>& out) {
   while (!round.empty()) {
     const std::string name = round.back();
     round.pop_back();
@@ -288,15 +289,15 @@
   return false;
 }
 
-void Swim::BeginProbe(Time now, std::vector<Out>& out) {
+void Swim::BeginProbe(TimePoint now, std::vector<Out>& out) {
   // Claims are made where the words of a block meet: in those of it who ask each other. Every other ping goes
   // over all as ever, so each member is asked within twice as many periods as there are.
-  block_next_ = !block_next_ && standing_.ClaimsSuffice(now);
+  block_next_ = !block_next_ && quorum_tracker_.ClaimsSuffice(now);
   if (block_next_) {
     if (ProbeNext(now, block_round_, out)) return;
-    const std::span<const std::uint64_t> block = standing_.OwnBlock();
+    const std::span<const std::uint64_t> block = quorum_tracker_.OwnBlock();
     for (const auto& [name, peer] : peers_) {
-      if (std::ranges::binary_search(block, peer.member.life())) block_round_.push_back(name);
+      if (std::ranges::binary_search(block, peer.member.incarnation_id())) block_round_.push_back(name);
     }
     std::shuffle(block_round_.begin(), block_round_.end(), random_);
     if (ProbeNext(now, block_round_, out)) return;
@@ -308,7 +309,7 @@
   }
 }
 
-void Swim::Set(Time now, Peer& peer, proto::Member::State state) {
+void Swim::Set(TimePoint now, Peer& peer, proto::Member::State state) {
   peer.member.set_state(state);
   moved_ = true;
   ++changes_;
@@ -320,10 +321,10 @@
 
 // What is said of a member holds if it is of a later life, or of a later incarnation, or worse news of the
 // same. A member itself is always believed to be alive.
-void Swim::Heard(Time now, const proto::Member& member, bool directly) {
+void Swim::Heard(TimePoint now, const proto::Member& member, bool directly) {
   if (member.name().empty()) return;
   if (member.name() == self_.name()) {
-    if (member.life() != self_.life()) return MetNamesake(now, member, directly);
+    if (member.incarnation_id() != self_.incarnation_id()) return MetNamesake(now, member, directly);
     if (member.state() != proto::Member::ALIVE && self_.state() == proto::Member::ALIVE &&
         member.incarnation() >= self_.incarnation()) {
       self_.set_incarnation(member.incarnation() + 1);
@@ -337,7 +338,7 @@
   const bool at_new_address = fresh || peer.member.address() != member.address();
   if (at_new_address && std::erase(unheard_, member.address()) > 0) ++changes_;
   const bool later_life = fresh || member.started_us() > peer.member.started_us();
-  if (!later_life && member.life() != peer.member.life()) {
+  if (!later_life && member.incarnation_id() != peer.member.incarnation_id()) {
     if (directly) ++conflicts_;
     return;
   }
@@ -375,7 +376,7 @@
 // Those not held dead, by their lives, which are drawn by chance: the sum of what each is mixed to is a
 // digest that needs no order. Who is suspected stays until that is settled: where packets are lost suspicions
 // come and go, and no view would last. Whether it stands with the others its word tells.
-void Swim::Look(Time now) {
+void Swim::Look(TimePoint now) {
   if (!std::exchange(moved_, false)) return;
   const auto mixed = [](std::uint64_t x) {  // the finalizer of splitmix64 (Steele, Lea, Flood, 2014)
     x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9ull;
@@ -383,11 +384,12 @@
     return x ^ (x >> 31);
   };
   // Instances that count words for different times, or against different sizes, are never of one view.
-  std::uint64_t digest =
-      mixed(self_.life()) + mixed(options_.size) + mixed(~static_cast<std::uint64_t>(proof().count()));
+  std::uint64_t digest = mixed(self_.incarnation_id()) + mixed(options_.size) +
+                         mixed(~static_cast<std::uint64_t>(proof().count()));
   LookForOwners();
-  for (const std::uint64_t life : owners_) digest += options_.owners_named ? mixed(~life) : 0;
-  std::vector<std::uint64_t> lives{self_.life()};
+  for (const std::uint64_t incarnation_id : owners_)
+    digest += options_.owners_named ? mixed(~incarnation_id) : 0;
+  std::vector<std::uint64_t> incarnation_ids{self_.incarnation_id()};
   suspects_ = gone_ = 0;
   for (const auto& [name, peer] : peers_) {
     suspects_ += peer.member.state() == proto::Member::SUSPECT;
@@ -395,11 +397,11 @@
       ++gone_;
       continue;
     }
-    digest += mixed(peer.member.life());
-    lives.push_back(peer.member.life());
+    digest += mixed(peer.member.incarnation_id());
+    incarnation_ids.push_back(peer.member.incarnation_id());
   }
-  std::ranges::sort(lives);
-  standing_.Saw(now, digest, lives);
+  std::ranges::sort(incarnation_ids);
+  quorum_tracker_.Saw(now, digest, incarnation_ids);
 }
 
 // Those set aside, where all of the view know that rule: one that does not would find other owners, and two
@@ -408,12 +410,12 @@
 void Swim::LookForOwners() {
   owners_.clear();
   bool all = (options_.understands & kUnderstandsOwners) != 0;
-  if (options_.owns) owners_.push_back(self_.life());
+  if (options_.owns) owners_.push_back(self_.incarnation_id());
   for (const auto& [name, peer] : peers_) {
     if (peer.member.state() > proto::Member::SUSPECT) continue;
     const bool understands = (peer.member.understands() & kUnderstandsOwners) != 0;
     all = all && (understands || !options_.owners_named);
-    if (peer.member.owns()) owners_.push_back(peer.member.life());
+    if (peer.member.owns()) owners_.push_back(peer.member.incarnation_id());
   }
   if (!all) owners_.clear();
 }
@@ -421,7 +423,7 @@
 // Another life of this instance's name. Of two that run the one that started later stays; the other stands by
 // nothing as long as it hears of that. One that is over and is said to have started later had another clock:
 // this one takes a later start, or its word would never count.
-void Swim::MetNamesake(Time now, const proto::Member& member, bool directly) {
+void Swim::MetNamesake(TimePoint now, const proto::Member& member, bool directly) {
   if (member.started_us() < self_.started_us()) {
     conflicts_ += directly;
   } else if (member.state() >= proto::Member::DEAD) {
@@ -430,19 +432,20 @@
   } else {
     ++conflicts_;
     aside_ = true;
-    standing_.StoodStill(now);
+    quorum_tracker_.StoodStill(now);
   }
 }
 
 void Swim::TakeWords(const proto::Packet& packet) {
-  standing_.Answered(packet.sender().life(), probe_->sent, packet.stands() ? packet.view() : 0);
-  standing_.Told(probe_->sent, packet.view(), packet.ages());
-  standing_.ToldBlocks(probe_->sent, packet.view(), packet.block_ages());
+  quorum_tracker_.Answered(packet.sender().incarnation_id(), probe_->sent,
+                           packet.stands() ? packet.view() : 0);
+  quorum_tracker_.Told(probe_->sent, packet.view(), packet.ages());
+  quorum_tracker_.ToldBlocks(probe_->sent, packet.view(), packet.block_ages());
 }
 
 // Not of a ping that was repeated, or asked of others: which one was answered is not known (Karn's rule). The
 // weight is that of RFC 6298.
-void Swim::TimeAnswer(Time now, const proto::Packet& packet) {
+void Swim::TimeAnswer(TimePoint now, const proto::Packet& packet) {
   if (probe_->asked || probe_->repeated || packet.sender().name() != probe_->name) return;
   const auto it = peers_.find(probe_->name);
   if (it == peers_.end()) return;
@@ -451,20 +454,20 @@
   smoothed = smoothed ? *smoothed + (measured - *smoothed) / 8 : measured;
 }
 
-void Swim::AddWords(Time now, std::uint64_t asker, std::uint64_t view, bool claims_suffice,
+void Swim::AddWords(TimePoint now, std::uint64_t asker, std::uint64_t view, bool claims_suffice,
                     proto::Packet& packet) const {
   if (claims_suffice) {
-    packet.set_block_ages(standing_.BlockAges(now, view, asker));
+    packet.set_block_ages(quorum_tracker_.BlockAges(now, view, asker));
   } else {
-    packet.set_ages(standing_.Ages(now, view));
+    packet.set_ages(quorum_tracker_.Ages(now, view));
   }
 }
 
-void Swim::CompareViews(Time now, const std::string& from, const proto::Packet& packet,
+void Swim::CompareViews(TimePoint now, const std::string& from, const proto::Packet& packet,
                         std::vector<Out>& out) {
   if (packet.view() == 0) return;  // an older version
   const std::string& name = packet.sender().name();
-  if (packet.view() == standing_.view()) {
+  if (packet.view() == quorum_tracker_.view()) {
     differences_.erase(name);
     return;
   }
@@ -472,20 +475,21 @@
   next_roll_ = now + options_.period;
   std::vector<const proto::Member*> all{&self_};
   for (const auto& [other, peer] : peers_) all.push_back(&peer.member);
-  std::ranges::sort(all, {}, [](const proto::Member* member) { return member->life(); });
-  auto next = std::ranges::lower_bound(all, roll_from_, {}, [](const proto::Member* m) { return m->life(); });
+  std::ranges::sort(all, {}, [](const proto::Member* member) { return member->incarnation_id(); });
+  auto next = std::ranges::lower_bound(all, roll_from_, {},
+                                       [](const proto::Member* m) { return m->incarnation_id(); });
   Out roll{from, {}};
   proto::Roll& part = *roll.packet.mutable_roll();
   part.set_from(roll_from_);
   for (; next != all.end() && part.entries_size() < kEntriesARoll; ++next) {
     proto::Roll::Entry& entry = *part.add_entries();
-    entry.set_life((*next)->life());
+    entry.set_incarnation_id((*next)->incarnation_id());
     entry.set_incarnation((*next)->incarnation());
     entry.set_state((*next)->state());
   }
   const bool last = next == all.end();
-  part.set_to(last ? std::numeric_limits<std::uint64_t>::max() : (*next)->life() - 1);
-  roll_from_ = last ? 0 : (*next)->life();
+  part.set_to(last ? std::numeric_limits<std::uint64_t>::max() : (*next)->incarnation_id() - 1);
+  roll_from_ = last ? 0 : (*next)->incarnation_id();
   Dress(roll.packet);
   out.push_back(std::move(roll));
 }
@@ -493,10 +497,11 @@
 // Tells the sender what is known better here: those that it does not have, unless they are gone anyway, and
 // those of whom there is later news. Whom it holds alive and this instance dead, with no later news on either
 // side, is asked: two sides of a cut that has healed must not kill each other's members by hearsay.
-void Swim::TakeRoll(Time now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out) {
+void Swim::TakeRoll(TimePoint now, const std::string& from, const proto::Packet& packet,
+                    std::vector<Out>& out) {
   std::map<std::uint64_t, const proto::Roll::Entry*> theirs;
-  for (const proto::Roll::Entry& entry : packet.roll().entries()) theirs[entry.life()] = &entry;
-  const auto self = theirs.find(self_.life());
+  for (const proto::Roll::Entry& entry : packet.roll().entries()) theirs[entry.incarnation_id()] = &entry;
+  const auto self = theirs.find(self_.incarnation_id());
   if (self != theirs.end() && self->second->state() != proto::Member::ALIVE) {
     proto::Member accused = self_;
     accused.set_state(self->second->state());
@@ -504,18 +509,18 @@
     Heard(now, accused, false);
   }
   std::vector<std::string>& differs = differences_[packet.sender().name()];
-  const auto within = [&](std::uint64_t life) {
-    return life >= packet.roll().from() && life <= packet.roll().to();
+  const auto within = [&](std::uint64_t incarnation_id) {
+    return incarnation_id >= packet.roll().from() && incarnation_id <= packet.roll().to();
   };
   std::erase_if(differs, [&](const std::string& name) {
     const auto peer = peers_.find(name);
-    return peer == peers_.end() || within(peer->second.member.life());
+    return peer == peers_.end() || within(peer->second.member.incarnation_id());
   });
   Out news{from, {}};
   for (const auto& [name, peer] : peers_) {
     const proto::Member& member = peer.member;
-    if (!within(member.life())) continue;
-    const auto entry = theirs.find(member.life());
+    if (!within(member.incarnation_id())) continue;
+    const auto entry = theirs.find(member.incarnation_id());
     const bool living = member.state() <= proto::Member::SUSPECT;
     const bool there = entry != theirs.end() && entry->second->state() <= proto::Member::SUSPECT;
     if (living == there) continue;
@@ -533,11 +538,11 @@
   out.push_back(std::move(news));
 }
 
-void Swim::Take(Time now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out) {
+void Swim::Take(TimePoint now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out) {
   now_ = now;
   Heard(now, packet.sender(), true);
   const auto sender = peers_.find(packet.sender().name());
-  if (sender != peers_.end() && sender->second.member.life() == packet.sender().life()) {
+  if (sender != peers_.end() && sender->second.member.incarnation_id() == packet.sender().incarnation_id()) {
     sender->second.heard = now;
     sender->second.view = packet.view();
   }
@@ -546,7 +551,7 @@
     const auto it = probe_ ? peers_.find(probe_->name) : peers_.end();
     // At the address of one that has ended another life of its name may answer: not for it.
     const bool other_life = it != peers_.end() && packet.sender().name() == probe_->name &&
-                            packet.sender().life() != it->second.member.life();
+                            packet.sender().incarnation_id() != it->second.member.incarnation_id();
     if (probe_ && !other_life && packet.ack().nonce() == probe_->nonce) {
       if (it != peers_.end() && it->second.member.state() == proto::Member::SUSPECT) {
         Set(now, it->second, proto::Member::ALIVE);
@@ -558,11 +563,13 @@
     }
     const auto relay = relays_.find(packet.ack().nonce());
     // Nor is it passed on as the word of the life that is known here.
-    const bool of_another = sender != peers_.end() && sender->second.member.life() != packet.sender().life();
+    const bool of_another =
+        sender != peers_.end() && sender->second.member.incarnation_id() != packet.sender().incarnation_id();
     if (relay != relays_.end() && !of_another) {
       Out ack{relay->second.address, {}};
       ack.packet.mutable_ack()->set_nonce(relay->second.nonce);
-      AddWords(now, relay->second.life, relay->second.view, relay->second.claims_suffice, ack.packet);
+      AddWords(now, relay->second.incarnation_id, relay->second.view, relay->second.claims_suffice,
+               ack.packet);
       relays_.erase(relay);
       Dress(ack.packet);
       out.push_back(std::move(ack));
@@ -580,7 +587,7 @@
     if (it != peers_.end() && it->second.member.state() != proto::Member::ALIVE) Tell(packet.sender().name());
     Out ack{from, {}};
     ack.packet.mutable_ack()->set_nonce(packet.ping().nonce());
-    AddWords(now, packet.sender().life(), packet.view(), !packet.block_ages().empty(), ack.packet);
+    AddWords(now, packet.sender().incarnation_id(), packet.view(), !packet.block_ages().empty(), ack.packet);
     Dress(ack.packet);
     out.push_back(std::move(ack));
   }
@@ -591,13 +598,13 @@
                       now + options_.period,
                       now + options_.period * kNackAfter / 10,
                       packet.view(),
-                      packet.sender().life(),
+                      packet.sender().incarnation_id(),
                       !packet.block_ages().empty()};
     Ping(packet.ping_for().address(), nonce, out);
   }
 }
 
-void Swim::Leave(Time, std::vector<Out>& out) {
+void Swim::Leave(TimePoint, std::vector<Out>& out) {
   self_.set_state(proto::Member::LEFT);
   for (const auto& [name, peer] : peers_) {
     if (peer.member.state() <= proto::Member::SUSPECT) Ping(peer.member.address(), random_(), out);
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -58,9 +58,9 @@
   };
   struct Peer {
     proto::Member member;
-    Time changed{};                    // its state, here
+    TimePoint changed{};               // its state, here
     std::set<std::uint64_t> accusers;  // lives that suspect it by themselves
-    Time heard{};                      // by a packet of its own; zero: never
+    TimePoint heard{};                 // by a packet of its own; zero: never
     std::uint64_t view = 0;            // of it, as it last said
     // Of pings that it answered itself and at once, smoothed; absent: there was none yet.
     std::optional<Duration> round_trip{};
@@ -70,11 +70,11 @@
   Swim(Options options, proto::Member self, std::vector<std::string> seeds, std::uint64_t seed);
 
   // To be called every few milliseconds; `out` gets what is to be sent.
-  void Tick(Time now, std::vector<Out>& out);
+  void Tick(TimePoint now, std::vector<Out>& out);
   // A packet that was sent by the member that it names; its sender stands in the packet.
-  void Take(Time now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out);
+  void Take(TimePoint now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out);
   // Tells all that this instance leaves by its own will.
-  void Leave(Time now, std::vector<Out>& out);
+  void Leave(TimePoint now, std::vector<Out>& out);
   // Adds the sender and the rumours that have been told least to a packet that goes out anyway.
   void Dress(proto::Packet& packet);
 
@@ -99,8 +99,8 @@
   // Whose state another instance held otherwise, in its last roll: by its name, names of members.
   const std::map<std::string, std::vector<std::string>>& differences() const { return differences_; }
   // How large a part of the fleet this instance is with, at a clock time not before the last call's.
-  membership::Standing::Value StandingAt(Time now) { return standing_.At(now); }
-  const membership::Standing& standing() const { return standing_; }
+  membership::QuorumTracker::Value QuorumStateAt(TimePoint now) { return quorum_tracker_.At(now); }
+  const membership::QuorumTracker& quorum_tracker() const { return quorum_tracker_; }
   // Lives of the view as last seen that own sessions for all of it; empty: nobody is set aside in it. The
   // same for all who have that view.
   const std::vector<std::uint64_t>& owners() const { return owners_; }
@@ -112,7 +112,7 @@
   struct Probe {
     std::string name;
     std::uint64_t nonce = 0;
-    Time sent{};
+    TimePoint sent{};
     bool asked = false;
     bool repeated = false;
     int helpers = 0;  // asked, of those that say when they had no answer either
@@ -121,53 +121,54 @@
   struct Relay {
     std::string address;
     std::uint64_t nonce = 0;
-    Time until{};
-    Time nack_at{};
-    std::uint64_t view = 0;  // of the one that asks
-    std::uint64_t life = 0;  // and its own
+    TimePoint until{};
+    TimePoint nack_at{};
+    std::uint64_t view = 0;            // of the one that asks
+    std::uint64_t incarnation_id = 0;  // and its own
     bool claims_suffice = false;
     bool nacked = false;
   };
 
-  void Heard(Time now, const proto::Member& member, bool directly);
-  void MetNamesake(Time now, const proto::Member& member, bool directly);
-  void Set(Time now, Peer& peer, proto::Member::State state);
+  void Heard(TimePoint now, const proto::Member& member, bool directly);
+  void MetNamesake(TimePoint now, const proto::Member& member, bool directly);
+  void Set(TimePoint now, Peer& peer, proto::Member::State state);
   void Tell(const std::string& name);
-  void CondemnSuspects(Time now);  // the suspects whose time has run out
-  void ForgetGone(Time now);
+  void CondemnSuspects(TimePoint now);  // the suspects whose time has run out
+  void ForgetGone(TimePoint now);
   // Asks others for the one that does not answer, and asks it again.
-  void PressProbe(Time now, std::vector<Out>& out);
-  void EndProbe(Time now);
+  void PressProbe(TimePoint now, std::vector<Out>& out);
+  void EndProbe(TimePoint now);
   // Nothing that fell due while the process stood still is held against anybody.
-  void StoodStill(Time now, Duration stall);
+  void StoodStill(TimePoint now, Duration stall);
   void Doubt(int by);
   // How long a suspicion waits before it counts.
   Duration Patience(const Peer& peer) const;
   // Whether a member that is to be held dead is asked before that.
-  bool AskFirst(Time now, const Peer& peer, const proto::Member& told);
+  bool AskFirst(TimePoint now, const Peer& peer, const proto::Member& told);
   // Asks those of whom a death was told though they were heard here not long ago; who is silent is dead.
-  void AskAccused(Time now, std::vector<Out>& out);
-  void NackRelays(Time now, std::vector<Out>& out);
-  void BeginProbe(Time now, std::vector<Out>& out);
+  void AskAccused(TimePoint now, std::vector<Out>& out);
+  void NackRelays(TimePoint now, std::vector<Out>& out);
+  void BeginProbe(TimePoint now, std::vector<Out>& out);
   // The next of this round who is not held dead, if any is left.
-  bool ProbeNext(Time now, std::vector<std::string>& round, std::vector<Out>& out);
+  bool ProbeNext(TimePoint now, std::vector<std::string>& round, std::vector<Out>& out);
   // `about`: a member whose news goes with it in any case; the pinged one, where it is thought ill of.
   void Ping(const std::string& address, std::uint64_t nonce, std::vector<Out>& out,
             const Peer* about = nullptr);
   std::size_t Living() const;
-  void Look(Time now);
+  void Look(TimePoint now);
   void LookForOwners();
   // What an answer tells of others' words to the life `asker`, whose view is `view`.
-  void AddWords(Time now, std::uint64_t asker, std::uint64_t view, bool claims_suffice,
+  void AddWords(TimePoint now, std::uint64_t asker, std::uint64_t view, bool claims_suffice,
                 proto::Packet& packet) const;
   // The word of an answer to the ping that is out, and what it tells of others.
   void TakeWords(const proto::Packet& packet);
   // What the answer to the ping that is out tells of the way to its sender.
-  void TimeAnswer(Time now, const proto::Packet& packet);
+  void TimeAnswer(TimePoint now, const proto::Packet& packet);
   // The sender has another view: tells it what is held here, once in a while.
-  void CompareViews(Time now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out);
-  void TakeRoll(Time now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out);
-  void PingDead(Time now, std::vector<Out>& out);
+  void CompareViews(TimePoint now, const std::string& from, const proto::Packet& packet,
+                    std::vector<Out>& out);
+  void TakeRoll(TimePoint now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out);
+  void PingDead(TimePoint now, std::vector<Out>& out);
 
   Options options_;
   proto::Member self_;
@@ -181,27 +182,27 @@
   std::size_t suspects_ = 0, gone_ = 0;
   std::optional<Probe> probe_;
   std::map<std::uint64_t, Relay> relays_;
-  Time next_{};
+  TimePoint next_{};
   std::size_t next_seed_ = 0;
-  Time next_dead_{};
+  TimePoint next_dead_{};
   std::uint64_t conflicts_ = 0;
   bool aside_ = false;
   std::uint64_t changes_ = 1;
   std::vector<std::string> changed_;
   int doubt_ = 0;
-  Time now_{};
-  Time ticked_{};
-  membership::Standing standing_;
+  TimePoint now_{};
+  TimePoint ticked_{};
+  membership::QuorumTracker quorum_tracker_;
   std::vector<std::uint64_t> owners_;
   bool moved_ = true;  // who is in reach may have changed since the view was last taken
   std::uint64_t stalls_ = 0;
   std::map<std::string, std::vector<std::string>> differences_;
   // One part of what is held is told a period, whoever differs: after a cut all differ from all.
-  Time next_roll_{};
+  TimePoint next_roll_{};
   std::uint64_t roll_from_ = 0;  // life at which the next part begins
   struct Accusation {
     proto::Member told;
-    Time at{};
+    TimePoint at{};
     bool asked = false;
   };
   std::map<std::string, Accusation> accused_;  // dead by hearsay, but heard here not long ago
--- a/src/net/arrivals.cpp
+++ b/src/net/arrivals.cpp
@@ -4,7 +4,7 @@
 
 namespace lynxgrade::net {
 
-void Arrivals::Came(std::size_t count, Time at) {
+void Arrivals::Came(std::size_t count, TimePoint at) {
   if (count == 0) return;
   newest_ = std::max(newest_, at);
   size_ += count;
@@ -38,7 +38,7 @@
   stretches_.erase(stretches_.begin(), first);
 }
 
-Time Arrivals::At(std::size_t offset) const {
+TimePoint Arrivals::At(std::size_t offset) const {
   for (const Stretch& stretch : stretches_) {
     if (offset < stretch.size) return stretch.at;
     offset -= stretch.size;
--- a/src/net/arrivals.h
+++ b/src/net/arrivals.h
@@ -12,11 +12,11 @@
 class Arrivals {
  public:
   // `count` more bytes, none of which came before `at`. Times that fall back are taken for the last one.
-  void Came(std::size_t count, Time at);
+  void Came(std::size_t count, TimePoint at);
   // The first `count` bytes are gone.
   void Consume(std::size_t count);
   // When the byte at `offset` came, at the earliest; the newest time known where there is none.
-  Time At(std::size_t offset) const;
+  TimePoint At(std::size_t offset) const;
   // How many bytes from the first on have one time.
   std::size_t First() const { return stretches_.empty() ? 0 : stretches_.front().size; }
   std::size_t size() const { return size_; }
@@ -28,12 +28,12 @@
 
   struct Stretch {
     std::size_t size = 0;
-    Time at{};
+    TimePoint at{};
   };
   std::vector<Stretch> stretches_;
   std::size_t size_ = 0;
   Duration grain_ = kFinest;
-  Time newest_{};
+  TimePoint newest_{};
 };
 
 }  // namespace lynxgrade::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -189,7 +189,7 @@
   Flush();
 }
 
-void Connection::KeepArrivals(Time from) {
+void Connection::KeepArrivals(TimePoint from) {
   keeps_arrivals_ = true;
   looked_ = from;
 }
@@ -207,9 +207,9 @@
     count -= part;
   }
   if (count == 0) return;
-  const Time now = loop_.Now();
-  Time at = loop_.Since();
-  if (looked_ != Time{}) at = std::min(at, std::exchange(looked_, Time{}));
+  const TimePoint now = loop_.Now();
+  TimePoint at = loop_.Since();
+  if (looked_ != TimePoint{}) at = std::min(at, std::exchange(looked_, TimePoint{}));
   if (now - at >= kLate) {
     if (const auto ago = SinceNewest(descriptor())) at = std::clamp(now - *ago, at, now);
   }
@@ -220,7 +220,7 @@
   if (!paused_ || !keeps_arrivals_ || closed()) return;
   const gssize there = g_socket_get_available_bytes(socket_.get());
   if (there < 0) return;  // not to be told: all of it may have come since the last look
-  const Time now = loop_.Now();
+  const TimePoint now = loop_.Now();
   const auto count = static_cast<std::size_t>(there);
   if (count > ahead_.size()) ahead_.Came(count - ahead_.size(), std::min(looked_, now));
   looked_ = now;
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -51,10 +51,10 @@
 
   RingBuffer& in() { return in_; }
   // From now on it is kept when what is in the ring has come; `from`: the first of it no earlier than this.
-  void KeepArrivals(Time from);
+  void KeepArrivals(TimePoint from);
   // When the byte at `offset` of the ring has come, as far as can be told; never later than it did by more
   // than the kernel's clock ticks.
-  Time CameAt(std::size_t offset) const { return arrivals_.At(offset); }
+  TimePoint CameAt(std::size_t offset) const { return arrivals_.At(offset); }
   // Takes `count` bytes out of the ring.
   void Consume(std::size_t count);
   // While reading is paused: looks how much has come meanwhile, so that it is known from when it is.
@@ -99,9 +99,9 @@
   RingBuffer in_;
   RingBuffer out_;
   bool keeps_arrivals_ = false;
-  Arrivals arrivals_;  // of what is in the ring
-  Arrivals ahead_;     // of what was seen in the kernel while reading was paused
-  Time looked_{};      // what is not in `ahead_` has come after this; zero: as the loop says
+  Arrivals arrivals_;   // of what is in the ring
+  Arrivals ahead_;      // of what was seen in the kernel while reading was paused
+  TimePoint looked_{};  // what is not in `ahead_` has come after this; zero: as the loop says
   std::optional<std::uint32_t> watched_;  // what the poller was told
   bool writing_ = false;                  // room to write is waited for: to be up, or to send the rest
   bool up_ = false;
