--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -25,7 +25,7 @@
   bool open() const { return socket_ != nullptr; }
   std::uint16_t port() const;
   // What is being accepted has waited in the kernel's queue no longer than since then.
-  Time queued_since() const { return queued_since_; }
+  TimePoint queued_since() const { return queued_since_; }
 
  private:
   static gboolean Ready(GSocket*, GIOCondition, gpointer self);
@@ -39,7 +39,7 @@
   ObjectPtr<GSocket> socket_;
   SourcePtr source_;
   Timer again_;
-  Time queued_since_{};
+  TimePoint queued_since_{};
   bool left_ = false;  // the queue was not empty when it was last left
 };
 
--- a/src/net/log_limit.h
+++ b/src/net/log_limit.h
@@ -32,7 +32,7 @@
   static constexpr int kMost = 10;
 
   Loop& loop_;
-  Time from_{};
+  TimePoint from_{};
   int written_ = 0;
   std::uint64_t left_out_ = 0;
 };
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -24,20 +24,20 @@
   Loop& operator=(const Loop&) = delete;
 
   // The time at which this pass over the sources began: the same for all that one pass brings.
-  Time Now() const { return now_; }
+  TimePoint Now() const { return now_; }
   // The clock as it stands at this moment; never behind Now().
-  Time Precise() const;
+  TimePoint Precise() const;
   // What this pass brings has come no earlier than this: what comes during a long pass waits for the next
   // one, and what comes to a process that stands still waits until it goes on.
-  Time Since() const { return since_; }
+  TimePoint Since() const { return since_; }
 
   Poller& poller() { return poller_; }
 
   void Run();
   void Stop() { running_ = false; }
 
-  using TimerKey = std::pair<Time, std::uint64_t>;
-  TimerKey At(Time when, std::function<void()> call);
+  using TimerKey = std::pair<TimePoint, std::uint64_t>;
+  TimerKey At(TimePoint when, std::function<void()> call);
   void Drop(const TimerKey& key);
   std::size_t timers() const { return timers_.size(); }
 
@@ -49,9 +49,9 @@
 
   Poller poller_;
   std::chrono::steady_clock::time_point anchor_;
-  Time unix_anchor_;
-  Time now_;
-  Time since_;
+  TimePoint unix_anchor_;
+  TimePoint now_;
+  TimePoint since_;
   bool running_ = false;
   std::uint64_t next_ = 0;
   std::map<TimerKey, std::function<void()>> timers_;
@@ -66,7 +66,7 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  void Set(Time when, std::function<void()> call) {
+  void Set(TimePoint when, std::function<void()> call) {
     Clear();
     armed_ = true;
     // The loop holds the call while it runs: it may set this timer anew, or destroy it.
@@ -81,7 +81,7 @@
     armed_ = false;
   }
   bool armed() const { return armed_; }
-  std::optional<Time> due() const { return armed_ ? std::optional(key_.first) : std::nullopt; }
+  std::optional<TimePoint> due() const { return armed_ ? std::optional(key_.first) : std::nullopt; }
 
  private:
   Loop* loop_;
--- a/src/pooler.cpp
+++ b/src/pooler.cpp
@@ -21,28 +21,28 @@
 
 }  // namespace
 
-std::variant<Config, std::string> LoadConfig() {
+std::variant<PlatformConfig, std::string> LoadPlatformConfig() {
   const char* path = std::getenv("RELAY_CONFIG");
   if (path == nullptr) return std::string("RELAY_CONFIG names no configuration");
   std::ifstream file(path);
   if (!file) return std::string("the configuration ") + path + " cannot be opened";
   const std::string text{std::istreambuf_iterator<char>(file), {}};
-  std::variant<Config, std::string> config = ReadConfig(text);
+  std::variant<PlatformConfig, std::string> config = ParsePlatformConfig(text);
   if (auto* wrong = std::get_if<std::string>(&config)) {
     return std::string("the configuration ") + path + " is not usable: " + *wrong;
   }
   return config;
 }
 
-Pooler::Pooler(const Config& config, const Setup& setup)
+Pooler::Pooler(const PlatformConfig& config, const ProgramSettings& setup)
     : config_(config),
       setup_(setup),
       budget_(Descriptors(config)),
       pool_(loop_, {config.settings.connect_timeout, config.idle}, budget_,
             [this] { return front_.ShedIdle(); }),
       instance_(loop_, config, setup, pool_,
-                {[this](MemberId member, const net::Address& address) { pool_.SetAddress(member, address); },
-                 [this](MemberId member) { pool_.Forget(member); },
+                {[this](ServerId member, const net::Address& address) { pool_.SetAddress(member, address); },
+                 [this](ServerId member) { pool_.Forget(member); },
                  [this] { ReadyIfListed(); },
                  {}}),
       front_(loop_, instance_.proxy(), budget_, config.classes, config.tenants, config.settings,
@@ -77,11 +77,11 @@
 
 std::string Pooler::StartControl() {
   if (!setup_.control) return {};
-  std::map<std::string, admin::Server::Answer> answers;
+  std::map<std::string, admin::AdminServer::Answer> answers;
   if (instance_.peers() != nullptr) {
     answers["peers"] = [this] { return instance_.peers()->Describe(); };
   }
-  control_ = std::make_unique<admin::Server>(loop_, std::move(answers));
+  control_ = std::make_unique<admin::AdminServer>(loop_, std::move(answers));
   const std::string fault = control_->Listen(*setup_.control);
   if (!fault.empty()) return "cannot answer operators on " + setup_.control->host + ": " + fault;
   spdlog::info("control: operators are answered at {}:{}", setup_.control->host, control_->port());
@@ -94,7 +94,7 @@
   spdlog::info("stopped");
 }
 
-std::size_t Pooler::Descriptors(const Config& config) {
+std::size_t Pooler::Descriptors(const PlatformConfig& config) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return config.sockets;
   return std::min<std::size_t>(config.sockets, limit.rlim_cur);
@@ -114,12 +114,12 @@
 // connection stays. A file that cannot be used changes nothing. It may come during a stop as well.
 gboolean Pooler::Reload(gpointer self) {
   auto* pooler = static_cast<Pooler*>(self);
-  const auto config = LoadConfig();
+  const auto config = LoadPlatformConfig();
   if (const auto* wrong = std::get_if<std::string>(&config)) {
     spdlog::error("told to read the configuration again: {}; the old one stays", *wrong);
     return G_SOURCE_CONTINUE;
   }
-  const net::Address& discovery = std::get<Config>(config).discovery;
+  const net::Address& discovery = std::get<PlatformConfig>(config).discovery;
   spdlog::info("told to read the configuration again: discovery is at {}:{}", discovery.host, discovery.port);
   pooler->instance_.MoveTo(discovery);
   return G_SOURCE_CONTINUE;
@@ -152,15 +152,15 @@
       "open, {} clients, {} backends ({} idle)",
       n.taken, n.served, n.refused, n.failed, n.withdrawn, n.attempts, n.probes, proxy.open(),
       budget_.clients(), budget_.backends(), pool_.idle());
-  const consistency::Keeper& keeper = proxy.keeper();
-  if (keeper.scope() == consistency::Scope::kEverywhere) {
-    const consistency::KeeperCounts& of = keeper.counts();
+  const consistency::SessionConsistencyGuard& consistency_guard = proxy.consistency_guard();
+  if (consistency_guard.scope() == consistency::Scope::kEverywhere) {
+    const consistency::SessionConsistencyCounts& of = consistency_guard.counts();
     spdlog::info(
         "sessions: own-reads {}, of a known write {}, on a conservative target {}, refused for a lost write "
         "{}, for "
         "what is not known {}; answers that were too old {}; {} sessions known, {} forgotten",
-        of.reads, of.marked, of.floored, of.lost, of.unknown, of.too_old, keeper.ledger().size(),
-        keeper.ledger().evicted());
+        of.reads, of.marked, of.floored, of.lost, of.unknown, of.too_old,
+        consistency_guard.watermark_table().size(), consistency_guard.watermark_table().evicted());
   }
   report_.After(kReportEvery, [this] { Report(); });
 }
--- a/src/pooler.h
+++ b/src/pooler.h
@@ -18,18 +18,18 @@
 namespace lynxgrade {
 
 // The platform's configuration from the file that RELAY_CONFIG names, or why it cannot be used.
-std::variant<Config, std::string> LoadConfig();
+std::variant<PlatformConfig, std::string> LoadPlatformConfig();
 
 class Pooler {
  public:
-  Pooler(const Config& config, const Setup& setup);
+  Pooler(const PlatformConfig& config, const ProgramSettings& setup);
 
   // Empty, or what keeps it from starting.
   std::string Start();
   void Run();
 
  private:
-  static std::size_t Descriptors(const Config& config);
+  static std::size_t Descriptors(const PlatformConfig& config);
   static gboolean Stop(gpointer self);
   static gboolean Reload(gpointer self);
   void ReadyIfListed();
@@ -38,14 +38,14 @@
   // What operators may ask, where the settings name an address. Empty, or what keeps it from starting.
   std::string StartControl();
 
-  const Config& config_;
-  const Setup& setup_;
+  const PlatformConfig& config_;
+  const ProgramSettings& setup_;
   net::Loop loop_;
   net::DescriptorBudget budget_;
   upstream::Pool pool_;
   Instance instance_;
   frontend::Front front_;
-  std::unique_ptr<admin::Server> control_;
+  std::unique_ptr<admin::AdminServer> control_;
   net::Timer report_;
   net::Timer list_late_;
   net::SourcePtr term_;
--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -48,11 +48,11 @@
 struct AttemptEnd {
   RequestId request{};
   AttemptNumber attempt = 0;
-  MemberId member{};
+  ServerId server{};
   Outcome outcome = Outcome::kError;
   Duration taken{0};
-  Note note{};
-  std::optional<Report> report{};
+  ResponseMetadata note{};
+  std::optional<LoadReport> report{};
   std::optional<Answer> answer{};
   bool unusable = false;  // with kVoid: the data server has not run it, and no other would
 };
@@ -60,7 +60,7 @@
 class BackendEvents {
  public:
   virtual void OnAttemptEnd(AttemptEnd end) = 0;
-  virtual void OnProbeEnd(const ProbeEvent& event) = 0;
+  virtual void OnProbeEnd(const HealthCheckEvent& event) = 0;
 
  protected:
   ~BackendEvents() = default;
@@ -75,14 +75,14 @@
 // Every Send and every Probe brings one end, also when nothing could be sent.
 class Backends {
  public:
-  virtual void Send(RequestId request, AttemptNumber attempt, MemberId member,
+  virtual void Send(RequestId request, AttemptNumber attempt, ServerId server,
                     std::shared_ptr<const Work> work, SendTimes times) = 0;
   virtual void Cancel(RequestId request, AttemptNumber attempt) = 0;
   // The request is over: of its attempts, those that have not begun to be written never will be. They end as
   // void.
   virtual void Drop(RequestId request) = 0;
-  virtual void Probe(MemberId member) = 0;
-  virtual void CloseIdle(MemberId member) = 0;
+  virtual void Probe(ServerId server) = 0;
+  virtual void CloseIdle(ServerId server) = 0;
 
  protected:
   ~Backends() = default;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -19,17 +19,18 @@
              consistency::Options sessions)
     : loop_(loop),
       backends_(backends),
-      keeper_(settings, sessions),
+      consistency_guard_(settings, sessions),
       turned_away_(settings.clients_wait_as_told ? std::min(kTurnedAway, settings.longest_client_wait)
                                                  : Duration{0}),
       margin_(settings.tick * 2),
       held_until_(loop),
       balancer_(std::move(settings), seed) {
-  keeper_.OnWrite([this](GroupId group, consistency::Key key, const consistency::Mark& mark) {
-    wrote_.emplace(group, key);
-    if (waits_.wrote) waits_.wrote(group, key, mark);
-  });
-  keeper_.OnLog([](const std::string& text) { spdlog::warn("sessions: {}", text); });
+  consistency_guard_.OnWrite(
+      [this](GroupId group, consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
+        wrote_.emplace(group, key);
+        if (waits_.wrote) waits_.wrote(group, key, watermark);
+      });
+  consistency_guard_.OnLog([](const std::string& text) { spdlog::warn("sessions: {}", text); });
 }
 
 void Proxy::Take(Ask ask, Client& client, RequestId& id) {
@@ -43,10 +44,10 @@
   ask.event.id = id;
   // It may have been sent after this pass began, and after a write that another instance has answered since:
   // what it has to see counts up to the moment at which it is taken.
-  const Time arrived = loop_.Precise();
+  const TimePoint arrived = loop_.Precise();
   ask.event.arrived = arrived;
-  if (waits_.ask_others && keeper_.WorthHolding(ask.event, arrived)) {
-    held_.push_back({id, std::move(ask.event), loop_.Now(), arrived + keeper_.hold()});
+  if (waits_.ask_others && consistency_guard_.WorthHolding(ask.event, arrived)) {
+    held_.push_back({id, std::move(ask.event), loop_.Now(), arrived + consistency_guard_.hold()});
     if (!held_until_.armed()) held_until_.Set(held_.front().until, [this] { ReleaseReads(); });
     waits_.ask_others();
     return;
@@ -67,7 +68,7 @@
   std::deque<Waiting> all;
   all.swap(held_);
   for (Waiting& next : all) {
-    if (loop_.Now() < next.until && requests_.contains(next.id) && !keeper_.WordCame(next.event)) {
+    if (loop_.Now() < next.until && requests_.contains(next.id) && !consistency_guard_.WordCame(next.event)) {
       held_.push_back(std::move(next));
       continue;
     }
@@ -107,8 +108,8 @@
   }
   if (Close(request) == nullptr) return;
   ++counts_.withdrawn;
-  keeper_.Over(request);
-  Feed(GoneEvent{request});
+  consistency_guard_.Over(request);
+  Feed(ClientDisconnectedEvent{request});
   // Where the settings allow no cancels the module calls nothing off: an attempt that waits for its
   // connection would begin long after the client has gone.
   backends_.Drop(request);
@@ -125,8 +126,8 @@
   const bool sent = it->second.attempts > 0;
   Client* client = Close(request);
   if (client == nullptr) return;
-  keeper_.Over(request);
-  Feed(GoneEvent{request});
+  consistency_guard_.Over(request);
+  Feed(ClientDisconnectedEvent{request});
   backends_.Drop(request);
   ++(sent ? counts_.failed : counts_.refused);
   sent ? client->Failed() : client->Refused(turned_away_);
@@ -139,7 +140,7 @@
 }
 
 void Proxy::Look(Event& event) {
-  keeper_.Before(loop_.Now(), event);
+  consistency_guard_.Before(loop_.Now(), event);
   EndTurned();
 }
 
@@ -149,7 +150,7 @@
 }
 
 void Proxy::EndTurned() {
-  for (const consistency::Turned& turned : keeper_.TakeTurned()) {
+  for (const consistency::RejectedRead& turned : consistency_guard_.TakeTurned()) {
     Client* client = Close(turned.id);
     const auto it = requests_.find(turned.id);
     if (it == requests_.end()) continue;
@@ -157,7 +158,7 @@
     if (!it->second.fed) {
       requests_.erase(it);
     } else {
-      Feed(GoneEvent{turned.id});
+      Feed(ClientDisconnectedEvent{turned.id});
       backends_.Drop(turned.id);
     }
     if (client == nullptr) continue;
@@ -179,7 +180,7 @@
 }
 
 void Proxy::OnAttemptEnd(AttemptEnd end) {
-  Event event = OutcomeEvent{end.request, end.attempt, end.member,          end.outcome,
+  Event event = OutcomeEvent{end.request, end.attempt, end.server,          end.outcome,
                              end.taken,   false,       std::move(end.note), std::move(end.report)};
   auto& outcome = std::get<OutcomeEvent>(event);
   // What the answer tells of its member comes before the answer: it may show that it cannot be trusted.
@@ -189,7 +190,7 @@
   if (outcome.outcome == Outcome::kOk) {
     if (Client* client = Close(end.request)) {
       const RequestId id = end.request;
-      const Time until = requests_.at(id).until;
+      const TimePoint until = requests_.at(id).until;
       if (wrote_ && waits_.safe && waits_.safe(wrote_->first, wrote_->second, [this, id] { Release(id); })) {
         ++open_;  // until it is given
         ready_[id] = {client, std::move(*end.answer)};
@@ -211,12 +212,12 @@
   }
   outcome.request_done = Over(end.request);
   const bool over = outcome.request_done;
-  if (over) keeper_.Over(end.request);
+  if (over) consistency_guard_.Over(end.request);
   Feed(std::move(event));
   if (over) backends_.Drop(end.request);
 }
 
-void Proxy::OnProbeEnd(const ProbeEvent& probe) {
+void Proxy::OnProbeEnd(const HealthCheckEvent& probe) {
   Event event = probe;
   Look(event);
   Feed(std::move(event));
@@ -237,8 +238,8 @@
     events_.pop_front();
     fresh_.clear();
     balancer_.Handle(loop_.Now(), event, fresh_);
-    keeper_.After(fresh_);
-    if (const auto* gone = std::get_if<GoneEvent>(&event)) requests_.erase(gone->id);
+    consistency_guard_.After(fresh_);
+    if (const auto* gone = std::get_if<ClientDisconnectedEvent>(&event)) requests_.erase(gone->id);
     const auto* outcome = std::get_if<OutcomeEvent>(&event);
     if (outcome != nullptr && outcome->request_done) requests_.erase(outcome->id);
     for (Action& action : fresh_) actions_.push_back(std::move(action));
@@ -264,17 +265,17 @@
     OutcomeEvent never;
     never.id = action.id;
     never.attempt = number;
-    never.member = action.member;
+    never.server = action.server;
     never.outcome = Outcome::kVoid;
     never.request_done = true;
     events_.emplace_back(std::move(never));
     return;
   }
   ++counts_.attempts;
-  backends_.Send(action.id, number, action.member, it->second.work, {action.limit, action.write_within});
+  backends_.Send(action.id, number, action.server, it->second.work, {action.limit, action.write_within});
 }
 
-void Proxy::Do(const Refuse& action) {
+void Proxy::Do(const Reject& action) {
   Client* client = Close(action.id);
   requests_.erase(action.id);
   backends_.Drop(action.id);
@@ -300,7 +301,7 @@
 
 void Proxy::Do(const Probe& action) {
   ++counts_.probes;
-  backends_.Probe(action.member);
+  backends_.Probe(action.server);
 }
 
 void Proxy::Do(const Log& action) { spdlog::info("module: {}", action.text); }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -31,18 +31,18 @@
   void GiveUp(RequestId request);
   void ListChanged(ListEvent event);
   std::size_t open() const { return open_; }
-  consistency::Keeper& keeper() { return keeper_; }
-  const consistency::Keeper& keeper() const { return keeper_; }
+  consistency::SessionConsistencyGuard& consistency_guard() { return consistency_guard_; }
+  const consistency::SessionConsistencyGuard& consistency_guard() const { return consistency_guard_; }
   // To be called when the keeper has learnt something from elsewhere.
   void Relearnt();
 
   // What an answered write and a read may have to wait for beside the data servers; each may be absent.
   struct Waits {
     // A write is about to be answered.
-    consistency::Keeper::Wrote wrote;
+    consistency::SessionConsistencyGuard::Wrote wrote;
     // Calls back when the write told last may be answered as its session allows; false if it may right now.
     // What may not be by the end of its request fails then.
-    std::function<bool(GroupId, consistency::Key, std::function<void()>)> safe;
+    std::function<bool(GroupId, consistency::SessionKey, std::function<void()>)> safe;
     // A read would do better with word from the other instances.
     std::function<void()> ask_others;
   };
@@ -59,12 +59,12 @@
     Client* client = nullptr;
     std::shared_ptr<const Work> work;
     AttemptNumber attempts = 0;
-    bool fed = false;  // to the module
-    Time until{};      // when its time is over
+    bool fed = false;   // to the module
+    TimePoint until{};  // when its time is over
   };
 
   void OnAttemptEnd(AttemptEnd end) override;
-  void OnProbeEnd(const ProbeEvent& event) override;
+  void OnProbeEnd(const HealthCheckEvent& event) override;
   void Feed(Event event);
   // Shows the event to the keeper, and ends the requests whose guarantee that has undone.
   void Look(Event& event);
@@ -80,12 +80,12 @@
   bool Over(RequestId request) const;
 
   void Do(const Send& action);
-  void Do(const Refuse& action);
+  void Do(const Reject& action);
   void Do(const Fail& action);
   void Do(const Cancel& action) { backends_.Cancel(action.id, action.attempt); }
   void Do(const SetTimer& action);
   void Do(const Probe& action);
-  void Do(const CloseIdle& action) { backends_.CloseIdle(action.member); }
+  void Do(const CloseIdle& action) { backends_.CloseIdle(action.server); }
   void Do(const Log& action);
   void Do(const Watch&) {}      // the watch is always on
   void Do(const FetchList&) {}  // and brings the whole list where something was missed
@@ -93,12 +93,12 @@
 
   net::Loop& loop_;
   Backends& backends_;
-  consistency::Keeper keeper_;
+  consistency::SessionConsistencyGuard consistency_guard_;
   Duration turned_away_;
   Waits waits_;
   Duration margin_;  // of a request's time, for the answer to go out
   // The session that a write was just heard of.
-  std::optional<std::pair<GroupId, consistency::Key>> wrote_;
+  std::optional<std::pair<GroupId, consistency::SessionKey>> wrote_;
   // Writes that have an answer, which waits until it is safe to give.
   struct Ready {
     Client* client = nullptr;
@@ -109,8 +109,8 @@
   struct Waiting {
     RequestId id{};
     RequestEvent event;
-    Time from{};  // the pass that took it
-    Time until{};
+    TimePoint from{};  // the pass that took it
+    TimePoint until{};
   };
   std::deque<Waiting> held_;
   net::Timer held_until_;
--- a/src/replication/datagram_authenticator.cpp
+++ b/src/replication/datagram_authenticator.cpp
@@ -89,14 +89,14 @@
   return keys;
 }
 
-const SharedKey* Envelope::KeyOf(std::uint8_t number) const {
+const SharedKey* DatagramAuthenticator::SessionKeyOf(std::uint8_t number) const {
   for (const SharedKey& key : keys_) {
     if (key.number == number) return &key;
   }
   return nullptr;
 }
 
-std::string Envelope::Seal(proto::Packet& packet) {
+std::string DatagramAuthenticator::Seal(proto::Packet& packet) {
   packet.set_counter(++counter_);
   const std::string bytes = packet.SerializeAsString();
   const SharedKey& key = keys_.front();
@@ -106,7 +106,7 @@
   return datagram + bytes;
 }
 
-const char* Envelope::NameOf(Fault fault) {
+const char* DatagramAuthenticator::NameOf(Fault fault) {
   switch (fault) {
     case Fault::kNone:
       return "nothing is wrong";
@@ -126,9 +126,10 @@
   return "";
 }
 
-std::variant<proto::Packet, Envelope::Fault> Envelope::Open(std::string_view datagram) {
+std::variant<proto::Packet, DatagramAuthenticator::Fault> DatagramAuthenticator::Open(
+    std::string_view datagram) {
   if (datagram.size() <= kHead || datagram[0] != kFormat) return Fault::kFormat;
-  const SharedKey* key = KeyOf(static_cast<std::uint8_t>(datagram[1]));
+  const SharedKey* key = SessionKeyOf(static_cast<std::uint8_t>(datagram[1]));
   if (key == nullptr) return Fault::kKey;
   const std::string_view bytes = datagram.substr(kHead);
   const auto tag = TagOf(*key, bytes);
@@ -136,17 +137,17 @@
   proto::Packet packet;
   if (!packet.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return Fault::kPacket;
   if (packet.version() != 1) return Fault::kVersion;
-  if (packet.sender().life() == 0 || packet.counter() == 0) return Fault::kPacket;
+  if (packet.sender().incarnation_id() == 0 || packet.counter() == 0) return Fault::kPacket;
   if (packet.sender().name().empty() && !packet.has_directory()) return Fault::kPacket;
   if (!Fresh(packet)) return Fault::kReplay;
   return packet;
 }
 
 // A sender's counters, by life: those far behind the newest, and those that came, are refused.
-bool Envelope::Fresh(const proto::Packet& packet) {
+bool DatagramAuthenticator::Fresh(const proto::Packet& packet) {
   // Only holders of the key get here; the bound is for one that starts again all day long.
-  if (seen_.size() >= kMostSenders && !seen_.contains(packet.sender().life())) seen_.clear();
-  Seen& seen = seen_[packet.sender().life()];
+  if (seen_.size() >= kMostSenders && !seen_.contains(packet.sender().incarnation_id())) seen_.clear();
+  Seen& seen = seen_[packet.sender().incarnation_id()];
   const std::uint64_t counter = packet.counter();
   if (counter > seen.highest) {
     const std::uint64_t passed = counter - seen.highest;
--- a/src/replication/datagram_authenticator.h
+++ b/src/replication/datagram_authenticator.h
@@ -28,9 +28,9 @@
 std::variant<std::vector<SharedKey>, std::string> ReadKeys(std::string_view text);
 std::variant<std::vector<SharedKey>, std::string> LoadKeys(const std::string& path);
 
-class Envelope {
+class DatagramAuthenticator {
  public:
-  explicit Envelope(std::vector<SharedKey> keys) : keys_(std::move(keys)) {}
+  explicit DatagramAuthenticator(std::vector<SharedKey> keys) : keys_(std::move(keys)) {}
   void Replace(std::vector<SharedKey> keys) { keys_ = std::move(keys); }
 
   // Numbers the packet and seals it.
@@ -49,7 +49,7 @@
     std::bitset<kWindow> window;
   };
 
-  const SharedKey* KeyOf(std::uint8_t number) const;
+  const SharedKey* SessionKeyOf(std::uint8_t number) const;
   bool Fresh(const proto::Packet& packet);
 
   std::vector<SharedKey> keys_;
--- a/src/replication/exchange.h
+++ b/src/replication/exchange.h
@@ -24,13 +24,13 @@
 
 namespace lynxgrade::replication {
 
-class Exchange : private lease::Marks {
+class Exchange : private lease::KnownWatermarks {
  public:
   struct Options {
     membership::Swim::Options swim;
     // Sessions are held by one instance at a time (docs/design/session-directory.md), and marks go only to
     // those that do not know of it. Its `self`, `proof` and `alone` are filled in here.
-    std::optional<lease::Directory::Options> directory{};
+    std::optional<lease::SessionLeaseClient::Options> directory{};
     Duration flush{20000};  // to each peer, where nobody asks sooner
     // To a peer for whom there is nothing new and who waits for nothing. Twice that is under the time for
     // which a held read still expects word (eight times session::Options::hold), or none would be asked for.
@@ -46,40 +46,40 @@
 
   // `recovered`: the keeper knows all that earlier lives of this instance answered.
   Exchange(Options options, proto::Member self, std::vector<std::string> seeds, bool recovered,
-           consistency::Keeper& keeper, std::uint64_t seed);
+           consistency::SessionConsistencyGuard& consistency_guard, std::uint64_t seed);
 
   // A write that this instance is about to answer.
-  void Wrote(GroupId group, consistency::Key key, const consistency::Mark& mark);
-  void Tick(Time now, std::vector<membership::Out>& out);
-  void Take(Time now, const std::string& from, const proto::Packet& packet,
+  void Wrote(GroupId group, consistency::SessionKey key, const consistency::WriteWatermark& watermark);
+  void Tick(TimePoint now, std::vector<membership::Out>& out);
+  void Take(TimePoint now, const std::string& from, const proto::Packet& packet,
             std::vector<membership::Out>& out);
   // Asks those peers that are not covered up to now for their word at once. False: the last time was under
   // `kSolicitEvery` ago, and nobody was asked.
-  bool Solicit(Time now, std::vector<membership::Out>& out);
-  void Leave(Time now, std::vector<membership::Out>& out) { swim_.Leave(now, out); }
+  bool Solicit(TimePoint now, std::vector<membership::Out>& out);
+  void Leave(TimePoint now, std::vector<membership::Out>& out) { swim_.Leave(now, out); }
 
   // With a directory: rules R and W, and what has to be asked for them (see directory::Directory). Without
   // one a write may be answered at any time and nothing is exact.
-  std::optional<Position> Exact(Time now, consistency::Key key);
-  bool MayAnswer(Time now, consistency::Key key);
-  bool Want(Time now, GroupId group, consistency::Key key, lease::Directory::Use use,
+  std::optional<LogPosition> Exact(TimePoint now, consistency::SessionKey key);
+  bool MayAnswer(TimePoint now, consistency::SessionKey key);
+  bool Want(TimePoint now, GroupId group, consistency::SessionKey key, lease::SessionLeaseClient::Use use,
             std::vector<membership::Out>& out);
   // What was sent or received, as bytes of packets with all their heads: reads ask while a budget bears it.
-  void Spent(Time now, std::size_t bytes) {
+  void Spent(TimePoint now, std::size_t bytes) {
     if (directory_ != nullptr) directory_->Spent(now, bytes);
   }
   // Whether what a former life of this instance may have promised is over.
-  bool MayServe(Time now);
-  const lease::Directory* directory() const { return directory_.get(); }
-  const lease::Courier* courier() const { return courier_.get(); }
+  bool MayServe(TimePoint now);
+  const lease::SessionLeaseClient* directory() const { return directory_.get(); }
+  const lease::LeaseMessageRelay* courier() const { return courier_.get(); }
 
   // Whether all instances that are known to live count this one among those that answer writes.
   bool Joined() const;
   const membership::Swim& swim() const { return swim_; }
-  membership::Standing::Value StandingAt(Time now) { return swim_.StandingAt(now); }
+  membership::QuorumTracker::Value QuorumStateAt(TimePoint now) { return swim_.QuorumStateAt(now); }
   const Counts& counts() const { return counts_; }
   // What each peer is covered up to, by name.
-  std::map<std::string, Time> Covered() const;
+  std::map<std::string, TimePoint> Covered() const;
   using Say = std::function<void(std::string)>;
   void OnLog(Say say) { say_ = std::move(say); }
 
@@ -93,71 +93,73 @@
   static constexpr Duration kSkew{1000000};  // clocks are one, or nearly: for the start of a peer's life
 
   struct Link {
-    std::uint64_t life = 0;
+    std::uint64_t incarnation_id = 0;
     // What it has of ours.
     std::uint64_t acked = 0, sent = 0;
-    Time moved{};  // `acked`, or the first sending of what is not acknowledged
+    TimePoint moved{};  // `acked`, or the first sending of what is not acknowledged
     bool counts_us = false;
     // What we have of its.
     std::uint64_t have = 0;
     std::uint64_t echo_stamp = 0;
-    Time covered{};
+    TimePoint covered{};
     bool had_coverage = false;
-    Time began{};  // since when it is followed; later, until when an older life was heard beside it
+    TimePoint began{};  // since when it is followed; later, until when an older life was heard beside it
     // A whole ledger to it, and from it.
     std::uint64_t sync_out = 0, sync_next = 0, sync_upto = 0;
     std::uint64_t sync_in = 0, sync_expected = 0;
-    Time flushed{};
-    bool owes = false;                   // it is to hear that its marks have come
-    std::uint64_t losses_told = 0;       // changes of primary when it was last told of reigns
-    bool dead = false;                   // as last said
-    std::map<GroupId, Position> reigns;  // as last told
+    TimePoint flushed{};
+    bool owes = false;                         // it is to hear that its marks have come
+    std::uint64_t losses_told = 0;             // changes of primary when it was last told of reigns
+    bool dead = false;                         // as last said
+    std::map<GroupId, LogPosition> timelines;  // as last told
     // All are told anew, one after the other over many packets: how many are left of this round, when it
     // began, and the last one that was told.
     std::size_t reigns_left = 0;
-    Time reigns_round{};
+    TimePoint reigns_round{};
     GroupId reigns_at{};
   };
 
-  consistency::Ledger::Known Newest(consistency::Key key) const override {
-    return keeper_.ledger().Find(key);
+  consistency::SessionWatermarkTable::Known Newest(consistency::SessionKey key) const override {
+    return consistency_guard_.watermark_table().Find(key);
   }
-  void Learn(consistency::Key key, const consistency::Mark& mark) override {
-    keeper_.Learn(std::nullopt, key, mark);
+  void Learn(consistency::SessionKey key, const consistency::WriteWatermark& watermark) override {
+    consistency_guard_.Learn(std::nullopt, key, watermark);
   }
   // Tells the directory where this instance stands; `whole`: also whether with all of the fleet.
-  void Stand(Time now, bool whole);
-  bool Whole(Time now);
+  void Stand(TimePoint now, bool whole);
+  bool Whole(TimePoint now);
   // Whether it goes by the directory, as this instance does.
   bool Directed(const proto::Member& member) const {
     return directory_ != nullptr && member.speaks() >= kDirected;
   }
-  void TakeDirectory(Time now, const std::string& from, const proto::Packet& packet,
+  void TakeDirectory(TimePoint now, const std::string& from, const proto::Packet& packet,
                      std::vector<membership::Out>& out);
-  void Post(Time now, const lease::Outbox& box, std::vector<membership::Out>& out);
+  void Post(TimePoint now, const lease::LeaseOutbox& box, std::vector<membership::Out>& out);
   // Puts messages into packets, one for each receiver and view, and what goes by way of an owner apart.
-  void Pack(Time now, const lease::Courier::Legs& legs, std::vector<membership::Out>& out);
+  void Pack(TimePoint now, const lease::LeaseMessageRelay::Legs& legs, std::vector<membership::Out>& out);
   // The owner by way of which this instance speaks while bytes are short; zero: none.
-  lease::Life NearOwner() const;
+  lease::IncarnationId NearOwner() const;
   // A packet that names of this instance its life alone.
   membership::Out Bare(const std::string& address) const;
-  static void FillReign(proto::Reign& to, GroupId group, const consistency::Reigns& reigns);
-  void AddReign(Time now, GroupId group, proto::Packet& packet) const;
+  static void FillReign(proto::TimelineRecord& to, GroupId group,
+                        const consistency::PrimaryTimeline& timelines);
+  void AddReign(TimePoint now, GroupId group, proto::Packet& packet) const;
   std::string SomeOther(std::uint64_t than);
-  void AskReigns(Time now, std::vector<membership::Out>& out);
+  void AskReigns(TimePoint now, std::vector<membership::Out>& out);
   void SendReigns(const std::string& address, std::vector<membership::Out>& out) const;
   static membership::Swim::Options SwimOptions(const Options& options);
   static std::uint64_t NumberOf(const std::string& name);
   // Takes over what membership says, where that has changed.
-  void Follow(Time now);
-  void FollowOne(Time now, const std::string& name);
-  void NewLife(Time now, const std::string& name, Link& link, const proto::Packet& packet);
-  void Flush(Time now, const std::string& name, Link& link, bool solicit, std::vector<membership::Out>& out);
-  void AddReigns(Time now, Link& link, proto::Packet& packet);
-  void TakeDelta(Time now, const std::string& name, Link& link, const proto::Delta& delta);
+  void Follow(TimePoint now);
+  void FollowOne(TimePoint now, const std::string& name);
+  void NewLife(TimePoint now, const std::string& name, Link& link, const proto::Packet& packet);
+  void Flush(TimePoint now, const std::string& name, Link& link, bool solicit,
+             std::vector<membership::Out>& out);
+  void AddReigns(TimePoint now, Link& link, proto::Packet& packet);
+  void TakeDelta(TimePoint now, const std::string& name, Link& link, const proto::Delta& delta);
   void TakeChunk(const std::string& name, Link& link, const std::string& from, const proto::Chunk& chunk,
                  std::vector<membership::Out>& out);
-  void SendChunks(Time now, const std::string& name, Link& link, std::vector<membership::Out>& out);
+  void SendChunks(TimePoint now, const std::string& name, Link& link, std::vector<membership::Out>& out);
   void Send(const std::string& address, proto::Packet packet, std::vector<membership::Out>& out);
   Duration Interval() const;
   // Whether there is news for it, or it waits for something.
@@ -180,9 +182,9 @@
 
   Options options_;
   membership::Swim swim_;
-  std::unique_ptr<lease::Directory> directory_;
-  std::unique_ptr<lease::Courier> courier_;  // of the directory
-  Time looked_for_near_{};
+  std::unique_ptr<lease::SessionLeaseClient> directory_;
+  std::unique_ptr<lease::LeaseMessageRelay> courier_;  // of the directory
+  TimePoint looked_for_near_{};
   std::uint64_t changes_ = 0;  // of members, as last followed
   // Who is to be followed at the next change of members, as something of its link has changed here.
   std::vector<std::string> again_;
@@ -190,25 +192,25 @@
   // Lives that go by the directory, also those that were replaced: a view may still name them.
   std::set<std::uint64_t> directed_;
   std::unordered_map<std::uint64_t, std::string> addresses_;  // by life, of all members as last followed
-  std::unordered_map<std::string, std::uint64_t> lives_;      // by name, likewise
-  std::vector<lease::Life> owners_;                           // those of the view `owners_of_`
+  std::unordered_map<std::string, std::uint64_t> incarnation_ids_;  // by name, likewise
+  std::vector<lease::IncarnationId> owners_;                        // those of the view `owners_of_`
   std::uint64_t owners_of_ = 0;
-  Time doubted_until_{};  // an older life of somebody's name was heard beside the one that counts
+  TimePoint doubted_until_{};  // an older life of somebody's name was heard beside the one that counts
   // Up to when all of the view are known to stand by it, by the words and members that there were.
   struct Looked {
     std::uint64_t view = 0;  // zero: it has to be looked at again
     std::uint64_t changes = 0;
-    std::optional<Time> until;
+    std::optional<TimePoint> until;
   };
   Looked looked_;
   struct Via {
     std::string address;
-    Time until{};
+    TimePoint until{};
   };
   std::map<std::uint64_t, Via> via_;  // by life
   int reign_asks_ = 0;
-  Time next_reign_ask_{};
-  consistency::Keeper& keeper_;
+  TimePoint next_reign_ask_{};
+  consistency::SessionConsistencyGuard& consistency_guard_;
   bool recovered_;
   std::uint64_t turn_;
   std::map<std::string, Link> links_;
@@ -216,13 +218,13 @@
   std::size_t unheard_ = 0;                            // how many there were, as last followed
   struct Own {
     GroupId group;
-    consistency::Key key;
-    consistency::Mark mark;
+    consistency::SessionKey key;
+    consistency::WriteWatermark watermark;
   };
   std::deque<Own> own_;
   std::uint64_t base_ = 1;  // sequence of the first of `own_`
   std::uint64_t syncs_ = 0;
-  Time solicited_{};
+  TimePoint solicited_{};
   Counts counts_;
   Say say_;
 };
--- a/src/replication/module_loader.cpp
+++ b/src/replication/module_loader.cpp
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-std::variant<std::unique_ptr<Service>, std::string> Load(Parts parts) {
+std::variant<std::unique_ptr<ReplicationService>, std::string> LoadReplicationModule(
+    ReplicationContext parts) {
   std::error_code unread;
   const auto program = std::filesystem::read_symlink("/proc/self/exe", unread);
   const std::string path = (program.parent_path() / kModule).string();
@@ -22,7 +23,8 @@
     return std::string("the peers' module cannot be loaded: ") + g_module_error();
   }
   g_module_make_resident(module);  // what it made may be destroyed at the very end
-  return std::unique_ptr<Service>(reinterpret_cast<Service* (*)(Parts*)>(maker)(&parts));
+  return std::unique_ptr<ReplicationService>(
+      reinterpret_cast<ReplicationService* (*)(ReplicationContext*)>(maker)(&parts));
 }
 
 }  // namespace lynxgrade::replication
--- a/src/replication/replication_service.h
+++ b/src/replication/replication_service.h
@@ -14,17 +14,18 @@
 
 namespace lynxgrade::replication {
 
-class Service {
+class ReplicationService {
  public:
-  virtual ~Service() = default;
+  virtual ~ReplicationService() = default;
   // Empty, or what keeps it from starting.
   virtual std::string Start() = 0;
   // Reads the keys again; a file that cannot be used is logged, and the old ones stay.
   virtual void ReloadKeys() = 0;
-  virtual void Wrote(GroupId group, consistency::Key key, const consistency::Mark& mark) = 0;
+  virtual void Wrote(GroupId group, consistency::SessionKey key,
+                     const consistency::WriteWatermark& watermark) = 0;
   // Calls back when a write of the session may be answered, at some time or never; false: at once. Always so
   // unless sessions are held by one instance at a time.
-  virtual bool WhenHeld(GroupId group, consistency::Key key, std::function<void()> call) = 0;
+  virtual bool WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) = 0;
   // A read waits for word from the others.
   virtual void Solicit() = 0;
   // Whether the others count this instance, so that it may answer writes; also when they had time enough to.
@@ -43,12 +44,12 @@
   virtual void Leave() = 0;
 };
 
-struct Parts {
+struct ReplicationContext {
   net::Loop& loop;
-  const PeersSetup& setup;
+  const ReplicationSettings& setup;
   const std::string& name;  // of this instance, as in the platform's configuration
   bool recovered = false;   // the keeper knows all that earlier lives of this instance answered
-  consistency::Keeper& keeper;
+  consistency::SessionConsistencyGuard& consistency_guard;
   std::function<void()> learnt;  // called whenever the keeper may have learnt something
   // For a host of many instances, which plays the network between them: whether datagrams pass between here
   // and that address. Absent: all do.
@@ -58,6 +59,7 @@
 };
 
 // Loads the module, which stands beside the program, and makes its one service; or why it cannot be had.
-std::variant<std::unique_ptr<Service>, std::string> Load(Parts parts);
+std::variant<std::unique_ptr<ReplicationService>, std::string> LoadReplicationModule(
+    ReplicationContext parts);
 
 }  // namespace lynxgrade::replication
--- a/src/replication/traffic.h
+++ b/src/replication/traffic.h
@@ -10,15 +10,15 @@
 
 // What a packet is for (kMarks: what tells of sessions' writes, by whichever way); its reigns and its rumours
 // count under their own kind wherever they travel.
-enum class Kind { kMembership, kMarks, kReigns, kLedger };
-constexpr std::array<const char*, 4> kKinds = {"membership", "marks", "reigns", "ledger"};
+enum class TrafficKind { kMembership, kMarks, kReigns, kLedger };
+constexpr std::array<const char*, 4> kTrafficKindNames = {"membership", "marks", "reigns", "ledger"};
 
 struct Traffic {
   static constexpr std::size_t kHeads = 28;  // of IPv4 and UDP, without options
   struct Count {
     std::uint64_t packets = 0, bytes = 0;
   };
-  std::array<Count, kKinds.size()> out{}, in{};
+  std::array<Count, kTrafficKindNames.size()> out{}, in{};
 };
 
 }  // namespace lynxgrade::replication
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -40,33 +40,36 @@
   return std::int64_t{time.tv_sec} * 1'000'000'000 + time.tv_nsec;
 }
 
-void Note(std::array<Traffic::Count, kKinds.size()>& counts, const proto::Packet& packet, std::size_t size) {
-  const auto of = [&](Kind kind) -> Traffic::Count& { return counts[static_cast<std::size_t>(kind)]; };
-  std::size_t reigns = 0, rumours = 0;
-  for (const proto::Reign& reign : packet.reigns()) reigns += reign.ByteSizeLong() + kTagAndLength;
+void Note(std::array<Traffic::Count, kTrafficKindNames.size()>& counts, const proto::Packet& packet,
+          std::size_t size) {
+  const auto of = [&](TrafficKind kind) -> Traffic::Count& { return counts[static_cast<std::size_t>(kind)]; };
+  std::size_t timelines = 0, rumours = 0;
+  for (const proto::TimelineRecord& reign : packet.timelines())
+    timelines += reign.ByteSizeLong() + kTagAndLength;
   for (const proto::Member& rumour : packet.rumours()) rumours += rumour.ByteSizeLong() + kTagAndLength;
-  const Kind kind = packet.has_delta() || packet.has_directory()   ? Kind::kMarks
-                    : packet.has_chunk() || packet.has_chunk_ack() ? Kind::kLedger
-                                                                   : Kind::kMembership;
+  const TrafficKind kind = packet.has_delta() || packet.has_directory()   ? TrafficKind::kMarks
+                           : packet.has_chunk() || packet.has_chunk_ack() ? TrafficKind::kLedger
+                                                                          : TrafficKind::kMembership;
   ++of(kind).packets;
-  of(kind).bytes += size + Traffic::kHeads - reigns - rumours;
-  of(Kind::kReigns).bytes += reigns;
-  of(Kind::kMembership).bytes += rumours;
+  of(kind).bytes += size + Traffic::kHeads - timelines - rumours;
+  of(TrafficKind::kReigns).bytes += timelines;
+  of(TrafficKind::kMembership).bytes += rumours;
 }
 
 }  // namespace
 
-Peers::Timed::Timed(Peers& of) : of_(of), from_(of.timed_++ == 0 ? ThreadNs() : 0) {}
-Peers::Timed::~Timed() {
+UdpReplicationService::Timed::Timed(UdpReplicationService& of)
+    : of_(of), from_(of.timed_++ == 0 ? ThreadNs() : 0) {}
+UdpReplicationService::Timed::~Timed() {
   if (--of_.timed_ == 0) of_.spent_ns_ += ThreadNs() - from_;
 }
 
-Peers::Peers(Parts parts)
+UdpReplicationService::UdpReplicationService(ReplicationContext parts)
     : loop_(parts.loop),
       setup_(parts.setup),
       name_(setup_.name.empty() ? parts.name : setup_.name),
       recovered_(parts.recovered),
-      keeper_(parts.keeper),
+      consistency_guard_(parts.consistency_guard),
       learnt_(std::move(parts.learnt)),
       passes_(std::move(parts.passes)),
       members_only_(parts.members_only),
@@ -74,15 +77,15 @@
       ask_again_(loop_),
       complaints_(loop_) {}
 
-Peers::~Peers() {
-  if (exchange_ != nullptr && exchange_->directory() != nullptr) keeper_.SetHolding(nullptr);
+UdpReplicationService::~UdpReplicationService() {
+  if (exchange_ != nullptr && exchange_->directory() != nullptr) consistency_guard_.SetHolding(nullptr);
   if (socket_ != nullptr) loop_.poller().Remove(g_socket_get_fd(socket_.get()));
 }
 
-std::string Peers::Start() {
+std::string UdpReplicationService::Start() {
   auto keys = LoadKeys(setup_.key_file);
   if (auto* wrong = std::get_if<std::string>(&keys)) return *wrong;
-  envelope_ = std::make_unique<Envelope>(std::get<std::vector<SharedKey>>(std::move(keys)));
+  envelope_ = std::make_unique<DatagramAuthenticator>(std::get<std::vector<SharedKey>>(std::move(keys)));
   const net::ObjectPtr<GSocketAddress> local = net::SocketAddress(*setup_.listen);
   if (local == nullptr) return "the address for peers is none of this machine's";
   net::ErrorSlot error;
@@ -96,10 +99,10 @@
   const net::ObjectPtr<GSocketAddress> bound(g_socket_get_local_address(socket_.get(), nullptr));
   // A life is named by chance: a clock that was set back must not bring an old name again.
   std::random_device device;
-  const std::uint64_t life = (std::uint64_t{device()} << 32 | device()) | 1;
+  const std::uint64_t incarnation_id = (std::uint64_t{device()} << 32 | device()) | 1;
   proto::Member self;
   self.set_name(name_);
-  self.set_life(life);
+  self.set_incarnation_id(incarnation_id);
   self.set_started_us(static_cast<std::uint64_t>(loop_.Now().time_since_epoch().count()));
   // Where others reach it may not be where it listens: behind a relay, or in another network.
   self.set_address(setup_.advertise ? TextOf(*setup_.advertise) : TextOf(bound.get()));
@@ -110,16 +113,17 @@
   options.members_only = members_only_;
   options.swim.period = setup_.probe;
   options.swim.size = 1 + setup_.seeds.size();  // the settings name all others
-  if (setup_.marks != Marks::kEach) {
-    lease::Directory::Options& directory = options.directory.emplace();
-    directory.owner.recall = keeper_.recall();
-    directory.owner.entries = directory.holds = std::max(kLeastEntries, keeper_.ledger().buckets() * 4);
+  if (setup_.watermarks != ReplicationMode::kBroadcast) {
+    lease::SessionLeaseClient::Options& directory = options.directory.emplace();
+    directory.owner.recall = consistency_guard_.recall();
+    directory.owner.entries = directory.holds =
+        std::max(kLeastEntries, consistency_guard_.watermark_table().buckets() * 4);
     if (setup_.owner) directory.owner.entries = std::max(directory.owner.entries, kOwnersEntries);
     directory.reads_per_s = setup_.asks_per_s;
     directory.bytes_per_s = setup_.bytes_per_s;
     directory.coalesce = setup_.coalesce;
     options.swim.owns = setup_.owner;
-    directory.writes_wait = setup_.marks == Marks::kDirectory;
+    directory.writes_wait = setup_.watermarks == ReplicationMode::kLeases;
     directory.owner.recalls = directory.writes_wait;
     if (!directory.writes_wait) spdlog::warn("peers: sessions have several holders: reads may miss writes");
   }
@@ -131,10 +135,10 @@
     options.swim.proven = false;
     spdlog::warn("peers: members are plain: two parts may both hold themselves for the larger");
   }
-  exchange_ =
-      std::make_unique<Exchange>(options, std::move(self), std::move(seeds), recovered_, keeper_, life);
+  exchange_ = std::make_unique<Exchange>(options, std::move(self), std::move(seeds), recovered_,
+                                         consistency_guard_, incarnation_id);
   exchange_->OnLog([](const std::string& text) { spdlog::info("peers: {}", text); });
-  if (exchange_->directory() != nullptr) keeper_.SetHolding(this);
+  if (exchange_->directory() != nullptr) consistency_guard_.SetHolding(this);
   loop_.poller().Add(g_socket_get_fd(socket_.get()), EPOLLIN, *this);
   // Not the pass, or the moment at which the loop was made: reading the state may have taken seconds since,
   // and the others would be given so much less to count this instance.
@@ -144,7 +148,7 @@
   return {};
 }
 
-void Peers::ReloadKeys() {
+void UdpReplicationService::ReloadKeys() {
   auto keys = LoadKeys(setup_.key_file);
   if (const auto* wrong = std::get_if<std::string>(&keys)) {
     spdlog::error("peers: {}; the old keys stay", *wrong);
@@ -154,14 +158,14 @@
   spdlog::info("peers: keys read again");
 }
 
-bool Peers::Ready() const {
+bool UdpReplicationService::Ready() const {
   // What a former life may have promised is over soon, whoever is there.
   if (!exchange_->MayServe(loop_.Precise())) return false;
   if (exchange_->Joined() && exchange_->swim().unheard_seeds().empty()) return true;
   return loop_.Now() - started_ >= setup_.join_within;
 }
 
-void Peers::Tick() {
+void UdpReplicationService::Tick() {
   {
     const Timed timed(*this);
     exchange_->Tick(loop_.Precise(), out_);
@@ -173,25 +177,25 @@
   tick_.After(kTick, [this] { Tick(); });
 }
 
-void Peers::TellPart() {
+void UdpReplicationService::TellPart() {
   // A walk over all members: not on each tick.
   if (loop_.Now() - part_told_ < kTellPartEvery) return;
   part_told_ = loop_.Now();
-  const membership::Standing::Value value = exchange_->StandingAt(loop_.Precise());
+  const membership::QuorumTracker::Value value = exchange_->QuorumStateAt(loop_.Precise());
   if (value.part == part_) return;
   part_ = value.part;
   spdlog::info("peers: {}: {} of {} instances in reach, view {:016x}", membership::NameOf(part_), Reached(),
                1 + setup_.seeds.size(), value.view);
 }
 
-std::size_t Peers::Reached() const {
+std::size_t UdpReplicationService::Reached() const {
   const auto alive = std::ranges::count_if(exchange_->swim().peers(), [](const auto& item) {
     return item.second.member.state() == proto::Member::ALIVE;
   });
   return 1 + static_cast<std::size_t>(alive);
 }
 
-void Peers::TellConflict() {
+void UdpReplicationService::TellConflict() {
   const std::uint64_t conflicts = exchange_->swim().conflicts();
   std::uint64_t left_out = 0;
   if (conflicts == conflicts_ || !complaints_.Allows(left_out)) return;
@@ -201,11 +205,12 @@
       conflicts);
 }
 
-std::string Peers::Describe() const {
-  const Time now = loop_.Precise();
+std::string UdpReplicationService::Describe() const {
+  const TimePoint now = loop_.Precise();
   const membership::Swim& swim = exchange_->swim();
-  membership::Standing standing = swim.standing();  // a look does not change what is said of it
-  const membership::Standing::Value value = standing.At(now);
+  membership::QuorumTracker quorum_tracker =
+      swim.quorum_tracker();  // a look does not change what is said of it
+  const membership::QuorumTracker::Value value = quorum_tracker.At(now);
   const auto seconds = [](Duration time) { return static_cast<double>(time.count()) * 1e-6; };
   nlohmann::json json = {{"name", name_},
                          {"size", 1 + setup_.seeds.size()},
@@ -213,7 +218,7 @@
                          {"for_s", seconds(now - value.since)},
                          {"proven_s", nullptr},
                          {"view", fmt::format("{:016x}", value.view)},
-                         {"in_view", standing.count()},
+                         {"in_view", quorum_tracker.count()},
                          {"doubt", swim.doubt()},
                          {"most_doubt", swim.options().most_doubt},
                          {"stalls", swim.stalls()},
@@ -223,7 +228,7 @@
                          {"unheard", swim.unheard_seeds()},
                          {"peers", nlohmann::json::array()}};
   if (value.until) json["proven_s"] = seconds(*value.until - now);
-  if (const lease::Directory* directory = exchange_->directory()) {
+  if (const lease::SessionLeaseClient* directory = exchange_->directory()) {
     const auto& counts = directory->counts();
     const auto& granted = directory->owner().counts();
     const auto& courier = exchange_->courier()->counts();
@@ -246,31 +251,33 @@
                           {"heard_s", nullptr},
                           {"same_view", peer.view == value.view},
                           {"differs", nlohmann::json::array()}};
-    if (peer.heard != Time{}) one["heard_s"] = seconds(now - peer.heard);
+    if (peer.heard != TimePoint{}) one["heard_s"] = seconds(now - peer.heard);
     if (differs != swim.differences().end()) one["differs"] = differs->second;
     json["peers"].push_back(std::move(one));
   }
-  for (std::size_t kind = 0; kind < kKinds.size(); ++kind) {
+  for (std::size_t kind = 0; kind < kTrafficKindNames.size(); ++kind) {
     const auto &out = traffic_.out[kind], &in = traffic_.in[kind];
-    json["traffic"][kKinds[kind]] = {{"packets_out", out.packets},
-                                     {"bytes_out", out.bytes},
-                                     {"packets_in", in.packets},
-                                     {"bytes_in", in.bytes}};
+    json["traffic"][kTrafficKindNames[kind]] = {{"packets_out", out.packets},
+                                                {"bytes_out", out.bytes},
+                                                {"packets_in", in.packets},
+                                                {"bytes_in", in.bytes}};
   }
   return json.dump();
 }
 
-std::optional<Position> Peers::Exact(consistency::Key key) { return exchange_->Exact(loop_.Precise(), key); }
+std::optional<LogPosition> UdpReplicationService::Exact(consistency::SessionKey key) {
+  return exchange_->Exact(loop_.Precise(), key);
+}
 
-bool Peers::Want(GroupId group, consistency::Key key, bool write) {
-  using Use = lease::Directory::Use;
+bool UdpReplicationService::Want(GroupId group, consistency::SessionKey key, bool write) {
+  using Use = lease::SessionLeaseClient::Use;
   const Timed timed(*this);
   const bool expected = exchange_->Want(loop_.Precise(), group, key, write ? Use::kWrite : Use::kRead, out_);
   Flush();
   return expected;
 }
 
-bool Peers::WhenHeld(GroupId group, consistency::Key key, std::function<void()> call) {
+bool UdpReplicationService::WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) {
   if (exchange_->MayAnswer(loop_.Precise(), key)) return false;
   Want(group, key, true);
   // Its owner may be this instance itself.
@@ -279,9 +286,9 @@
   return true;
 }
 
-void Peers::AnswerHeld() {
+void UdpReplicationService::AnswerHeld() {
   if (unheld_.empty()) return;
-  const Time now = loop_.Precise();
+  const TimePoint now = loop_.Precise();
   for (Unheld& one : std::exchange(unheld_, {})) {
     if (now >= one.until) continue;
     if (exchange_->MayAnswer(loop_.Precise(), one.key)) {
@@ -293,31 +300,31 @@
   }
 }
 
-void Peers::Learnt() {
+void UdpReplicationService::Learnt() {
   AnswerHeld();
   if (learnt_) learnt_();
 }
 
 // Word that was asked for before a read came does not cover it: it is asked for again as soon as may be.
-void Peers::Solicit() {
+void UdpReplicationService::Solicit() {
   if (exchange_->directory() != nullptr) return;  // what there is to ask has been asked
   if (ask_again_.armed()) return;
   const Timed timed(*this);
-  const Time now = loop_.Precise();
+  const TimePoint now = loop_.Precise();
   if (!exchange_->Solicit(now, out_)) {
     return ask_again_.Set(now + Exchange::kSolicitEvery, [this] { Solicit(); });
   }
   Flush();
 }
 
-void Peers::Leave() {
+void UdpReplicationService::Leave() {
   exchange_->Solicit(loop_.Precise() + Duration(1000000),
                      out_);  // the last marks go out whenever the last flush was
   exchange_->Leave(loop_.Precise(), out_);
   Flush();
 }
 
-void Peers::Flush() {
+void UdpReplicationService::Flush() {
   for (membership::Out& out : std::exchange(out_, {})) {
     const auto address = net::ParseAddress(out.address);
     const net::ObjectPtr<GSocketAddress> target = address ? net::SocketAddress(*address) : nullptr;
@@ -331,7 +338,7 @@
   }
 }
 
-void Peers::OnEvents(std::uint32_t) {
+void UdpReplicationService::OnEvents(std::uint32_t) {
   {
     const Timed timed(*this);
     TakeAll();
@@ -340,7 +347,7 @@
   Learnt();
 }
 
-void Peers::TakeAll() {
+void UdpReplicationService::TakeAll() {
   std::array<char, kMostDatagram> buffer;
   for (int i = 0; i < kDatagramsAtOnce; ++i) {
     GSocketAddress* from = nullptr;
@@ -353,7 +360,7 @@
   }
 }
 
-void Peers::Take(std::string_view datagram, const std::string& from) {
+void UdpReplicationService::Take(std::string_view datagram, const std::string& from) {
   if (passes_ && !passes_(from)) return;
   auto opened = envelope_->Open(datagram);
   if (const auto* packet = std::get_if<proto::Packet>(&opened)) {
@@ -367,13 +374,13 @@
   std::uint64_t left_out = 0;
   if (!complaints_.Allows(left_out)) return;
   spdlog::warn("peers: a datagram from {} is dropped: {}; {} more lines like this left out", from,
-               Envelope::NameOf(std::get<Envelope::Fault>(opened)), left_out);
+               DatagramAuthenticator::NameOf(std::get<DatagramAuthenticator::Fault>(opened)), left_out);
 }
 
 }  // namespace lynxgrade::replication
 
 // The module's one door: peers/load.cpp calls it.
-extern "C" G_MODULE_EXPORT lynxgrade::replication::Service* lynxgrade_make_peers(
-    lynxgrade::replication::Parts* parts) {
-  return new lynxgrade::replication::Peers(std::move(*parts));
+extern "C" G_MODULE_EXPORT lynxgrade::replication::ReplicationService* lynxgrade_make_peers(
+    lynxgrade::replication::ReplicationContext* parts) {
+  return new lynxgrade::replication::UdpReplicationService(std::move(*parts));
 }
--- a/src/replication/udp_replication_service.h
+++ b/src/replication/udp_replication_service.h
@@ -19,19 +19,22 @@
 
 namespace lynxgrade::replication {
 
-class Peers final : public Service, private net::Poller::Handler, private consistency::Holding {
+class UdpReplicationService final : public ReplicationService,
+                                    private net::Poller::Handler,
+                                    private consistency::SessionLeases {
  public:
-  explicit Peers(Parts parts);
-  ~Peers() override;
-  Peers(const Peers&) = delete;
-  Peers& operator=(const Peers&) = delete;
+  explicit UdpReplicationService(ReplicationContext parts);
+  ~UdpReplicationService() override;
+  UdpReplicationService(const UdpReplicationService&) = delete;
+  UdpReplicationService& operator=(const UdpReplicationService&) = delete;
 
   std::string Start() override;
   void ReloadKeys() override;
-  void Wrote(GroupId group, consistency::Key key, const consistency::Mark& mark) override {
-    exchange_->Wrote(group, key, mark);
+  void Wrote(GroupId group, consistency::SessionKey key,
+             const consistency::WriteWatermark& watermark) override {
+    exchange_->Wrote(group, key, watermark);
   }
-  bool WhenHeld(GroupId group, consistency::Key key, std::function<void()> call) override;
+  bool WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) override;
   void Solicit() override;
   bool Ready() const override;
   std::string Describe() const override;
@@ -52,13 +55,13 @@
   // Answered writes of sessions that are not held yet.
   struct Unheld {
     GroupId group{};
-    consistency::Key key{};
+    consistency::SessionKey key{};
     std::function<void()> call;
-    Time until{};
+    TimePoint until{};
   };
 
-  std::optional<Position> Exact(consistency::Key key) override;
-  bool Want(GroupId group, consistency::Key key, bool write) override;
+  std::optional<LogPosition> Exact(consistency::SessionKey key) override;
+  bool Want(GroupId group, consistency::SessionKey key, bool write) override;
   // Lets go the answers that may be given now, and goes on asking for the others.
   void AnswerHeld();
   // What came may let reads and answers go on.
@@ -76,36 +79,36 @@
   // Counts a stretch of this thread's processor time; one inside another is counted with it.
   class Timed {
    public:
-    explicit Timed(Peers& of);
+    explicit Timed(UdpReplicationService& of);
     ~Timed();
     Timed(const Timed&) = delete;
     Timed& operator=(const Timed&) = delete;
 
    private:
-    Peers& of_;
+    UdpReplicationService& of_;
     std::int64_t from_;
   };
 
   net::Loop& loop_;
-  PeersSetup setup_;
+  ReplicationSettings setup_;
   std::string name_;
   bool recovered_;
-  consistency::Keeper& keeper_;
+  consistency::SessionConsistencyGuard& consistency_guard_;
   std::function<void()> learnt_;
   std::function<bool(const std::string&)> passes_;
   bool members_only_;
   Traffic traffic_;
   net::ObjectPtr<GSocket> socket_;
-  std::unique_ptr<Envelope> envelope_;
+  std::unique_ptr<DatagramAuthenticator> envelope_;
   std::unique_ptr<Exchange> exchange_;
   std::vector<membership::Out> out_;
   std::vector<Unheld> unheld_;
   net::Timer tick_;
   net::Timer ask_again_;
   net::LogLimit complaints_;
-  membership::Part part_ = membership::Part::kInDoubt;
-  Time part_told_{};
-  Time started_{};
+  membership::QuorumState part_ = membership::QuorumState::kUnknown;
+  TimePoint part_told_{};
+  TimePoint started_{};
   std::uint64_t dropped_ = 0;
   std::int64_t spent_ns_ = 0;
   int timed_ = 0;                // stretches that are under way, one in another
--- a/src/routing/balancer.cpp
+++ b/src/routing/balancer.cpp
@@ -70,54 +70,54 @@
 enum class TimerKind : std::uint64_t { kEnd = 1, kBeat = 2, kWatch = 3 };
 
 struct Outstanding {
-  Time sent{};
+  TimePoint sent{};
   ClassIndex cls = 0;
   bool spilled = false;
-  std::optional<Position> target;
+  std::optional<LogPosition> target;
   bool blind = false;      // sent though it was not known how far the member has come
   std::size_t beside = 0;  // this proxy's others there, when it was sent
 };
 
 struct Member {
-  MemberId id{};
+  ServerId id{};
   GroupId group{};
   ZoneIndex zone = 0;
   double weight = 1;
-  bool leaving = false;      // told that it drains or is gone
-  std::optional<Time> gone;  // since when, where it does not merely drain
-  std::optional<Time> started;
-  estimation::LogPosition position;
-  std::optional<Time> primary_at;  // newest proof or claim of being primary
-  std::optional<Time> replica_at;  // and of not being it
-  fleet::Latency latency;
+  bool leaving = false;           // told that it drains or is gone
+  std::optional<TimePoint> gone;  // since when, where it does not merely drain
+  std::optional<TimePoint> started;
+  estimation::ReplicaPosition position;
+  std::optional<TimePoint> primary_at;  // newest proof or claim of being primary
+  std::optional<TimePoint> replica_at;  // and of not being it
+  fleet::ServerLatencyEstimator latency;
   double fail = 0;
   int failures = 0;   // in a row
   int lost = 0;       // of them the newest, in a row, that brought no answer at all
   bool down = false;  // one of them while an attempt was out, or a probe found nothing there
   int rests = 0;
-  Time answered{};  // when the newest attempt that it answered was sent
-  Time resting_until{};
-  Time short_until{};  // of connections
+  TimePoint answered{};  // when the newest attempt that it answered was sent
+  TimePoint resting_until{};
+  TimePoint short_until{};  // of connections
   double queued = 0;
   std::map<std::pair<RequestId, AttemptNumber>, Outstanding> out;
-  fleet::ColdStore cold;
-  Time probed{};
+  fleet::WarmingTokenBucket cold;
+  TimePoint probed{};
   bool probing = false;
-  limits::Window spare;  // for waiting reads that a primary may hold for this proxy
+  limits::AimdWindow spare;  // for waiting reads that a primary may hold for this proxy
 };
 
 struct Group {
-  std::vector<MemberId> members;
+  std::vector<ServerId> servers;
   std::uint64_t role_changes = 0;
   bool searching = false;
-  fleet::Demand demand[2];  // for its replicas, and for its primary
-  fleet::Crowd crowd[2];    // likewise
+  fleet::DemandEstimator demand[2];       // for its replicas, and for its primary
+  fleet::GroupLatencyEstimator crowd[2];  // likewise
 };
 
 struct Attempt {
-  MemberId member{};
+  ServerId server{};
   ZoneIndex zone = 0;  // of the member
-  Time sent{};
+  TimePoint sent{};
   bool pending = true;
   bool may_have_run = true;
   bool arrived = true;  // at its member, as far as is known
@@ -125,12 +125,12 @@
 
 struct Request {
   RequestEvent ask;
-  Time arrived{};
-  Time asked{};  // by the client for the first time, as far as can be told: from then on its aim counts
-  Time deadline{};
+  TimePoint arrived{};
+  TimePoint asked{};  // by the client for the first time, as far as can be told: from then on its aim counts
+  TimePoint deadline{};
   std::vector<Attempt> attempts;
-  Time next_try{};
-  std::set<MemberId> missed;
+  TimePoint next_try{};
+  std::set<ServerId> missed;
   int role_misses = 0;
   std::uint64_t missed_at_change = 0;
 };
@@ -143,7 +143,7 @@
     for (const RequestClass& cls : s_.classes) class_latency_.push_back(std::max(1e-3, Seconds(cls.aim) / 4));
   }
 
-  void Handle(Time now, const Event& event, Actions& actions) {
+  void Handle(TimePoint now, const Event& event, Actions& actions) {
     now_ = now;
     out_ = &actions;
     ForgiveOwnStall();
@@ -165,9 +165,9 @@
       return;
     }
     watch_failures_ = 0;
-    std::set<MemberId> named;
+    std::set<ServerId> named;
     for (const ListEntry& entry : event.entries) {
-      named.insert(entry.member);
+      named.insert(entry.server);
       TakeEntry(entry, event.kind == ListKind::kPersisted);
     }
     if (event.kind != ListKind::kPartial) {
@@ -182,13 +182,13 @@
   }
 
   void TakeEntry(const ListEntry& entry, bool old) {
-    const auto [it, fresh] = members_.try_emplace(entry.member);
+    const auto [it, fresh] = members_.try_emplace(entry.server);
     Member& m = it->second;
     if (fresh) {
-      m.id = entry.member;
+      m.id = entry.server;
       m.group = entry.group;
       m.zone = entry.zone;
-      groups_[m.group].members.push_back(m.id);
+      groups_[m.group].servers.push_back(m.id);
     }
     m.weight = entry.weight > 0 ? entry.weight : 1;
     // What was told to drain is out until it is listed as serving again: gone after that changes nothing.
@@ -201,11 +201,11 @@
     if (entry.started && (!m.started || *entry.started > *m.started)) StartedAt(m, *entry.started);
     if (s_.list_role == ListRole::kNone) return;
     // A list's word on the role is as old as the list may be: any answer or report outweighs it.
-    const Time age = old || s_.list_role == ListRole::kStart ? Time{} : now_ - kListAge;
+    const TimePoint age = old || s_.list_role == ListRole::kStart ? TimePoint{} : now_ - kListAge;
     if (entry.primary && (!m.primary_at || *m.primary_at < age)) RoleSeen(m, true, age);
   }
 
-  void StartedAt(Member& m, Time when) {
+  void StartedAt(Member& m, TimePoint when) {
     m.started = when;
     m.resting_until = now_;
     m.latency = {};
@@ -218,7 +218,7 @@
   // that comes back soon is known by what it was.
   bool Forgotten(const Member& m) {
     if (!m.gone || now_ - *m.gone < kGoneKept || m.probing || !m.out.empty()) return false;
-    std::erase(groups_[m.group].members, m.id);
+    std::erase(groups_[m.group].servers, m.id);
     return true;
   }
 
@@ -232,8 +232,8 @@
   double Nominal() const {
     double quota = 0;
     for (const Tenant& tenant : s_.tenants) quota += tenant.quota_per_s;
-    const double members = static_cast<double>(std::max<std::size_t>(1, members_.size()));
-    return std::max(1.0, kNominalPart * quota * ShortestWork() / members) / fleet::Size(s_.peers_total);
+    const double servers = static_cast<double>(std::max<std::size_t>(1, members_.size()));
+    return std::max(1.0, kNominalPart * quota * ShortestWork() / servers) / fleet::Size(s_.peers_total);
   }
 
   // This proxy's part of what a cold member may be sent, in work a second.
@@ -276,8 +276,8 @@
   bool Usable(const Member& m) const { return !m.leaving && now_ >= m.resting_until; }
 
   // ---- Roles and positions --------------------------------------------------------------------------
-  void RoleSeen(Member& m, bool primary, Time when) {
-    std::optional<Time>& mark = primary ? m.primary_at : m.replica_at;
+  void RoleSeen(Member& m, bool primary, TimePoint when) {
+    std::optional<TimePoint>& mark = primary ? m.primary_at : m.replica_at;
     const bool was = IsPrimary(m);
     if (!mark || when > *mark) mark = when;
     if (was == IsPrimary(m)) return;
@@ -294,18 +294,18 @@
   // The member with the newest evidence of being primary.
   Member* Primary(GroupId group) {
     Member* best = nullptr;
-    for (MemberId id : groups_[group].members) {
+    for (ServerId id : groups_[group].servers) {
       Member& m = members_.at(id);
       if (IsPrimary(m) && (best == nullptr || *m.primary_at > *best->primary_at)) best = &m;
     }
     return best;
   }
 
-  void PositionSeen(Member& m, Position position) {
+  void PositionSeen(Member& m, LogPosition position) {
     stirred_ = m.position.Seen(Since(now_), Since(position)) || stirred_;
   }
 
-  void TakeReport(Member& m, const Report& report) {
+  void TakeReport(Member& m, const LoadReport& report) {
     if (report.queued) m.queued = *report.queued;
     if (report.primary && report.position) {
       // A primary stands at the present and a replica not past it: the position dates the claim.
@@ -314,19 +314,19 @@
     if (report.position) PositionSeen(m, *report.position);
   }
 
-  static Duration Since(Time t) { return t.time_since_epoch(); }
-  Position Expected(const Member& m) const { return Position(m.position.Expected(Since(now_))); }
-  bool Known(const Member& m, const std::optional<Position>& target) const {
+  static Duration Since(TimePoint t) { return t.time_since_epoch(); }
+  LogPosition Expected(const Member& m) const { return LogPosition(m.position.Expected(Since(now_))); }
+  bool Known(const Member& m, const std::optional<LogPosition>& target) const {
     return !target || m.position.Known(Since(now_), Since(*target));
   }
 
   // Whether a read may be expected to find its target there; members that check guard the rule themselves.
-  bool Reached(const Member& m, const std::optional<Position>& target) const {
+  bool Reached(const Member& m, const std::optional<LogPosition>& target) const {
     return Proven(m, target) ||
            (s_.lag_check != LagCheck::kNone && Known(m, target) && Expected(m) >= *target);
   }
 
-  std::optional<Position> Target(const Request& r) const {
+  std::optional<LogPosition> Target(const Request& r) const {
     const RequestClass& cls = Class(r);
     if (cls.kind == ReadKind::kBounded) return now_ - cls.bound;
     if (cls.kind == ReadKind::kSession) return r.ask.target;
@@ -341,11 +341,11 @@
   bool NeedsPrimary(const Request& r) const { return NeedsPrimary(Class(r)); }
   double Cost(const Request& r) const { return class_latency_[r.ask.cls]; }
 
-  static bool Proven(const Member& m, const std::optional<Position>& target) {
+  static bool Proven(const Member& m, const std::optional<LogPosition>& target) {
     return !target || m.position.Proven(Since(*target));
   }
-  static bool Tried(const Request& r, MemberId id) {
-    return std::ranges::any_of(r.attempts, [id](const Attempt& a) { return a.member == id; });
+  static bool Tried(const Request& r, ServerId id) {
+    return std::ranges::any_of(r.attempts, [id](const Attempt& a) { return a.server == id; });
   }
   static bool Pending(const Request& r) {
     return std::ranges::any_of(r.attempts, [](const Attempt& a) { return a.pending; });
@@ -377,11 +377,11 @@
   // The replicas that a read may be drawn from now: those proven to reach its target, else, where members
   // check, all of them.
   std::vector<Member*> Candidates(const Request& r) {
-    const std::optional<Position> target = Target(r);
+    const std::optional<LogPosition> target = Target(r);
     std::vector<Member*> proven, others, resting;
     bool any_usable = false;
     Member* primary = Primary(r.ask.group);
-    for (MemberId id : groups_[r.ask.group].members) {
+    for (ServerId id : groups_[r.ask.group].servers) {
       Member& m = members_.at(id);
       if (&m == primary) continue;
       any_usable = any_usable || (Usable(m) && HasRoom(r, m));
@@ -427,7 +427,7 @@
   // The replica that takes the long reads: the first by id.
   const Member* HostOf(const Group& g) const {
     const Member* host = nullptr;
-    for (MemberId id : g.members) {
+    for (ServerId id : g.servers) {
       const Member& m = members_.at(id);
       if (Usable(m) && !IsPrimary(m) && (host == nullptr || id < host->id)) host = &m;
     }
@@ -436,11 +436,11 @@
 
   Member* Draw(const Request& r, const std::vector<Member*>& from) {
     if (from.empty()) return nullptr;
-    const std::optional<Position> target = Target(r);
+    const std::optional<LogPosition> target = Target(r);
     const Member* host = HostOf(groups_[r.ask.group]);
     const bool together = LongAny(r) && host != nullptr &&
                           class_latency_[r.ask.cls] * Slowness(*host) <= kSpareAim * Seconds(Class(r).aim);
-    std::vector<fleet::Lot> lots;
+    std::vector<fleet::WeightedCandidate> lots;
     const double wanted = Wanted(r);
     for (const Member* m : from) {
       double o =
@@ -454,7 +454,7 @@
       if (together && m == host) o *= kTogether;
       lots.push_back({o, ColdByChance(*m) ? fleet::Odds(ColdRate(*m), wanted) : 1});
     }
-    const auto drawn = fleet::Draw(lots, std::uniform_real_distribution<double>(0, 1)(random_));
+    const auto drawn = fleet::ChooseCapped(lots, std::uniform_real_distribution<double>(0, 1)(random_));
     return drawn ? from[*drawn] : nullptr;
   }
 
@@ -491,9 +491,9 @@
 
   bool PositionReached(const Request& r) {
     if (NeedsPrimary(r)) return groups_[r.ask.group].role_changes != r.missed_at_change;
-    const std::optional<Position> target = Target(r);
+    const std::optional<LogPosition> target = Target(r);
     if (!target) return false;
-    for (MemberId id : groups_[r.ask.group].members) {
+    for (ServerId id : groups_[r.ask.group].servers) {
       const Member& m = members_.at(id);
       if (Usable(m) && !IsPrimary(m) && Reached(m, target)) return true;
     }
@@ -503,10 +503,10 @@
   // Whether a replica may yet come to the target of a read that must be proven, while an answer is of use.
   // Else it is given up at once: it would be refused all the same, and its client come again too late.
   bool AnyMayReach(const Request& r) {
-    const std::optional<Position> target = Target(r);
+    const std::optional<LogPosition> target = Target(r);
     const Duration within = UsefulUntil(r) - now_ - Times(Duration(1000000), Cost(r) / 2);
     bool none = true;
-    for (MemberId id : groups_[r.ask.group].members) {
+    for (ServerId id : groups_[r.ask.group].servers) {
       const Member& m = members_.at(id);
       if (m.leaving || IsPrimary(m)) continue;
       const bool moves = Class(r).kind == ReadKind::kBounded;
@@ -553,8 +553,8 @@
 
   // Whether a replica may reach the read's target while it would hold the read.
   bool AnyInReach(const Request& r) {
-    const std::optional<Position> target = Target(r);
-    for (MemberId id : groups_[r.ask.group].members) {
+    const std::optional<LogPosition> target = Target(r);
+    for (ServerId id : groups_[r.ask.group].servers) {
       const Member& m = members_.at(id);
       if (!Usable(m) || IsPrimary(m)) continue;
       if (!target || !s_.may_probe) return true;
@@ -602,7 +602,7 @@
   Member* Unasked(const Request& r, const Member* shown) {
     if (r.attempts.size() + kKeptForFound >= s_.max_attempts) return nullptr;
     std::vector<Member*> unheard, others;
-    for (MemberId id : groups_[r.ask.group].members) {
+    for (ServerId id : groups_[r.ask.group].servers) {
       Member& m = members_.at(id);
       if (&m == shown || r.missed.contains(id) || !Usable(m) || !MaySend(r, m)) continue;
       if (m.replica_at && now_ - *m.replica_at < kPause * kRolePauses) continue;
@@ -631,7 +631,7 @@
     stay_.Seen(Seconds(now_ - r.arrived) / std::max(1e-6, Seconds(Class(r).aim)), left);
   }
 
-  Time UsefulUntil(const Request& r) const {
+  TimePoint UsefulUntil(const Request& r) const {
     if (Class(r).late_value >= kLateMatters) return r.deadline;
     return std::min(r.deadline, r.asked + Aim(r));
   }
@@ -639,7 +639,7 @@
   // A request that is expected to come too late is refused early; the more so, the later.
   bool Hopeless(const Request& r, const Member& m) {
     // Once the aim has passed, what is left of the usefulness counts.
-    const Time aim = r.asked + Aim(r);
+    const TimePoint aim = r.asked + Aim(r);
     const double left =
         std::max(1e-4, Seconds((now_ < aim ? std::min(aim, r.deadline) : UsefulUntil(r)) - now_));
     return Chance(std::min(kMostRefused, (Expects(r, m) / left * Cheapness(r) - kHopeless) / kHopelessRamp));
@@ -667,13 +667,13 @@
     if (event.cls >= s_.classes.size()) throw std::out_of_range("request of an unknown class");
     // A group that no list has named has no members, and clients could fill the table with such.
     if (!groups_.contains(event.group)) {
-      out_->push_back(Refuse{event.id, s_.clients_wait_as_told ? kPause : Duration{0}});
+      out_->push_back(Reject{event.id, s_.clients_wait_as_told ? kPause : Duration{0}});
       return;
     }
     Request& r = requests_[event.id];
     r.ask = event;
     r.arrived = now_ - event.waited;
-    estimation::FirstTry& first = first_tries_[event.cls];
+    estimation::FirstAttemptEstimator& first = first_tries_[event.cls];
     r.deadline = now_ + event.time_left;
     r.asked = r.arrived - first.Age(Class(r).deadline, r.deadline - r.arrived, event.repeat);
     retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + kRetryShare);
@@ -687,7 +687,7 @@
   }
 
   void On(const OutcomeEvent& event) {
-    const auto found = members_.find(event.member);
+    const auto found = members_.find(event.server);
     if (found == members_.end() || !found->second.out.contains({event.id, event.attempt})) return;
     Member& m = found->second;
     const Outstanding was = m.out.extract({event.id, event.attempt}).mapped();
@@ -727,7 +727,7 @@
   // What an outcome says of the member.
   void Judge(Member& m, const Outstanding& was, Outcome outcome, Duration time) {
     double& usual = class_latency_[was.cls];
-    fleet::Crowd& crowd = groups_[m.group].crowd[IsPrimary(m)];
+    fleet::GroupLatencyEstimator& crowd = groups_[m.group].crowd[IsPrimary(m)];
     const Duration now = now_.time_since_epoch();
     if (outcome == Outcome::kOk) {
       const double taken = std::max(1e-4, Seconds(time));
@@ -797,7 +797,7 @@
   // proxy (pauses, starved processes); a true pause of all traffic is never counted, as the beat goes on.
   void ForgiveOwnStall() {
     const Duration gap = now_ - handled_;
-    if (handled_ != Time{} && gap > kPause * 2) {
+    if (handled_ != TimePoint{} && gap > kPause * 2) {
       for (auto& [id, m] : members_) {
         for (auto& [key, sent] : m.out) sent.sent = std::min(now_, sent.sent + gap - kPause);
         m.position.Forgive(Since(now_), gap - kPause);
@@ -852,7 +852,7 @@
     if (it != requests_.end()) Forget(it->second);
   }
 
-  void On(const GoneEvent& event) {
+  void On(const ClientDisconnectedEvent& event) {
     const auto it = requests_.find(event.id);
     if (it == requests_.end()) return;
     if (now_ + s_.tick * 2 < it->second.deadline) StaySeen(it->second, true);
@@ -877,7 +877,7 @@
   Duration ComeBack(const Request& r) {
     if (!s_.clients_wait_as_told) return Duration{0};
     std::optional<Duration> soonest;
-    for (MemberId id : groups_[r.ask.group].members) {
+    for (ServerId id : groups_[r.ask.group].servers) {
       const Member& m = members_.at(id);
       if (m.leaving || NeedsPrimary(r) != IsPrimary(m)) continue;
       const Duration rest = std::max(Duration{0}, m.resting_until - now_);
@@ -893,7 +893,7 @@
     first_tries_[r.ask.cls].Unserved(now_ - r.asked);
     StaySeen(r, false);
     CancelPending(r);
-    out_->push_back(MayRefuse(r) ? Action(Refuse{r.ask.id, ComeBack(r)}) : Action(Fail{r.ask.id}));
+    out_->push_back(MayRefuse(r) ? Action(Reject{r.ask.id, ComeBack(r)}) : Action(Fail{r.ask.id}));
     Forget(r);
   }
 
@@ -925,8 +925,8 @@
     return true;
   }
 
-  void On(const ProbeEvent& event) {
-    const auto it = members_.find(event.member);
+  void On(const HealthCheckEvent& event) {
+    const auto it = members_.find(event.server);
     if (it == members_.end()) return;
     Member& m = it->second;
     m.probing = false;
@@ -936,8 +936,8 @@
 
   // Nobody is known to qualify and members do not check: ask those that may, by what was last heard of them.
   void Ask(const Request& r) {
-    const std::optional<Position> target = Target(r);
-    for (MemberId id : groups_[r.ask.group].members) {
+    const std::optional<LogPosition> target = Target(r);
+    for (ServerId id : groups_[r.ask.group].servers) {
       Member& m = members_.at(id);
       if (!target || !Usable(m) || IsPrimary(m)) continue;
       if (m.position.MayHold(Since(now_), Since(*target))) ProbeMember(m);
@@ -977,7 +977,7 @@
       if (NeedsPrimary(r) && groups_[r.ask.group].searching) sought.insert(r.ask.group);
     }
     for (GroupId id : sought) {
-      const std::vector<MemberId>& of = groups_[id].members;
+      const std::vector<ServerId>& of = groups_[id].servers;
       if (!of.empty()) PaidProbe(members_.at(of[random_() % of.size()]));
     }
   }
@@ -1007,24 +1007,25 @@
   }
 
   Settings s_;
-  const fleet::WarmUp warm_up_{s_.start_capacity, s_.cold_time, s_.overload_factor, s_.fall_time};
+  const fleet::SlowStartRule warm_up_{s_.start_capacity, s_.cold_time, s_.overload_factor, s_.fall_time};
   std::mt19937_64 random_;
-  Time now_{};
-  Time handled_{};
+  TimePoint now_{};
+  TimePoint handled_{};
   Actions* out_ = nullptr;
   bool stirred_ = false;
-  std::map<MemberId, Member> members_;
+  std::map<ServerId, Member> members_;
   std::map<GroupId, Group> groups_;
   std::map<RequestId, Request> requests_;
   std::set<RequestId> waiting_;
   std::vector<double> class_latency_;
-  std::vector<estimation::FirstTry> first_tries_ = std::vector<estimation::FirstTry>(s_.classes.size());
-  estimation::Stay stay_;
+  std::vector<estimation::FirstAttemptEstimator> first_tries_ =
+      std::vector<estimation::FirstAttemptEstimator>(s_.classes.size());
+  estimation::ClientPatienceEstimator stay_;
   double miss_share_[2] = {0, 0};  // of other replicas, and of hosts of long reads
   double retry_tokens_ = kRetryBurst;
   double probe_tokens_ = kRetryBurst;
-  fleet::Carried carried_;
-  fleet::Demand demand_[2];  // over all groups
+  fleet::WarmServerThroughput carried_;
+  fleet::DemandEstimator demand_[2];  // over all groups
   int watch_failures_ = 0;
 };
 
@@ -1034,6 +1035,8 @@
 Balancer::Balancer(Balancer&&) noexcept = default;
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
-void Balancer::Handle(Time now, const Event& event, Actions& actions) { impl_->Handle(now, event, actions); }
+void Balancer::Handle(TimePoint now, const Event& event, Actions& actions) {
+  impl_->Handle(now, event, actions);
+}
 
 }  // namespace lynxgrade
--- a/src/routing/balancer.h
+++ b/src/routing/balancer.h
@@ -24,13 +24,13 @@
   static constexpr bool is_steady = true;
 };
 using Duration = ProxyClock::duration;
-using Time = ProxyClock::time_point;
+using TimePoint = ProxyClock::time_point;
 
 // Positions in a log are times on the proxies' clock: everything committed by then is applied.
-using Position = Time;
+using LogPosition = TimePoint;
 
 enum class RequestId : std::uint32_t {};
-enum class MemberId : std::uint32_t {};
+enum class ServerId : std::uint32_t {};
 enum class GroupId : std::int64_t {};
 enum class TimerId : std::uint64_t {};
 using ClassIndex = std::uint32_t;
@@ -99,8 +99,8 @@
 };
 
 // What a member says of itself. Absent: not reported.
-struct Report {
-  std::optional<Position> position{};
+struct LoadReport {
+  std::optional<LogPosition> position{};
   std::optional<bool> primary{};
   std::optional<double> queued{};
   std::optional<double> held{};
@@ -108,21 +108,21 @@
 };
 
 // The note that comes with an answer.
-struct Note {
-  std::optional<Position> position{};
+struct ResponseMetadata {
+  std::optional<LogPosition> position{};
   std::optional<bool> primary{};
 };
 
 enum class Lifecycle { kServing, kDraining, kDeleted };
 
 struct ListEntry {
-  MemberId member{};
+  ServerId server{};
   GroupId group{};
   ZoneIndex zone = 0;
   Lifecycle lifecycle = Lifecycle::kServing;
   bool primary = false;
   double weight = 1;
-  std::optional<Time> started{};
+  std::optional<TimePoint> started{};
 };
 
 enum class ListKind { kPersisted, kComplete, kPartial, kError };
@@ -141,43 +141,43 @@
   std::string session{};
   bool repeat = false;
   std::optional<Duration> since_write{};
-  std::optional<Position> target{};  // kSession: what the data must hold; from src/consistency/
-  bool proven_only = false;          // and it goes to nobody who is not proven to, whoever checks
-  std::optional<Time> arrived{};     // the latest at which it can have been sent; absent: now
-  Duration waited{0};                // of its client's time, from its last byte until the module hears of it
-  Duration time_left{0};             // from then on; none where it is over
+  std::optional<LogPosition> target{};  // kSession: what the data must hold; from src/consistency/
+  bool proven_only = false;             // and it goes to nobody who is not proven to, whoever checks
+  std::optional<TimePoint> arrived{};   // the latest at which it can have been sent; absent: now
+  Duration waited{0};     // of its client's time, from its last byte until the module hears of it
+  Duration time_left{0};  // from then on; none where it is over
 };
 
 struct OutcomeEvent {
   RequestId id{};
   AttemptNumber attempt = 0;
-  MemberId member{};
+  ServerId server{};
   Outcome outcome = Outcome::kOk;
   Duration taken{0};
   bool request_done = false;
-  Note note{};
-  std::optional<Report> report{};
+  ResponseMetadata note{};
+  std::optional<LoadReport> report{};
 };
 
 struct StreamEvent {
   RequestId id{};
   AttemptNumber attempt = 0;
-  MemberId member{};
+  ServerId server{};
   Duration taken{0};
 };
 
-struct ProbeEvent {
-  MemberId member{};
+struct HealthCheckEvent {
+  ServerId server{};
   Outcome outcome = Outcome::kError;
   Duration taken{0};
-  std::optional<Report> report{};
+  std::optional<LoadReport> report{};
 };
 
 struct TimerEvent {
   TimerId id{};
 };
 
-struct GoneEvent {
+struct ClientDisconnectedEvent {
   RequestId id{};
 };
 
@@ -186,17 +186,17 @@
   std::string message;
 };
 
-using Event = std::variant<ListEvent, RequestEvent, OutcomeEvent, StreamEvent, ProbeEvent, TimerEvent,
-                           GoneEvent, PeerEvent>;
+using Event = std::variant<ListEvent, RequestEvent, OutcomeEvent, StreamEvent, HealthCheckEvent, TimerEvent,
+                           ClientDisconnectedEvent, PeerEvent>;
 
 struct Send {
   RequestId id{};
-  MemberId member{};
+  ServerId server{};
   Duration limit{0};
   // A repeat of what may have run: its last byte goes out within this, or not at all.
   Duration write_within = Duration::max();
 };
-struct Refuse {
+struct Reject {
   RequestId id{};
   Duration stay_away{0};
 };
@@ -212,7 +212,7 @@
   Duration delay{0};
 };
 struct Probe {
-  MemberId member{};
+  ServerId server{};
 };
 struct Watch {
   bool on = true;
@@ -223,14 +223,14 @@
   std::string message;
 };
 struct CloseIdle {
-  MemberId member{};
+  ServerId server{};
 };
 struct Log {
   std::string text;
 };
 
 using Action =
-    std::variant<Send, Refuse, Fail, Cancel, SetTimer, Probe, Watch, FetchList, TellPeers, CloseIdle, Log>;
+    std::variant<Send, Reject, Fail, Cancel, SetTimer, Probe, Watch, FetchList, TellPeers, CloseIdle, Log>;
 using Actions = std::vector<Action>;
 
 class Balancer {
@@ -241,7 +241,7 @@
   Balancer& operator=(Balancer&&) noexcept;
 
   // Takes one event at the clock time `now` and appends what is to be done. `now` never falls.
-  void Handle(Time now, const Event& event, Actions& actions);
+  void Handle(TimePoint now, const Event& event, Actions& actions);
 
  private:
   class Impl;
--- a/src/settings/platform_config.cpp
+++ b/src/settings/platform_config.cpp
@@ -47,9 +47,9 @@
   return seed;
 }
 
-Config Decode(const Json& json) {
+PlatformConfig Decode(const Json& json) {
   if (!json.is_object()) throw std::runtime_error("it is not a JSON object");
-  Config config;
+  PlatformConfig config;
   config.name = Name(json, "name");
   config.listen = AddressIn(json, "listen");
   config.discovery = AddressIn(json, "discovery");
@@ -86,7 +86,7 @@
 
 }  // namespace
 
-std::variant<Config, std::string> ReadConfig(std::string_view text) {
+std::variant<PlatformConfig, std::string> ParsePlatformConfig(std::string_view text) {
   const Json json = Json::parse(text, nullptr, false);
   if (json.is_discarded()) return std::string("it is not JSON");
   try {
--- a/src/settings/platform_config.h
+++ b/src/settings/platform_config.h
@@ -13,7 +13,7 @@
 
 namespace lynxgrade {
 
-struct Config {
+struct PlatformConfig {
   std::string name;
   net::Address listen;
   net::Address discovery;
@@ -28,6 +28,6 @@
 };
 
 // The configuration, or one plain sentence that says what is wrong with it.
-std::variant<Config, std::string> ReadConfig(std::string_view text);
+std::variant<PlatformConfig, std::string> ParsePlatformConfig(std::string_view text);
 
 }  // namespace lynxgrade
--- a/src/settings/program_settings.cpp
+++ b/src/settings/program_settings.cpp
@@ -59,7 +59,7 @@
     if (const auto whole = Whole(key, least, most)) value = static_cast<std::size_t>(*whole) * unit;
   }
 
-  void Time(const char* key, Duration& value, std::int64_t least, std::int64_t most, Duration unit) {
+  void TimePoint(const char* key, Duration& value, std::int64_t least, std::int64_t most, Duration unit) {
     if (const auto whole = Whole(key, least, most)) value = unit * *whole;
   }
 
@@ -109,7 +109,7 @@
   }
 
   // For what only the values together show.
-  [[noreturn]] void Refuse(const char* key, const std::string& what) {
+  [[noreturn]] void Reject(const char* key, const std::string& what) {
     const toml::node* node = Find(key);
     const std::string where = node != nullptr ? Where(*node) : table_ != nullptr ? Where(*table_) : "line 1";
     throw std::runtime_error(where + ": " + Named(key) + " " + what);
@@ -143,67 +143,68 @@
       "scope", sessions.scope,
       {{"instance", consistency::Scope::kInstance}, {"everywhere", consistency::Scope::kEverywhere}});
   section.Size("capacity", sessions.sessions, 64, 100'000'000);
-  section.Time("recall_s", sessions.recall, 1, 86'400, kSecond);
-  section.Time("least_failover_ms", sessions.least_failover, 0, 60'000, kMs);
+  section.TimePoint("recall_s", sessions.recall, 1, 86'400, kSecond);
+  section.TimePoint("least_failover_ms", sessions.least_failover, 0, 60'000, kMs);
   section.Flag("refuse_doubt", sessions.refuse_doubt);
-  section.Time("hold_ms", sessions.hold, 0, 1'000, kMs);
+  section.TimePoint("hold_ms", sessions.hold, 0, 1'000, kMs);
   section.Close();
 }
 
-void ReadState(const toml::table& root, const consistency::Options& sessions, StateSetup& state) {
+void ReadState(const toml::table& root, const consistency::Options& sessions, DurabilitySettings& state) {
   Section section(root, "state");
   section.Text("folder", state.folder);
   section.Word("commit", state.to_disk, {{"kernel", false}, {"disk", true}});
   section.Size("snapshot_mb", state.snapshot_bytes, 1, 4'096, 1u << 20);
-  section.Time("stall_ms", state.stall, 10, 5'000, kMs);
+  section.TimePoint("stall_ms", state.stall, 10, 5'000, kMs);
   section.Close();
   if (!state.folder.empty() && sessions.scope != consistency::Scope::kEverywhere) {
-    section.Refuse("folder", "is of use only where sessions.scope is \"everywhere\"");
+    section.Reject("folder", "is of use only where sessions.scope is \"everywhere\"");
   }
 }
 
-void ReadPeers(const toml::table& root, const consistency::Options& sessions, PeersSetup& peers) {
+void ReadPeers(const toml::table& root, const consistency::Options& sessions, ReplicationSettings& peers) {
   Section section(root, "peers");
   peers.listen = section.Address("listen");
   peers.advertise = section.Address("advertise");
   section.Text("name", peers.name);
   section.Addresses("seeds", peers.seeds);
   section.Text("key_file", peers.key_file);
-  section.Time("flush_ms", peers.flush, 1, 1'000, kMs);
-  section.Time("probe_ms", peers.probe, 20, 60'000, kMs);
-  section.Time("join_within_s", peers.join_within, 0, 600, kSecond);
-  section.Word("marks", peers.marks,
-               {{"each", Marks::kEach},
-                {"directory", Marks::kDirectory},
-                {"directory-plain", Marks::kDirectoryPlain}});
+  section.TimePoint("flush_ms", peers.flush, 1, 1'000, kMs);
+  section.TimePoint("probe_ms", peers.probe, 20, 60'000, kMs);
+  section.TimePoint("join_within_s", peers.join_within, 0, 600, kSecond);
+  section.Word("marks", peers.watermarks,
+               {{"each", ReplicationMode::kBroadcast},
+                {"directory", ReplicationMode::kLeases},
+                {"directory-plain", ReplicationMode::kLeasesWithoutRevocation}});
   if (const auto asks = section.Whole("asks_per_s", 0, 100'000))
     peers.asks_per_s = static_cast<double>(*asks);
   // Up to what a line of 8 Gbit/s carries: more is a slip.
   if (const auto bytes = section.Whole("bytes_per_s", 0, 1'000'000'000))
     peers.bytes_per_s = static_cast<double>(*bytes);
-  section.Time("coalesce_ms", peers.coalesce, 0, 100, kMs);
+  section.TimePoint("coalesce_ms", peers.coalesce, 0, 100, kMs);
   section.Flag("owner", peers.owner);
   section.Word("members", peers.plain_members, {{"proven", false}, {"plain", true}});
   section.Close();
-  if (peers.marks != Marks::kEach && peers.plain_members) {
-    section.Refuse("marks", "needs proven members: a directory counts on no two views being proven at once");
+  if (peers.watermarks != ReplicationMode::kBroadcast && peers.plain_members) {
+    section.Reject("marks", "needs proven members: a directory counts on no two views being proven at once");
   }
-  if (peers.marks == Marks::kEach && peers.owner) {
-    section.Refuse("owner", "is of use only where 'peers.marks' is \"directory\"");
+  if (peers.watermarks == ReplicationMode::kBroadcast && peers.owner) {
+    section.Reject("owner", "is of use only where 'peers.marks' is \"directory\"");
   }
-  if (peers.marks == Marks::kEach && peers.bytes_per_s > 0) {
-    section.Refuse("bytes_per_s", "holds back asks, which only a directory has: set 'peers.marks'");
+  if (peers.watermarks == ReplicationMode::kBroadcast && peers.bytes_per_s > 0) {
+    section.Reject("bytes_per_s", "holds back asks, which only a directory has: set 'peers.marks'");
   }
   if (!peers.listen) {
-    if (peers.marks != Marks::kEach) section.Refuse("marks", "says how, but 'peers.listen' names no address");
-    if (!peers.seeds.empty()) section.Refuse("seeds", "name others, but 'peers.listen' names no address");
-    if (peers.advertise) section.Refuse("advertise", "names an address, but 'peers.listen' names none");
+    if (peers.watermarks != ReplicationMode::kBroadcast)
+      section.Reject("marks", "says how, but 'peers.listen' names no address");
+    if (!peers.seeds.empty()) section.Reject("seeds", "name others, but 'peers.listen' names no address");
+    if (peers.advertise) section.Reject("advertise", "names an address, but 'peers.listen' names none");
     return;
   }
   if (sessions.scope != consistency::Scope::kEverywhere) {
-    section.Refuse("listen", "is of use only where sessions.scope is \"everywhere\"");
+    section.Reject("listen", "is of use only where sessions.scope is \"everywhere\"");
   }
-  if (peers.key_file.empty()) section.Refuse("key_file", "is missing: peers speak only with a shared key");
+  if (peers.key_file.empty()) section.Reject("key_file", "is missing: peers speak only with a shared key");
 }
 
 void ReadControl(const toml::table& root, std::optional<net::Address>& control) {
@@ -211,13 +212,13 @@
   control = section.Address("listen");
   section.Close();
   if (control && !control->host.starts_with("127.") && control->host != "::1") {
-    section.Refuse("listen", "is no address of this machine alone: it has to be on loopback");
+    section.Reject("listen", "is no address of this machine alone: it has to be on loopback");
   }
 }
 
 }  // namespace
 
-std::variant<Setup, std::string> ReadSetup(std::string_view text) {
+std::variant<ProgramSettings, std::string> ParseProgramSettings(std::string_view text) {
   try {
     const toml::table root = toml::parse(text);
     for (const auto& [key, node] : root) {
@@ -227,7 +228,7 @@
                std::to_string(key.source().begin.column) + ": '" + name + "' is not known";
       }
     }
-    Setup setup;
+    ProgramSettings setup;
     setup.sessions.recall = kSecond * 30;
     ReadSessions(root, setup.sessions);
     ReadState(root, setup.sessions, setup.state);
@@ -242,12 +243,12 @@
   }
 }
 
-std::variant<Setup, std::string> LoadSetup(const std::string& path) {
+std::variant<ProgramSettings, std::string> LoadProgramSettings(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) return "the settings " + path + " cannot be opened";
   const std::string text{std::istreambuf_iterator<char>(file), {}};
   if (file.bad()) return "the settings " + path + " cannot be read";
-  auto setup = ReadSetup(text);
+  auto setup = ParseProgramSettings(text);
   if (auto* wrong = std::get_if<std::string>(&setup)) return "the settings " + path + ": " + *wrong;
   return setup;
 }
--- a/src/settings/program_settings.h
+++ b/src/settings/program_settings.h
@@ -15,7 +15,7 @@
 namespace lynxgrade {
 
 // The durable state of this instance; off where no folder is named.
-struct StateSetup {
+struct DurabilitySettings {
   std::string folder;
   bool to_disk = false;                   // an answered write waits for the disk, not only for the kernel
   std::size_t snapshot_bytes = 4u << 20;  // a log longer than this is rewritten as a snapshot
@@ -23,16 +23,16 @@
 };
 
 // How the instances know of each other's writes.
-enum class Marks {
-  kEach,       // each tells each of every write
-  kDirectory,  // one instance at a time holds a session (docs/design/session-directory.md)
+enum class ReplicationMode {
+  kBroadcast,  // each tells each of every write
+  kLeases,     // one instance at a time holds a session (docs/design/session-directory.md)
   // The same, but holders are not recalled and writes do not wait until the session is held: reads may miss
   // them. For comparison in the laboratory.
-  kDirectoryPlain,
+  kLeasesWithoutRevocation,
 };
 
 // The exchange with the other instances; off where no address is named.
-struct PeersSetup {
+struct ReplicationSettings {
   std::optional<net::Address> listen;
   std::optional<net::Address> advertise;  // where others reach it; where it listens if absent
   std::string name;                       // of this instance; as in the platform's configuration where empty
@@ -41,7 +41,7 @@
   Duration flush{10000};
   Duration probe{200000};         // a SWIM protocol period
   Duration join_within{3000000};  // a start waits no longer than this for the others to count this instance
-  Marks marks = Marks::kEach;
+  ReplicationMode watermarks = ReplicationMode::kBroadcast;
   double asks_per_s = 20;  // kDirectory: asks for reads, at most; beyond it they have the conservative target
   // kDirectory: a budget of all that is sent and received, with the heads of UDP and IPv4. Reads ask only
   // while it holds; what cannot wait goes in any case. Zero: none.
@@ -55,17 +55,17 @@
   bool plain_members = false;
 };
 
-struct Setup {
+struct ProgramSettings {
   consistency::Options sessions;
-  StateSetup state;
-  PeersSetup peers;
+  DurabilitySettings state;
+  ReplicationSettings peers;
   std::optional<net::Address> control;  // where operators' questions are answered, on loopback; off if absent
 };
 
 // The settings in `text`, or one plain sentence that names line and column: unknown keys, values that are not
 // of their kind or out of bounds, and combinations that cannot work.
-std::variant<Setup, std::string> ReadSetup(std::string_view text);
+std::variant<ProgramSettings, std::string> ParseProgramSettings(std::string_view text);
 // The same for a file.
-std::variant<Setup, std::string> LoadSetup(const std::string& path);
+std::variant<ProgramSettings, std::string> LoadProgramSettings(const std::string& path);
 
 }  // namespace lynxgrade
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -37,9 +37,9 @@
     if (auto* page = std::get_if<ListPage>(&line)) {
       pages_[page->page] = std::move(page->entries);
     } else if (auto* begin = std::get_if<Start>(&line)) {
-      consistency::Keeper keeper(begin->settings, consistency::Options{});
-      instances_.insert_or_assign(
-          begin->instance, Hosted{std::move(keeper), Balancer(std::move(begin->settings), begin->seed)});
+      consistency::SessionConsistencyGuard consistency_guard(begin->settings, consistency::Options{});
+      instances_.insert_or_assign(begin->instance, Hosted{std::move(consistency_guard),
+                                                          Balancer(std::move(begin->settings), begin->seed)});
     } else if (auto* stop = std::get_if<Stop>(&line)) {
       instances_.erase(stop->instance);
     } else if (auto* news = std::get_if<ListNews>(&line)) {
@@ -65,7 +65,7 @@
 
  private:
   struct Hosted {
-    consistency::Keeper keeper;
+    consistency::SessionConsistencyGuard consistency_guard;
     Balancer balancer;
   };
 
@@ -76,9 +76,9 @@
     }
     actions_.clear();
     try {
-      it->second.keeper.Before(now_, event);
+      it->second.consistency_guard.Before(now_, event);
       it->second.balancer.Handle(now_, event, actions_);
-      it->second.keeper.After(actions_);
+      it->second.consistency_guard.After(actions_);
     } catch (const std::exception& error) {
       Codec::EncodeInternalError(who, error.what(), reply_);
       return;
@@ -91,7 +91,7 @@
   std::map<int, std::vector<ListEntry>> pages_;
   Actions actions_;
   std::string reply_;
-  Time now_;
+  TimePoint now_;
   std::int64_t serial_ = 0;
   bool open_ = false;
 };
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -241,9 +241,9 @@
   return columns;
 }
 
-void TakeReportValue(Report& report, const std::string& column, double value, Duration zero) {
+void TakeReportValue(LoadReport& report, const std::string& column, double value, Duration zero) {
   if (column == "x0") {
-    report.position = Time(zero + Duration(static_cast<std::int64_t>(std::floor(value * 1e6))));
+    report.position = TimePoint(zero + Duration(static_cast<std::int64_t>(std::floor(value * 1e6))));
   } else if (column == "x1") {
     report.primary = value >= 0.5;
   } else if (column == "q") {
@@ -262,14 +262,14 @@
   for (const Json& item : Array(json, "records")) {
     if (!item.is_object()) Wrong("records", "holds something other than objects");
     ListEntry entry;
-    entry.member = MemberId(Small(item, "member"));
+    entry.server = ServerId(Small(item, "member"));
     entry.group = GroupId(IntOr(item, "set", 0));
     entry.zone = SmallOr(item, "az", 0);
     entry.lifecycle = Word(Text(item, "lifecycle"), kLifecycles, "lifecycle");
     entry.primary = NumberOr(item, "writer", 0) > 0;
     entry.weight = NumberOr(item, "heft", 1);
     const std::int64_t started = IntOr(item, "came_up_us", 0);
-    if (started != 0) entry.started = Time(Duration(started));
+    if (started != 0) entry.started = TimePoint(Duration(started));
     entries.push_back(entry);
   }
   return entries;
@@ -291,11 +291,12 @@
   return event;
 }
 
-std::optional<Report> DecodeReport(const Json& json, Duration zero, const std::vector<std::string>& columns) {
+std::optional<LoadReport> DecodeReport(const Json& json, Duration zero,
+                                       const std::vector<std::string>& columns) {
   const Json* row = Find(json, "health_info");
   if (row == nullptr) return std::nullopt;
   if (!row->is_array()) Wrong("health_info", "is not an array");
-  Report report;
+  LoadReport report;
   for (std::size_t i = 0; i < row->size() && i < columns.size(); ++i) {
     if ((*row)[i].is_null()) continue;
     TakeReportValue(report, columns[i], AsNumber((*row)[i], "health_info"), zero);
@@ -303,13 +304,13 @@
   return report;
 }
 
-Note DecodeNote(const Json& json, Duration zero) {
-  Note note;
+ResponseMetadata DecodeNote(const Json& json, Duration zero) {
+  ResponseMetadata note;
   const std::int64_t stand = IntOr(json, "stand", 0);
   if (stand < 0 || stand > (std::int64_t{1} << 53)) Wrong("stand", "is out of range");
   if (stand % 4 == 1) note.primary = true;
   if (stand % 4 == 2) note.primary = false;
-  if (stand / 4 > 0) note.position = Time(zero + Duration(stand / 4 * 1000));
+  if (stand / 4 > 0) note.position = TimePoint(zero + Duration(stand / 4 * 1000));
   return note;
 }
 
@@ -327,7 +328,7 @@
   if (json.is_discarded()) throw WireError("malformed JSON");
   if (!json.is_object()) throw WireError("not a JSON object");
   const std::string op = Text(json, "op");
-  if (op == "tick") return BatchStart{Time(DurationOf(json, "sim_time_us")), Int(json, "serial")};
+  if (op == "tick") return BatchStart{TimePoint(DurationOf(json, "sim_time_us")), Int(json, "serial")};
   if (op == "eob") return BatchEnd{};
   if (op == "table") return ListPage{static_cast<int>(Small(json, "page")), DecodeEntries(json)};
   const Instance who = [&] {
@@ -356,14 +357,14 @@
       return ListNews{who, kind, failed ? -1 : static_cast<int>(Small(json, "page"))};
     }
     const Dialect& dialect = DialectOf(who);
-    ForInstance result{who, GoneEvent{}};
+    ForInstance result{who, ClientDisconnectedEvent{}};
     if (op == "incoming") {
       result.event = DecodeRequest(json);
     } else if (op == "completed") {
       OutcomeEvent event;
       event.id = RequestId(Small(json, "req"));
       event.attempt = Small(json, "shot");
-      event.member = MemberId(Small(json, "member"));
+      event.server = ServerId(Small(json, "member"));
       event.outcome = Word(Text(json, "code"), kOutcomes, "code");
       event.taken = DurationOr(json, "time_taken_us", Duration{0});
       event.request_done = BoolOr(json, "complete", false);
@@ -371,8 +372,8 @@
       event.report = DecodeReport(json, dialect.zero, dialect.columns);
       result.event = std::move(event);
     } else if (op == "pong") {
-      ProbeEvent event;
-      event.member = MemberId(Small(json, "member"));
+      HealthCheckEvent event;
+      event.server = ServerId(Small(json, "member"));
       const std::string code = Text(json, "code");  // other reasons may come up: a plain error then
       for (const auto& [word, outcome] : kOutcomes) {
         if (code == word) event.outcome = outcome;
@@ -385,12 +386,12 @@
       if (!ctx.is_number_integer()) Wrong("ctx", "is not a whole number");
       result.event = TimerEvent{TimerId(ctx.get<std::uint64_t>())};
     } else if (op == "gone") {
-      result.event = GoneEvent{RequestId(Small(json, "req"))};
+      result.event = ClientDisconnectedEvent{RequestId(Small(json, "req"))};
     } else if (op == "memo") {
       result.event = PeerEvent{Small(json, "by"), Text(json, "msg")};
     } else if (op == "head_received") {
       result.event =
-          StreamEvent{RequestId(Small(json, "req")), Small(json, "shot"), MemberId(Small(json, "member")),
+          StreamEvent{RequestId(Small(json, "req")), Small(json, "shot"), ServerId(Small(json, "member")),
                       DurationOr(json, "time_taken_us", Duration{0})};
     } else {
       throw WireError("unknown event");
@@ -436,10 +437,10 @@
   void operator()(const Send& a) const {
     Open(out, "pass_on", instance);
     Number(out, "req", Raw(a.id));
-    Number(out, "member", Raw(a.member));
+    Number(out, "member", Raw(a.server));
     if (a.limit.count() > 0) Number(out, "limit_us", a.limit.count());
   }
-  void operator()(const Refuse& a) const {
+  void operator()(const Reject& a) const {
     Open(out, "refuse", instance);
     Number(out, "req", Raw(a.id));
     if (a.stay_away.count() > 0) Number(out, "hold_off_us", a.stay_away.count());
@@ -460,7 +461,7 @@
   }
   void operator()(const Probe& a) const {
     Open(out, "inspect", instance);
-    Number(out, "member", Raw(a.member));
+    Number(out, "member", Raw(a.server));
   }
   void operator()(const Watch& a) const {
     Open(out, "subscribe", instance);
@@ -478,7 +479,7 @@
   }
   void operator()(const CloseIdle& a) const {
     Open(out, "close_idle", instance);
-    Number(out, "member", Raw(a.member));
+    Number(out, "member", Raw(a.server));
   }
   void operator()(const Log& a) const {
     Open(out, "debug", instance);
--- a/src/simulator/codec.h
+++ b/src/simulator/codec.h
@@ -21,7 +21,7 @@
 };
 
 struct BatchStart {
-  Time now;
+  TimePoint now;
   std::int64_t serial = 0;
 };
 struct BatchEnd {};
--- a/src/simulator/settings_json.h
+++ b/src/simulator/settings_json.h
@@ -15,6 +15,6 @@
 
 // A report from columns of names and values, as far as the module knows them. Positions are counted from
 // `zero`.
-void TakeReportValue(Report& report, const std::string& column, double value, Duration zero);
+void TakeReportValue(LoadReport& report, const std::string& column, double value, Duration zero);
 
 }  // namespace lynxgrade::simulator
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -32,34 +32,34 @@
 
 Pool::~Pool() = default;
 
-Server* Pool::Find(MemberId member) {
-  const auto it = servers_.find(member);
+Server* Pool::Find(ServerId server) {
+  const auto it = servers_.find(server);
   return it == servers_.end() ? nullptr : it->second.get();
 }
 
-void Pool::SetAddress(MemberId member, const net::Address& address) {
-  std::unique_ptr<Server>& server = servers_[member];
+void Pool::SetAddress(ServerId id, const net::Address& address) {
+  std::unique_ptr<Server>& server = servers_[id];
   if (server == nullptr) {
     server = std::make_unique<Server>();
-    server->member = member;
+    server->id = id;
   }
   const bool moved =
       server->address && (server->address->host != address.host || server->address->port != address.port);
   server->address = address;
   server->gone = false;
-  if (moved) CloseIdle(member);
+  if (moved) CloseIdle(id);
 }
 
-void Pool::Forget(MemberId member) {
-  Server* server = Find(member);
+void Pool::Forget(ServerId id) {
+  Server* server = Find(id);
   if (server == nullptr) return;
   server->gone = true;
-  CloseIdle(member);
+  CloseIdle(id);
 }
 
-void Pool::Send(RequestId request, AttemptNumber attempt, MemberId member,
+void Pool::Send(RequestId request, AttemptNumber attempt, ServerId server,
                 std::shared_ptr<const proxy::Work> work, proxy::SendTimes times) {
-  auto job = std::make_shared<Job>(loop_, member);
+  auto job = std::make_shared<Job>(loop_, server);
   job->request = request;
   job->attempt = attempt;
   job->work = std::move(work);
@@ -70,10 +70,10 @@
   Start(std::move(job));
 }
 
-void Pool::Probe(MemberId member) {
-  if (probes_.contains(member)) return;  // its end will serve for both
-  auto job = std::make_shared<Job>(loop_, member);
-  probes_[member] = job;
+void Pool::Probe(ServerId server) {
+  if (probes_.contains(server)) return;  // its end will serve for both
+  auto job = std::make_shared<Job>(loop_, server);
+  probes_[server] = job;
   job->until = loop_.Precise() + settings_.connect_timeout;
   Start(std::move(job));
 }
@@ -82,7 +82,7 @@
 // server blamed, before it could be heard.
 void Pool::Start(std::shared_ptr<Job> job) {
   job->since = loop_.Precise();
-  Server* server = Find(job->member);
+  Server* server = Find(job->server);
   if (server == nullptr || !server->address) return EndJob(job, Outcome::kUnreachable);
   const std::weak_ptr<Job> weak = job;
   job->limit.Set(job->until, [this, weak] {
@@ -102,7 +102,7 @@
   if (if_written == Outcome::kTimeout && (backend == nullptr || !backend->Written())) {
     outcome = Outcome::kUnreachable;
   }
-  Server* server = Find(job->member);
+  Server* server = Find(job->server);
   if (backend != nullptr) Remove(*backend);  // closing tells the data server that nobody waits any more
   EndJob(job, outcome);
   if (backend != nullptr) Dispatch(*server);
@@ -127,22 +127,22 @@
   for (const auto& job : waiting) EndJob(job, Outcome::kVoid);
 }
 
-void Pool::EndJob(const std::shared_ptr<Job>& job, Outcome outcome, Note note, std::optional<Report> report,
-                  std::optional<proxy::Answer> answer, bool unusable) {
+void Pool::EndJob(const std::shared_ptr<Job>& job, Outcome outcome, ResponseMetadata note,
+                  std::optional<LoadReport> report, std::optional<proxy::Answer> answer, bool unusable) {
   const std::shared_ptr<Job> held = job;
   held->limit.Clear();
   held->connect.Clear();
   held->backend = nullptr;
-  if (Server* server = Find(held->member)) std::erase(server->waiting, held);
+  if (Server* server = Find(held->server)) std::erase(server->waiting, held);
   // Time spent waiting for a connection, or opening one, says nothing of how fast a data server answers.
   const Duration taken = std::max(Duration{0}, loop_.Now() - held->written.value_or(held->since));
   if (held->probe()) {
-    probes_.erase(held->member);
-    events_->OnProbeEnd({held->member, outcome, taken, report});
+    probes_.erase(held->server);
+    events_->OnProbeEnd({held->server, outcome, taken, report});
     return;
   }
   attempts_.erase({held->request, held->attempt});
-  events_->OnAttemptEnd({held->request, held->attempt, held->member, outcome, taken, note, report,
+  events_->OnAttemptEnd({held->request, held->attempt, held->server, outcome, taken, note, report,
                          std::move(answer), unusable});
 }
 
@@ -215,8 +215,8 @@
   held->Close();
 }
 
-void Pool::CloseIdle(MemberId member) {
-  Server* server = Find(member);
+void Pool::CloseIdle(ServerId id) {
+  Server* server = Find(id);
   if (server == nullptr) return;
   while (!server->idle.empty()) Remove(*server->idle.back());
 }
@@ -245,8 +245,8 @@
 void Pool::Complain(const Server& server, std::string_view what) {
   std::uint64_t left_out = 0;
   if (!complaints_.Allows(left_out)) return;
-  spdlog::error("data server {}: {}; {} more lines like this left out",
-                static_cast<std::uint32_t>(server.member), what, left_out);
+  spdlog::error("data server {}: {}; {} more lines like this left out", static_cast<std::uint32_t>(server.id),
+                what, left_out);
 }
 
 bool Pool::Old(const Backend& backend) const {
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -33,16 +33,16 @@
 
 // One thing to be done on a connection: an attempt or a probe. It ends exactly once.
 struct Job {
-  Job(net::Loop& loop, MemberId to) : member(to), limit(loop), connect(loop) {}
+  Job(net::Loop& loop, ServerId to) : server(to), limit(loop), connect(loop) {}
 
-  MemberId member;
+  ServerId server;
   RequestId request{};
   AttemptNumber attempt = 0;
   std::shared_ptr<const proxy::Work> work;  // null: a probe
-  Time since{};                             // when a connection was first wanted
-  std::optional<Time> written{};            // when it got its connection
-  Time until{};                             // when nobody waits for it any more
-  Time write_by = Time::max();              // its last byte goes out before, or not at all
+  TimePoint since{};                        // when a connection was first wanted
+  std::optional<TimePoint> written{};       // when it got its connection
+  TimePoint until{};                        // when nobody waits for it any more
+  TimePoint write_by = TimePoint::max();    // its last byte goes out before, or not at all
   net::Timer limit;                         // when the pooler stops waiting
   net::Timer connect;                       // when a connection must have been had, and all be written
   Backend* backend = nullptr;
@@ -57,20 +57,20 @@
   ~Pool();
 
   void SetEvents(proxy::BackendEvents& events) { events_ = &events; }
-  void SetAddress(MemberId member, const net::Address& address);
+  void SetAddress(ServerId server, const net::Address& address);
   // The list names it no more: it is dropped once the last of its connections has ended.
-  void Forget(MemberId member);
+  void Forget(ServerId server);
   std::size_t servers() const { return servers_.size(); }
   // Gives back the connection that has been idle longest; false if none is idle.
   bool ShedIdle();
   void CloseAllIdle();
 
-  void Send(RequestId request, AttemptNumber attempt, MemberId member,
+  void Send(RequestId request, AttemptNumber attempt, ServerId server,
             std::shared_ptr<const proxy::Work> work, proxy::SendTimes times) override;
   void Cancel(RequestId request, AttemptNumber attempt) override;
   void Drop(RequestId request) override;
-  void Probe(MemberId member) override;
-  void CloseIdle(MemberId member) override;
+  void Probe(ServerId server) override;
+  void CloseIdle(ServerId server) override;
 
   std::size_t idle() const;
 
@@ -78,15 +78,15 @@
   friend class Backend;
   using JobKey = std::pair<RequestId, AttemptNumber>;
 
-  Server* Find(MemberId member);
+  Server* Find(ServerId server);
   void Start(std::shared_ptr<Job> job);
   // Its last byte has not gone out in time: it must not go out any more.
   void WrittenLate(const std::shared_ptr<Job>& job);
   void Dispatch(Server& server);
   bool OpenFor(Server& server);
   void Remove(Backend& backend);
-  void EndJob(const std::shared_ptr<Job>& job, Outcome outcome, Note note = {},
-              std::optional<Report> report = {}, std::optional<proxy::Answer> answer = {},
+  void EndJob(const std::shared_ptr<Job>& job, Outcome outcome, ResponseMetadata note = {},
+              std::optional<LoadReport> report = {}, std::optional<proxy::Answer> answer = {},
               bool unusable = false);
   void GiveUp(const std::shared_ptr<Job>& job, Outcome if_written);
   // Whether it has been idle for so long that its server may be about to close it.
@@ -99,9 +99,9 @@
   net::DescriptorBudget& budget_;
   std::function<bool()> make_room_;
   proxy::BackendEvents* events_ = nullptr;
-  std::map<MemberId, std::unique_ptr<Server>> servers_;
+  std::map<ServerId, std::unique_ptr<Server>> servers_;
   std::map<JobKey, std::shared_ptr<Job>> attempts_;
-  std::map<MemberId, std::shared_ptr<Job>> probes_;
+  std::map<ServerId, std::shared_ptr<Job>> probes_;
   net::LogLimit complaints_;
   net::Timer retire_;
 };
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -12,14 +12,14 @@
 constexpr Duration kWholeWithin{100000};  // from the first part of an answer to its last
 
 // A position on a socket is a Unix time in milliseconds, as the pooler's clock is one in microseconds.
-Position PositionOf(std::int64_t ms) { return Position(std::chrono::milliseconds(ms)); }
+LogPosition PositionOf(std::int64_t ms) { return LogPosition(std::chrono::milliseconds(ms)); }
 
 }  // namespace
 
-std::optional<Report> ReportOf(std::string_view text) {
+std::optional<LoadReport> ReportOf(std::string_view text) {
   const auto fields = pg::ReadReport(text);
   if (!fields) return std::nullopt;
-  Report report;
+  LoadReport report;
   for (const auto& [name, value] : *fields) {
     if (name == "x0" && value > 0 && value < 9e9) {
       report.position = PositionOf(static_cast<std::int64_t>(std::floor(value * 1000 + 1e-3)));
@@ -143,7 +143,7 @@
 void Backend::Run(std::shared_ptr<Job> job) {
   job_ = std::move(job);
   job_->backend = this;
-  const Time now = loop_.Precise();
+  const TimePoint now = loop_.Precise();
   job_->written = now;
   job_->connect.Clear();
   reply_ = Reply();
@@ -154,7 +154,7 @@
   // A client's largest statement fits the ring, so this is refused only by a connection that broke unseen.
   asked_ = connection_->Write(query);
   if (!asked_) return Lost();
-  if (job_->write_by == Time::max() || Written()) return;
+  if (job_->write_by == TimePoint::max() || Written()) return;
   // A repeat whose rest the kernel has no room for yet.
   job_->connect.Set(job_->write_by, [this, weak = std::weak_ptr<Job>(job_)] {
     if (const auto held = weak.lock()) pool_.WrittenLate(held);
--- a/src/upstream/server_connection.h
+++ b/src/upstream/server_connection.h
@@ -29,8 +29,8 @@
   bool whole() const { return row_.has_value() && tag_.has_value() && !failed(); }
   // How the attempt ended, if nothing more comes; `written` where its last byte has gone out.
   Outcome Ended(bool written) const;
-  Note note() const { return note_; }
-  std::optional<Report> report() const { return report_; }
+  ResponseMetadata note() const { return note_; }
+  std::optional<LoadReport> report() const { return report_; }
   std::string_view value() const;
   proxy::Answer TakeAnswer();
 
@@ -42,12 +42,12 @@
   std::optional<std::string> row_;
   std::optional<std::string> tag_;
   std::optional<pg::ErrorFields> error_;
-  Note note_;
-  std::optional<Report> report_;
+  ResponseMetadata note_;
+  std::optional<LoadReport> report_;
 };
 
 // A report's fields in the module's terms; positions are Unix seconds here.
-std::optional<Report> ReportOf(std::string_view text);
+std::optional<LoadReport> ReportOf(std::string_view text);
 
 class Backend final : public net::Connection::Owner, public std::enable_shared_from_this<Backend> {
  public:
@@ -61,7 +61,7 @@
   Server& server() { return server_; }
   bool ready() const { return ready_; }
   bool idle() const { return ready_ && job_ == nullptr; }
-  Time idle_since() const { return idle_since_; }
+  TimePoint idle_since() const { return idle_since_; }
   bool Sound() const { return !connection_->SomethingCame(); }
   // Whether the last byte of what it runs has been handed to the kernel.
   bool Written() const { return asked_ && connection_->all_written(); }
@@ -89,12 +89,12 @@
   Reply reply_;
   bool ready_ = false;
   bool asked_ = false;  // the query of the present job was taken for writing
-  Time idle_since_{};
+  TimePoint idle_since_{};
 };
 
 // A data server's connections and the jobs that wait for one.
 struct Server {
-  MemberId member{};
+  ServerId id{};
   std::optional<net::Address> address;
   std::list<std::shared_ptr<Backend>> backends;
   std::vector<Backend*> idle;  // the one used last at the end, so that the rest can go
--- a/testbed/consistency_run.cpp
+++ b/testbed/consistency_run.cpp
@@ -98,7 +98,7 @@
                   "\"\nadvertise = \"127.0.0.1:" + std::to_string(reached(i)) +
                   "\"\nseeds = [\"127.0.0.1:" + std::to_string(reached(1 - i)) + "\"]\nkey_file = \"" + key +
                   "\"\n";
-      settings += "marks = \"" + options.marks + (mode == Mode::kPart ? "-plain" : "") + "\"\n";
+      settings += "marks = \"" + options.watermarks + (mode == Mode::kPart ? "-plain" : "") + "\"\n";
       // Half of all reads roam here, some hundreds a second: far beyond what a budget would let ask.
       settings += "asks_per_s = 10000\n";
       if (options.owner && i == 1) settings += "owner = true\n";
@@ -134,7 +134,7 @@
     std::size_t group = 0;
     std::int64_t asked = 0;  // newest version that was sent
     std::int64_t acked = 0;  // newest that was answered
-    Time acked_at{};
+    TimePoint acked_at{};
     int rounds = 0, reads = 0;
   };
 
@@ -152,7 +152,7 @@
   }
 
   void Until(const std::function<bool()>& holds, Duration most) {
-    const Time end = loop_.Now() + most;
+    const TimePoint end = loop_.Now() + most;
     net::Timer look(loop_);
     std::function<void()> again = [&] { look.After(kMs * 5, again); };
     again();
@@ -161,7 +161,7 @@
 
   void AwaitReady(std::uint16_t port) {
     bool ready = false;
-    const Time end = loop_.Now() + Duration(20'000'000);
+    const TimePoint end = loop_.Now() + Duration(20'000'000);
     while (!ready && loop_.Now() < end) {
       bool answered = false;
       Ask(port, "", 1000, [&](End how, const std::string&) {
@@ -230,7 +230,7 @@
         Uniform() < 0.2 ? kMs : Drawn(boost::math::lognormal_distribution<double>(-1.2, 0.7));
     Later(pause, [this, session] {
       const std::int64_t must = session->acked;
-      const Time from = loop_.Now();
+      const TimePoint from = loop_.Now();
       ++tally_.reads;
       const std::string query =
           Head(*session, "own-read", kReadBudgetMs) + ReadOf("p" + std::to_string(session->number));
@@ -253,7 +253,7 @@
   }
 
   // What a person needs to find the cause in the poolers' logs.
-  void Explain(const Session& session, std::int64_t must, Time from, const std::string& value) {
+  void Explain(const Session& session, std::int64_t must, TimePoint from, const std::string& value) {
     std::fprintf(
         stderr,
         "stale: %s, session p%llu of group %zu: read asked at %lld ms saw version %s, version %lld was "
@@ -336,7 +336,7 @@
   std::unique_ptr<PoolerProcess> poolers_[2];
   std::list<std::unique_ptr<Client>> clients_;
   net::Timer arrivals_, fault_;
-  Time struck_{};
+  TimePoint struck_{};
   bool on_;
   std::size_t begun_ = 0, open_ = 0;
   std::uint64_t last_id_ = 0;
@@ -354,7 +354,7 @@
   };
   std::uint64_t stale = 0, stale_off = 0, unanswered = 0, sessions = 0, reads = 0, refused = 0, crashed = 0,
                 dropped = 0, stale_part = 0;
-  const bool directory = options.marks == "directory";
+  const bool directory = options.watermarks == "directory";
   double added = 0;
   for (const Scenario& scenario : kScenarios) {
     if (!options.only.empty() && options.only != scenario.name) continue;
--- a/testbed/consistency_run.h
+++ b/testbed/consistency_run.h
@@ -11,9 +11,9 @@
   std::string pooler;
   std::uint64_t seed = 1;
   std::size_t sessions = 5000;
-  double per_s = 250;          // sessions begun a second
-  bool keep_logs = false;      // prints where the poolers' logs are, and leaves them
-  std::string marks = "each";  // or "directory", as in the poolers' settings
+  double per_s = 250;               // sessions begun a second
+  bool keep_logs = false;           // prints where the poolers' logs are, and leaves them
+  std::string watermarks = "each";  // or "directory", as in the poolers' settings
   bool owner = false;  // directory: the second pooler is set aside to own, though clients go to it too
   std::string only;    // one of the scenarios by name; all where empty
   std::string json;    // the figures, as JSON, to this file
--- a/testbed/data_servers.cpp
+++ b/testbed/data_servers.cpp
@@ -16,7 +16,7 @@
 constexpr Duration kEmptyLine{2000000};
 const std::string kColumn = std::string("\0\1body\0", 7) + std::string(18, '\0');
 
-std::int64_t Ms(Position position) { return position.time_since_epoch().count() / 1000; }
+std::int64_t Ms(LogPosition position) { return position.time_since_epoch().count() / 1000; }
 
 void AppendRow(std::string& out, const std::string& value, const char* tag) {
   pg::AppendMessage(out, 'T', kColumn);
@@ -158,10 +158,10 @@
 }
 
 std::string DataServers::AnswerTo(std::size_t member, const std::string& query) {
-  const Time now = loop_.Now();
+  const TimePoint now = loop_.Now();
   const bool primary = group_.IsPrimary(member);
   std::string out;
-  Position position = group_.At(member, now);
+  LogPosition position = group_.At(member, now);
   std::string wrong;
   if (query == "SHOW pressure") {
     ++probes_;
--- a/testbed/group.cpp
+++ b/testbed/group.cpp
@@ -7,11 +7,11 @@
 
 constexpr Duration kMs{1000};
 
-Position RoundDown(Time time) { return Position(time.time_since_epoch() / kMs * kMs); }
+LogPosition RoundDown(TimePoint time) { return LogPosition(time.time_since_epoch() / kMs * kMs); }
 
 }  // namespace
 
-Group::Group(Options options, Time now) : options_(options), members_(options.members), primary_(0) {
+Group::Group(Options options, TimePoint now) : options_(options), members_(options.members), primary_(0) {
   for (std::size_t i = 0; i < members_.size(); ++i) {
     members_[i].ship =
         options.ship + options.ship * static_cast<std::int64_t>(i) /
@@ -25,10 +25,10 @@
   version = std::max(version, entry.version);
 }
 
-std::optional<Position> Group::Write(std::size_t member, const std::string& object, std::int64_t version,
-                                     Time now) {
+std::optional<LogPosition> Group::Write(std::size_t member, const std::string& object, std::int64_t version,
+                                        TimePoint now) {
   if (primary_ != member || !members_[member].up) return std::nullopt;
-  const Position at = RoundDown(now) + (RoundDown(now) == now ? Duration{0} : kMs);
+  const LogPosition at = RoundDown(now) + (RoundDown(now) == now ? Duration{0} : kMs);
   log_.push_back({at, object, version});
   Take(members_[member], log_.back());
   members_[member].applied = log_.size();
@@ -36,28 +36,28 @@
 }
 
 // A replica has what was shipped by now, and nothing that was shipped after its primary died.
-void Group::Apply(Member& member, Time now) {
-  const Time upto = (died_ ? std::min(now, *died_) : now) - member.ship;
+void Group::Apply(Member& member, TimePoint now) {
+  const TimePoint upto = (died_ ? std::min(now, *died_) : now) - member.ship;
   while (member.applied < log_.size() && log_[member.applied].at <= upto)
     Take(member, log_[member.applied++]);
   member.reached = std::max(member.reached, upto);
 }
 
-std::int64_t Group::Read(std::size_t member, const std::string& object, Time now) {
+std::int64_t Group::Read(std::size_t member, const std::string& object, TimePoint now) {
   Member& m = members_[member];
   if (primary_ != member) Apply(m, now);
   const auto it = m.objects.find(object);
   return it == m.objects.end() ? 0 : it->second;
 }
 
-Position Group::At(std::size_t member, Time now) {
+LogPosition Group::At(std::size_t member, TimePoint now) {
   Member& m = members_[member];
   if (primary_ == member) return RoundDown(now);
   Apply(m, now);
   return RoundDown(m.reached);
 }
 
-void Group::Die(std::size_t member, Time now) {
+void Group::Die(std::size_t member, TimePoint now) {
   if (!members_[member].up) return;
   for (Member& m : members_) {
     if (&m != &members_[member] && m.up && !died_) Apply(m, now);
@@ -68,7 +68,7 @@
   died_ = now;
 }
 
-bool Group::Advance(Time now) {
+bool Group::Advance(TimePoint now) {
   if (!died_ || now < *died_ + options_.failover) return false;
   std::optional<std::size_t> best;
   for (std::size_t i = 0; i < members_.size(); ++i) {
@@ -84,7 +84,7 @@
   return true;
 }
 
-void Group::Return(std::size_t member, Time now) {
+void Group::Return(std::size_t member, TimePoint now) {
   Member& m = members_[member];
   if (m.up) return;
   m.up = true;
--- a/testbed/main.cpp
+++ b/testbed/main.cpp
@@ -84,7 +84,7 @@
   of_sessions->add_option("--sessions", sessions.sessions, "how many, in each scenario");
   of_sessions->add_option("--rate", sessions.per_s, "sessions begun a second")
       ->check(CLI::Range(1.0, 2000.0));
-  of_sessions->add_option("--marks", sessions.marks, "how the poolers know of each other's writes")
+  of_sessions->add_option("--marks", sessions.watermarks, "how the poolers know of each other's writes")
       ->check(CLI::IsMember({"each", "directory"}));
   of_sessions->add_flag("--owner", sessions.owner, "directory: the second pooler is set aside to own");
   of_sessions->add_option("--only", sessions.only, "one scenario")
@@ -111,7 +111,7 @@
   of_scale->add_option("--real", scale.real, "real processes among the poolers");
   of_scale->add_option("--script", scale.script,
                        "quiet, load, primaries, replaced, rack, zone, regions or configuration");
-  of_scale->add_option("--marks", scale.marks,
+  of_scale->add_option("--marks", scale.watermarks,
                        "how sessions' marks are exchanged: each, directory, directory-plain, or none at all");
   of_scale->add_option(
       "--scope", scale.scope,
--- a/testbed/relay.h
+++ b/testbed/relay.h
@@ -123,7 +123,7 @@
     int from, to;
     std::string datagram;
   };
-  std::multimap<Time, Flying> flying_;
+  std::multimap<TimePoint, Flying> flying_;
   net::Timer landing_, flood_;
   std::string last_ = std::string(200, 'x');  // datagram passed on to instance 0
 };
--- a/testbed/scale_databases.h
+++ b/testbed/scale_databases.h
@@ -13,7 +13,7 @@
 
 // What data some member holds: all up to a position, on one line of reigns.
 struct Held {
-  Position position{};
+  LogPosition position{};
   std::size_t reign = 0;  // 0: the first
 };
 
@@ -31,38 +31,38 @@
   std::size_t groups() const { return groups_.size(); }
 
   // From `at` on. A primary's end leaves its group without one until the next reign.
-  void Die(std::size_t group, std::size_t member, Time at);
-  void Return(std::size_t group, std::size_t member, Time at);
-  void Reign(std::size_t group, std::size_t member, Time at);
+  void Die(std::size_t group, std::size_t member, TimePoint at);
+  void Return(std::size_t group, std::size_t member, TimePoint at);
+  void Promote(std::size_t group, std::size_t member, TimePoint at);
 
-  bool Up(Where where, Time now) const;
-  bool IsPrimary(Where where, Time now) const;
+  bool Up(Where where, TimePoint now) const;
+  bool IsPrimary(Where where, TimePoint now) const;
   // The position that it tells, in whole milliseconds.
-  Position Tells(Where where, Time now) const;
-  Held Holds(Where where, Time now) const;
+  LogPosition Tells(Where where, TimePoint now) const;
+  Held Holds(Where where, TimePoint now) const;
   // A commit there; absent where it is not primary.
-  std::optional<Held> Commit(Where where, Time now) const;
+  std::optional<Held> Commit(Where where, TimePoint now) const;
   // Whether what is held has a write that was answered as `wrote`.
   bool Has(std::size_t group, const Held& held, const Held& wrote) const;
 
  private:
   struct Outage {
-    Time from{}, to = Time::max();
+    TimePoint from{}, to = TimePoint::max();
   };
   struct Reigning {
     std::size_t member = 0;
-    Time since{};
-    Time until = Time::max();
-    Position had{};  // of the reign before, all up to here
+    TimePoint since{};
+    TimePoint until = TimePoint::max();
+    LogPosition had{};  // of the reign before, all up to here
   };
   struct Group {
     std::vector<std::vector<Outage>> down;  // by member
-    std::vector<Reigning> reigns;
+    std::vector<Reigning> timelines;
   };
 
   Duration DelayOf(const Group& group, std::size_t member) const;
   // The reign at a time, or the last before it; whether it is over.
-  std::size_t ReignAt(const Group& group, Time now) const;
+  std::size_t ReignAt(const Group& group, TimePoint now) const;
 
   std::vector<Group> groups_;
   std::vector<Where> where_;
--- a/testbed/scale_host.cpp
+++ b/testbed/scale_host.cpp
@@ -71,7 +71,7 @@
   std::optional<Held> Newest(std::size_t session) const {
     const std::uint64_t word = words_[session].load();
     if (word == 0) return std::nullopt;
-    return Held{Position(Duration(static_cast<std::int64_t>(word >> 8))), word & 255};
+    return Held{LogPosition(Duration(static_cast<std::int64_t>(word >> 8))), word & 255};
   }
 
  private:
@@ -99,19 +99,20 @@
   void Add(const Instance& instance) {
     static const replication::Traffic kNone;
     const replication::Traffic& more = instance.peers() != nullptr ? instance.peers()->traffic() : kNone;
-    for (std::size_t kind = 0; kind < replication::kKinds.size(); ++kind) {
+    for (std::size_t kind = 0; kind < replication::kTrafficKindNames.size(); ++kind) {
       traffic.out[kind].packets += more.out[kind].packets;
       traffic.out[kind].bytes += more.out[kind].bytes;
       traffic.in[kind].packets += more.in[kind].packets;
       traffic.in[kind].bytes += more.in[kind].bytes;
     }
     if (instance.peers() != nullptr) exchange_us += instance.peers()->spent().count();
-    const consistency::KeeperCounts& keeper = instance.proxy().keeper().counts();
+    const consistency::SessionConsistencyCounts& consistency_guard =
+        instance.proxy().consistency_guard().counts();
     probes += instance.proxy().counts().probes;
-    reads += keeper.reads;
-    marked += keeper.marked;
-    floored += keeper.floored;
-    turned += keeper.lost + keeper.unknown;
+    reads += consistency_guard.reads;
+    marked += consistency_guard.marked;
+    floored += consistency_guard.floored;
+    turned += consistency_guard.lost + consistency_guard.unknown;
   }
 };
 
@@ -123,18 +124,19 @@
 };
 
 // Measures what the exchange costs while the module runs, which calls it for writes and for reads that wait.
-class TimedPeers final : public replication::Service {
+class TimedPeers final : public replication::ReplicationService {
  public:
-  TimedPeers(std::unique_ptr<replication::Service> peers, Counts& counts)
+  TimedPeers(std::unique_ptr<replication::ReplicationService> peers, Counts& counts)
       : peers_(std::move(peers)), counts_(counts) {}
   std::string Start() override { return peers_->Start(); }
   void ReloadKeys() override { peers_->ReloadKeys(); }
-  void Wrote(GroupId group, consistency::Key key, const consistency::Mark& mark) override {
+  void Wrote(GroupId group, consistency::SessionKey key,
+             const consistency::WriteWatermark& watermark) override {
     const std::int64_t from = ThreadUs();
-    peers_->Wrote(group, key, mark);
+    peers_->Wrote(group, key, watermark);
     counts_.peers_us += ThreadUs() - from;
   }
-  bool WhenHeld(GroupId group, consistency::Key key, std::function<void()> call) override {
+  bool WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) override {
     const std::int64_t from = ThreadUs();
     const bool waits = peers_->WhenHeld(group, key, std::move(call));
     counts_.peers_us += ThreadUs() - from;
@@ -153,16 +155,16 @@
   void Leave() override { peers_->Leave(); }
 
  private:
-  std::unique_ptr<replication::Service> peers_;
+  std::unique_ptr<replication::ReplicationService> peers_;
   Counts& counts_;
 };
 
 class Host;
 
-class Hollow final : public proxy::Backends {
+class SimulatedPooler final : public proxy::Backends {
  public:
-  Hollow(Host& host, int number, const std::vector<int>& others);
-  ~Hollow() { *alive_ = false; }
+  SimulatedPooler(Host& host, int number, const std::vector<int>& others);
+  ~SimulatedPooler() { *alive_ = false; }
 
   std::string Start();
   void Ask(std::size_t session, ClassIndex cls);
@@ -174,7 +176,7 @@
 
  private:
   struct Asking final : proxy::Client {
-    Hollow* host = nullptr;
+    SimulatedPooler* host = nullptr;
     std::list<Asking>::iterator self;
     RequestId id{};
     std::size_t session = 0;
@@ -188,17 +190,17 @@
   };
   using JobKey = std::pair<RequestId, AttemptNumber>;
   struct Job {
-    MemberId member{};
+    ServerId member{};
     bool cancelled = false;
   };
 
-  void Send(RequestId request, AttemptNumber attempt, MemberId member,
+  void Send(RequestId request, AttemptNumber attempt, ServerId member,
             std::shared_ptr<const proxy::Work> work, proxy::SendTimes times) override;
   void Cancel(RequestId request, AttemptNumber attempt) override;
   void Drop(RequestId) override {}
-  void Probe(MemberId member) override;
-  void CloseIdle(MemberId) override {}
-  std::optional<Databases::Where> Find(MemberId member) const;
+  void Probe(ServerId member) override;
+  void CloseIdle(ServerId) override {}
+  std::optional<Databases::Where> Find(ServerId member) const;
   void Answer(proxy::AttemptEnd end, bool write);
   void End(proxy::AttemptEnd end);
   void Later(Duration wait, std::function<void()> call);
@@ -206,9 +208,9 @@
   Host& host_;
   int number_;
   bool open_ = false;
-  Config config_;
-  Setup setup_;
-  std::map<MemberId, std::size_t> servers_;  // by member, which database
+  PlatformConfig config_;
+  ProgramSettings setup_;
+  std::map<ServerId, std::size_t> servers_;  // by member, which database
   std::map<JobKey, Job> out_;
   std::list<Asking> asking_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -224,7 +226,7 @@
   int Run();
 
  private:
-  friend class Hollow;
+  friend class SimulatedPooler;
   void OnEvents(std::uint32_t) override;
   void Do(const Json& order);
   void Begin(int pooler, const std::vector<int>& others);
@@ -242,12 +244,12 @@
   Sessions sessions_;
   Counts counts_;
   Done before_;  // by those that have ended
-  std::map<int, std::unique_ptr<Hollow>> hollow_;
+  std::map<int, std::unique_ptr<SimulatedPooler>> hollow_;
   std::vector<std::pair<int, std::vector<int>>> to_start_;
   std::vector<bool> side_;  // by pooler, where the network is cut
   std::mt19937_64 random_;
   net::Timer load_, starts_;
-  std::optional<Time> loaded_;  // up to when statements have been asked
+  std::optional<TimePoint> loaded_;  // up to when statements have been asked
   std::string line_;
   double memory_before_ = 0, descriptors_before_ = 0;
 };
@@ -267,26 +269,27 @@
 
 // ---- One pooler -----------------------------------------------------------------------------------------
 
-Hollow::Hollow(Host& host, int number, const std::vector<int>& others) : host_(host), number_(number) {
-  auto config = ReadConfig(ScaleConfigOf(host.spec_, number, 1));
-  auto setup = ReadSetup(ScaleSettingsOf(host.spec_, number, others, 0));
+SimulatedPooler::SimulatedPooler(Host& host, int number, const std::vector<int>& others)
+    : host_(host), number_(number) {
+  auto config = ParsePlatformConfig(ScaleConfigOf(host.spec_, number, 1));
+  auto setup = ParseProgramSettings(ScaleSettingsOf(host.spec_, number, others, 0));
   for (const auto* wrong : {std::get_if<std::string>(&config), std::get_if<std::string>(&setup)}) {
     if (wrong != nullptr) throw std::runtime_error(*wrong);
   }
-  config_ = std::move(std::get<Config>(config));
-  setup_ = std::move(std::get<Setup>(setup));
+  config_ = std::move(std::get<PlatformConfig>(config));
+  setup_ = std::move(std::get<ProgramSettings>(setup));
   Instance::Host parts;
-  parts.address = [this](MemberId member, const net::Address& address) {
+  parts.address = [this](ServerId member, const net::Address& address) {
     const auto found = host_.by_port_.find(address.port);
     if (found != host_.by_port_.end()) servers_[member] = found->second;
   };
-  parts.forget = [this](MemberId member) { servers_.erase(member); };
-  parts.make_peers =
-      [this](replication::Parts with) -> std::variant<std::unique_ptr<replication::Service>, std::string> {
+  parts.forget = [this](ServerId member) { servers_.erase(member); };
+  parts.make_peers = [this](replication::ReplicationContext with)
+      -> std::variant<std::unique_ptr<replication::ReplicationService>, std::string> {
     with.passes = [this](const std::string& address) { return host_.Passes(number_, address); };
-    with.members_only = host_.spec_.marks == "none";
-    auto loaded = replication::Load(std::move(with));
-    if (auto* service = std::get_if<std::unique_ptr<replication::Service>>(&loaded)) {
+    with.members_only = host_.spec_.watermarks == "none";
+    auto loaded = replication::LoadReplicationModule(std::move(with));
+    if (auto* service = std::get_if<std::unique_ptr<replication::ReplicationService>>(&loaded)) {
       return std::make_unique<TimedPeers>(std::move(*service), host_.counts_);
     }
     return loaded;
@@ -294,13 +297,13 @@
   instance_ = std::make_unique<Instance>(host.loop_, config_, setup_, *this, std::move(parts));
 }
 
-std::string Hollow::Start() {
+std::string SimulatedPooler::Start() {
   const std::string fault = instance_->Start();
   if (fault.empty()) instance_->Follow();
   return fault;
 }
 
-void Hollow::Ask(std::size_t session, ClassIndex cls) {
+void SimulatedPooler::Ask(std::size_t session, ClassIndex cls) {
   const std::size_t group = session % host_.databases_.groups();
   asking_.emplace_front();
   Asking& asking = asking_.front();
@@ -321,11 +324,11 @@
   host_.counts_.module_us += ThreadUs() - from - (host_.counts_.peers_us - peers);
 }
 
-void Hollow::Asking::Served(const proxy::Answer& answer) {
+void SimulatedPooler::Asking::Served(const proxy::Answer& answer) {
   Host& of = host->host_;
   Held held;
   const std::size_t space = answer.row.find(' ');
-  held.position = Position(Duration(std::stoll(answer.row.substr(0, space))));
+  held.position = LogPosition(Duration(std::stoll(answer.row.substr(0, space))));
   held.reign = std::stoull(answer.row.substr(space + 1));
   if (cls == kMatchWrite) {
     ++of.counts_.writes;
@@ -336,39 +339,39 @@
   }
   Over();
 }
-void Hollow::Asking::Refused(Duration) {
+void SimulatedPooler::Asking::Refused(Duration) {
   ++host->host_.counts_.refused;
   Over();
 }
-void Hollow::Asking::Failed() {
+void SimulatedPooler::Asking::Failed() {
   ++host->host_.counts_.failed;
   Over();
 }
-void Hollow::Asking::Unusable() {
+void SimulatedPooler::Asking::Unusable() {
   ++host->host_.counts_.unusable;
   Over();
 }
 
-void Hollow::Later(Duration wait, std::function<void()> call) {
+void SimulatedPooler::Later(Duration wait, std::function<void()> call) {
   host_.loop_.At(host_.loop_.Now() + wait, [alive = std::weak_ptr(alive_), call = std::move(call)] {
     if (!alive.expired()) call();
   });
 }
 
-std::optional<Databases::Where> Hollow::Find(MemberId member) const {
+std::optional<Databases::Where> SimulatedPooler::Find(ServerId member) const {
   const auto found = servers_.find(member);
   if (found == servers_.end()) return std::nullopt;
   return host_.databases_.At(found->second);
 }
 
-void Hollow::Send(RequestId request, AttemptNumber attempt, MemberId member,
-                  std::shared_ptr<const proxy::Work> work, proxy::SendTimes) {
+void SimulatedPooler::Send(RequestId request, AttemptNumber attempt, ServerId member,
+                           std::shared_ptr<const proxy::Work> work, proxy::SendTimes) {
   ++host_.counts_.asked;
   out_[{request, attempt}] = {member, false};
   proxy::AttemptEnd end;
   end.request = request;
   end.attempt = attempt;
-  end.member = member;
+  end.server = member;
   const bool write = static_cast<const HollowWork&>(*work).write;
   const auto where = Find(member);
   if (!where || !host_.databases_.Up(*where, host_.loop_.Now())) {
@@ -379,11 +382,11 @@
   Later(kWork, [this, end, write] { Answer(end, write); });
 }
 
-void Hollow::Answer(proxy::AttemptEnd end, bool write) {
+void SimulatedPooler::Answer(proxy::AttemptEnd end, bool write) {
   const std::int64_t from = ThreadUs();
-  const Time now = host_.loop_.Now();
+  const TimePoint now = host_.loop_.Now();
   const Databases& databases = host_.databases_;
-  const auto where = Find(end.member);
+  const auto where = Find(end.server);
   end.taken = kWork;
   if (!where || !databases.Up(*where, now)) {
     end.outcome = Outcome::kBroken;
@@ -407,32 +410,32 @@
   End(std::move(end));
 }
 
-void Hollow::End(proxy::AttemptEnd end) {
+void SimulatedPooler::End(proxy::AttemptEnd end) {
   if (out_.erase({end.request, end.attempt}) == 0) return;  // it was called off
   const std::int64_t peers = host_.counts_.peers_us, from = ThreadUs();
   static_cast<proxy::BackendEvents&>(instance_->proxy()).OnAttemptEnd(std::move(end));
   host_.counts_.module_us += ThreadUs() - from - (host_.counts_.peers_us - peers);
 }
 
-void Hollow::Cancel(RequestId request, AttemptNumber attempt) {
+void SimulatedPooler::Cancel(RequestId request, AttemptNumber attempt) {
   const auto job = out_.find({request, attempt});
   if (job == out_.end() || job->second.cancelled) return;
   job->second.cancelled = true;
   proxy::AttemptEnd end;
   end.request = request;
   end.attempt = attempt;
-  end.member = job->second.member;
+  end.server = job->second.member;
   end.outcome = Outcome::kCancelled;
   Later(Duration{0}, [this, end] { End(end); });
 }
 
-void Hollow::Probe(MemberId member) {
+void SimulatedPooler::Probe(ServerId member) {
   ++host_.counts_.asked;
   Later(kProbeWork, [this, member] {
-    const Time now = host_.loop_.Now();
+    const TimePoint now = host_.loop_.Now();
     const auto where = Find(member);
-    ProbeEvent end;
-    end.member = member;
+    HealthCheckEvent end;
+    end.server = member;
     end.taken = kProbeWork;
     end.outcome = Outcome::kUnreachable;
     if (where && host_.databases_.Up(*where, now)) {
@@ -473,7 +476,7 @@
 
 void Host::Begin(int pooler, const std::vector<int>& others) {
   auto& hollow = hollow_[pooler];
-  hollow = std::make_unique<Hollow>(*this, pooler, others);
+  hollow = std::make_unique<SimulatedPooler>(*this, pooler, others);
   const std::string fault = hollow->Start();
   if (!fault.empty()) throw std::runtime_error("hollow pooler " + std::to_string(pooler) + ": " + fault);
 }
@@ -530,13 +533,14 @@
       to_start_.emplace_back(pooler, order.at("others").get<std::vector<int>>());
     StartNext();
   } else if (what == "die") {
-    databases_.Die(order.at("group"), order.at("member"), Time(Duration(order.at("at").get<std::int64_t>())));
+    databases_.Die(order.at("group"), order.at("member"),
+                   TimePoint(Duration(order.at("at").get<std::int64_t>())));
   } else if (what == "return") {
     databases_.Return(order.at("group"), order.at("member"),
-                      Time(Duration(order.at("at").get<std::int64_t>())));
+                      TimePoint(Duration(order.at("at").get<std::int64_t>())));
   } else if (what == "reign") {
-    databases_.Reign(order.at("group"), order.at("member"),
-                     Time(Duration(order.at("at").get<std::int64_t>())));
+    databases_.Promote(order.at("group"), order.at("member"),
+                       TimePoint(Duration(order.at("at").get<std::int64_t>())));
   } else if (what == "move") {
     for (const auto& [pooler, hollow] : hollow_) {
       hollow->instance().MoveTo({"127.0.0.1", order.at("port").get<std::uint16_t>()});
@@ -547,11 +551,11 @@
 void Host::Load() {
   load_.After(kLoadEvery, [this] { Load(); });
   // A loop that is late asks for the time that has passed; one that stood still does not make up for it all.
-  const Time now = loop_.Now();
+  const TimePoint now = loop_.Now();
   const Duration passed = loaded_ ? std::min(now - *loaded_, kMostLoad) : kLoadEvery;
   loaded_ = now;
   const std::int64_t module = counts_.module_us, peers = counts_.peers_us, from = ThreadUs();
-  std::vector<Hollow*> open;
+  std::vector<SimulatedPooler*> open;
   for (auto& [number, hollow] : hollow_) {
     if (!spec_.IsOwner(number) && hollow->Open()) open.push_back(hollow.get());
   }
@@ -559,7 +563,7 @@
   const double mean =
       spec_.statements_per_s * static_cast<double>(passed.count()) * 1e-6 * static_cast<double>(open.size());
   for (int left = mean > 0 ? std::poisson_distribution<int>(mean)(random_) : 0; left > 0; --left) {
-    Hollow& hollow = *open[random_() % open.size()];
+    SimulatedPooler& hollow = *open[random_() % open.size()];
     const Drawn drawn = Draw(spec_, hollow.number(), random_);
     hollow.Ask(drawn.session, drawn.cls);
   }
@@ -576,7 +580,7 @@
     const Instance& instance = hollow->instance();
     all.Add(instance);
     listed += instance.data_servers() == databases_.size();
-    const replication::Service* peers = instance.peers();
+    const replication::ReplicationService* peers = instance.peers();
     reached[number] = peers != nullptr ? peers->Reached() : static_cast<std::size_t>(spec_.poolers);
     if (parts && peers != nullptr) {
       const Json said = Json::parse(peers->Describe());
@@ -586,9 +590,9 @@
     }
   }
   Json kinds = Json::object();
-  for (std::size_t kind = 0; kind < replication::kKinds.size(); ++kind) {
-    kinds[replication::kKinds[kind]] = {all.traffic.out[kind].packets, all.traffic.out[kind].bytes,
-                                        all.traffic.in[kind].packets, all.traffic.in[kind].bytes};
+  for (std::size_t kind = 0; kind < replication::kTrafficKindNames.size(); ++kind) {
+    kinds[replication::kTrafficKindNames[kind]] = {all.traffic.out[kind].packets, all.traffic.out[kind].bytes,
+                                                   all.traffic.in[kind].packets, all.traffic.in[kind].bytes};
   }
   const std::size_t more = hollow_.size() > 1 ? hollow_.size() - 1 : 1;
   return {{"hollow", hollow_.size()},
@@ -663,7 +667,7 @@
   if (spec.scope != "everywhere") return text;
   text += "[peers]\nlisten = " + at(spec.udp[static_cast<std::size_t>(pooler)]) + "\nseeds = [" + seeds +
           "]\nkey_file = \"" + spec.folder + "/key\"\n";
-  if (spec.marks != "none") text += "marks = \"" + spec.marks + "\"\n";
+  if (spec.watermarks != "none") text += "marks = \"" + spec.watermarks + "\"\n";
   if (spec.IsOwner(pooler)) text += "owner = true\n";
   if (spec.bytes_per_s > 0) {
     text += "bytes_per_s = " + std::to_string(spec.bytes_per_s) + "\n";
--- a/testbed/scale_host.h
+++ b/testbed/scale_host.h
@@ -15,9 +15,9 @@
 
 // What the coordinator and its hosts agree on at the start; written to a file as JSON.
 struct ScaleSpec {
-  std::string folder;          // for files of all
-  std::string scope;           // of the sessions' guarantee
-  std::string marks = "each";  // how they are exchanged
+  std::string folder;               // for files of all
+  std::string scope;                // of the sessions' guarantee
+  std::string watermarks = "each";  // how they are exchanged
   int poolers = 0, real = 0;
   int alone = 0;   // hollow poolers with a process of their own: the first
   int owners = 0;  // the next, likewise: set aside for the directory
@@ -30,8 +30,8 @@
   double statements_per_s = 0, writes_share = 0, own_reads_share = 0, roam_share = 0;
   int bytes_per_s = 0;  // budget of the exchange, by the settings; 0: none
   int coalesce_ms = 0;  // while that is short
-  NLOHMANN_DEFINE_TYPE_INTRUSIVE(ScaleSpec, folder, scope, marks, poolers, real, alone, owners, hosts, seed,
-                                 udp, groups, endpoints, discovery, statements_per_s, writes_share,
+  NLOHMANN_DEFINE_TYPE_INTRUSIVE(ScaleSpec, folder, scope, watermarks, poolers, real, alone, owners, hosts,
+                                 seed, udp, groups, endpoints, discovery, statements_per_s, writes_share,
                                  own_reads_share, roam_share, bytes_per_s, coalesce_ms)
 
   // The processes of those alone come first.
--- a/testbed/scale_run.cpp
+++ b/testbed/scale_run.cpp
@@ -199,7 +199,7 @@
     }
     spec_.folder = folder_.path();
     spec_.scope = options.scope;
-    spec_.marks = options.marks;
+    spec_.watermarks = options.watermarks;
     spec_.poolers = options.poolers;
     spec_.real = options.real;
     spec_.alone = options.alone;
@@ -231,7 +231,7 @@
       All({{"do", "load"}});
       LoadReal(loop_.Now());
     }
-    const Time met_at = loop_.Now();
+    const TimePoint met_at = loop_.Now();
     const Duration news = NewsOfMeeting(options_);
     Pass(options_.warm_s < 0 ? news : kSecond * options_.warm_s);
     Tell("warmed_s", SecondsSince(met_at));
@@ -241,13 +241,13 @@
     for (const Step& step : steps) {
       loop_.At(loop_.Now() + step.at, [this, step] { Do(step); });
     }
-    const Sum hollow_from = Hollow(), real_from = Real();
+    const Sum hollow_from = SimulatedPooler(), real_from = Real();
     const double calls = static_cast<double>(Calls()), told = static_cast<double>(Told());
     Sum last = hollow_from;
-    const Time end = loop_.Now() + kSecond * options_.seconds;
+    const TimePoint end = loop_.Now() + kSecond * options_.seconds;
     while (loop_.Now() < end) {
       Pass(std::min(kSecond, end - loop_.Now()));
-      const Sum now = Hollow();
+      const Sum now = SimulatedPooler();
       Peak(last, now);
       last = now;
     }
@@ -263,7 +263,9 @@
   }
 
  private:
-  double SecondsSince(Time from) const { return static_cast<double>((loop_.Now() - from).count()) * 1e-6; }
+  double SecondsSince(TimePoint from) const {
+    return static_cast<double>((loop_.Now() - from).count()) * 1e-6;
+  }
   void Tell(const std::string& name, double value) { figures_[name] = value; }
 
   std::string Entry(std::size_t database, const std::string& uid) const {
@@ -331,7 +333,7 @@
     loop_.Run();
   }
   bool Until(const std::function<bool()>& holds, Duration most) {
-    const Time end = loop_.Now() + most;
+    const TimePoint end = loop_.Now() + most;
     while (!holds()) {
       if (loop_.Now() >= end) return false;
       Pass(kSecond / 2);
@@ -346,7 +348,7 @@
   std::vector<Json> Answers(const char* question) {
     All({{"do", question}});
     std::vector<Json> answers;
-    const Time end = loop_.Now() + kAnswerWithin;
+    const TimePoint end = loop_.Now() + kAnswerWithin;
     net::Timer look(loop_);
     std::function<void()> again = [&] { look.After(Duration(2000), again); };
     again();
@@ -378,7 +380,7 @@
     });
   }
 
-  Sum Hollow() {
+  Sum SimulatedPooler() {
     Sum sum;
     const auto answers = Answers("status");
     sum.at = SecondsSince(began_);
@@ -499,7 +501,7 @@
     Tell("real", options_.real);
     Tell("processes", spec_.processes());
     Tell("measured_s", seconds);
-    for (const char* kind : replication::kKinds) {
+    for (const char* kind : replication::kTrafficKindNames) {
       for (const char* way : {"_bytes_out", "_bytes_in"})
         Tell(std::string(kind) + way + "_per_s", rate(kind + std::string(way)));
     }
@@ -593,9 +595,9 @@
   // ---- What the scripts do ------------------------------------------------------------------------------
 
   // The real ones' clients send the same mix as the hollow ones'. What is answered is counted and not judged.
-  void LoadReal(Time since) {
+  void LoadReal(TimePoint since) {
     std::erase_if(clients_, [](const auto& client) { return client->over(); });
-    const Time now = loop_.Now();
+    const TimePoint now = loop_.Now();
     const double mean = options_.statements_per_s * static_cast<double>(real_.size()) *
                         std::chrono::duration<double>(now - since).count();
     for (int left = mean > 0 ? std::poisson_distribution<int>(mean)(random_) : 0; left > 0; --left) {
@@ -669,7 +671,7 @@
   void LosePrimary(std::size_t group) {
     const auto primary = GroupOf(group).primary();
     if (!primary || spec_.groups[group] < 2) return;
-    const Time at = loop_.Now() + kAhead;
+    const TimePoint at = loop_.Now() + kAhead;
     Order("die", group, *primary, at);
     loop_.At(at, [this, group, primary] {
       if (options_.real > 0) {
@@ -679,7 +681,7 @@
       }
       AwaitReign(group);
     });
-    const Time back = at + kReturnAfter;
+    const TimePoint back = at + kReturnAfter;
     Order("return", group, *primary, back);
     loop_.At(back, [this, group, primary] {
       if (options_.real > 0) {
@@ -698,13 +700,13 @@
     }
     Order("reign", group, *primary, loop_.Now() + kAhead);
   }
-  void Order(const char* what, std::size_t group, std::size_t member, Time at) {
+  void Order(const char* what, std::size_t group, std::size_t member, TimePoint at) {
     All({{"do", what}, {"group", group}, {"member", member}, {"at", at.time_since_epoch().count()}});
   }
 
   // What a change of configuration moves today: where discovery is.
   void MoveDiscovery() {
-    const Time from = loop_.Now();
+    const TimePoint from = loop_.Now();
     All({{"do", "move"}, {"port", second_.port()}});
     spec_.discovery = second_.port();
     for (std::size_t i = 0; i < real_.size(); ++i) {
@@ -714,7 +716,7 @@
     }
     AwaitMoved(from);
   }
-  void AwaitMoved(Time from) {
+  void AwaitMoved(TimePoint from) {
     Tell("configuration_in_force_s", SecondsSince(from));
     if (second_.watchers() == alive_.size()) return;
     loop_.At(loop_.Now() + Duration(10000), [this, from] { AwaitMoved(from); });
@@ -742,7 +744,7 @@
                      {"coalesce_ms", options_.bytes_per_s > 0 ? options_.coalesce_ms : 0},
                      {"roam_share", load ? options_.roam_share : 0},
                      {"changes_per_s", ChangesPerS(options_)},
-                     {"marks", options_.marks},
+                     {"marks", options_.watermarks},
                      {"scope", options_.scope},
                      {"commit", options_.commit}}},
                    {"figures", figures_}};
@@ -766,7 +768,7 @@
   net::Timer changes_, asks_;
   std::list<std::unique_ptr<Client>> clients_;
   std::uint64_t asked_ = 0, served_ = 0;  // of real poolers
-  Time began_{};
+  TimePoint began_{};
   int replaced_ = 0, renamed_ = 0;
   std::map<std::string, double> figures_;
 };
@@ -782,7 +784,7 @@
   if (!options.compare) return ScaleRun(options).Play();
   // The same with each mark to each pooler: what the way that is played takes away has to show there.
   ScaleOptions former = options;
-  former.marks = "each";
+  former.watermarks = "each";
   former.json.clear();
   double off = 0;
   {
--- a/testbed/scale_script.cpp
+++ b/testbed/scale_script.cpp
@@ -41,7 +41,7 @@
   return digits;
 }
 
-std::vector<int> Hollow(const ScaleOptions& options, auto&& holds) {
+std::vector<int> SimulatedPooler(const ScaleOptions& options, auto&& holds) {
   std::vector<int> who;
   for (int i = options.real; i < options.poolers; ++i) {
     if (holds(PlaceOf(i, options.real))) who.push_back(i);
@@ -62,12 +62,12 @@
 }
 
 double CoresFor(const ScaleOptions& options) {
-  const bool each = options.marks == "each";
+  const bool each = options.watermarks == "each";
   double cores = kCoresEach + (kCoresAPeer + (each ? kCoresAPeerWithMarks : 0)) * options.poolers +
                  kCoresADatabase * options.databases;
   if (HasLoad(options.script)) {
-    const double marks = each ? options.writes_share * options.poolers : 0;
-    cores += options.statements_per_s * (kCoresAStatement + kCoresAMark * marks);
+    const double watermarks = each ? options.writes_share * options.poolers : 0;
+    cores += options.statements_per_s * (kCoresAStatement + kCoresAMark * watermarks);
   }
   return cores * options.poolers;
 }
@@ -100,8 +100,9 @@
     return "there is no script \"" + options.script + "\": " + known;
   }
   const std::vector<std::string> ways = {"each", "directory", "directory-plain", "none"};
-  if (std::ranges::find(ways, options.marks) == ways.end()) {
-    return "marks cannot be exchanged by \"" + options.marks + "\": each, directory, directory-plain, none";
+  if (std::ranges::find(ways, options.watermarks) == ways.end()) {
+    return "marks cannot be exchanged by \"" + options.watermarks +
+           "\": each, directory, directory-plain, none";
   }
   if (options.scope != "everywhere" && options.scope != "instance") {
     return "the sessions' scope is not \"" + options.scope + "\": everywhere, instance";
@@ -120,7 +121,7 @@
     if (!wrong.empty()) return wrong;
   }
   if (options.poolers <= options.real) return "of the poolers at least one has to be hollow";
-  if (options.marks == "none" && options.real > 0) {
+  if (options.watermarks == "none" && options.real > 0) {
     return "real poolers exchange marks: --marks none is played with --real 0 alone";
   }
   if (options.scope == "instance" && options.real > 0) {
@@ -135,7 +136,7 @@
   if (options.writes_share + OwnReadsShare(options) > 1) {
     return "writes and own-reads are more than all statements: --writes-share and --own-reads-share";
   }
-  if ((options.owners > 0 || options.bytes_per_s > 0) && options.marks.find("directory") != 0) {
+  if ((options.owners > 0 || options.bytes_per_s > 0) && options.watermarks.find("directory") != 0) {
     return "owners and a budget of bytes are the directory's: --marks directory has to be given with them";
   }
   // The coordinator holds a listener for each database of real poolers and discovery's watchers.
@@ -174,7 +175,7 @@
     }
   } else if (name == "replaced") {
     // A few machines, one after the other, never one that was replaced before, nor one set aside.
-    auto all = Hollow(options, [](const Place&) { return true; });
+    auto all = SimulatedPooler(options, [](const Place&) { return true; });
     std::erase_if(all, [&](int pooler) { return IsOwner(options, pooler); });
     const std::size_t count = std::clamp<std::size_t>(all.size() / 10, 1, 8);
     for (std::size_t i = 0; i < count; ++i) {
@@ -183,14 +184,14 @@
                        {all[i]}});
     }
   } else if (name == "rack" || name == "zone") {
-    const auto gone = Hollow(options, [&](const Place& place) {
+    const auto gone = SimulatedPooler(options, [&](const Place& place) {
       return place.zone == kZones - 1 && (name == "zone" || place.rack == kZones - 1);
     });
     steps.push_back({Part(options, 0.2), What::kKill, gone});
     steps.push_back({Part(options, 0.6), What::kRestart, gone});
   } else if (name == "regions") {
     steps.push_back({Part(options, 0.15), What::kCut,
-                     Hollow(options, [](const Place& place) { return place.region == 1; })});
+                     SimulatedPooler(options, [](const Place& place) { return place.region == 1; })});
     steps.push_back({Part(options, 0.6), What::kHeal, {}});
   } else if (name == "configuration") {
     steps.push_back({Part(options, 0.3), What::kConfiguration, {}});
@@ -202,7 +203,7 @@
 // each, six in a packet, ten packets a second.
 Duration NewsOfMeeting(const ScaleOptions& options) {
   const Duration time = HasLoad(options.script) ? kRecalled : kMeeting;
-  if (options.marks == "each") return time;
+  if (options.watermarks == "each") return time;
   const double n = options.poolers;
   return std::min(kLongestNews,
                   time + Duration(static_cast<std::int64_t>(1e6 * n * 3 * std::log2(n + 2) / 60)));
--- a/testbed/scale_script.h
+++ b/testbed/scale_script.h
@@ -17,7 +17,7 @@
   int databases = 100;
   int real = 2;
   std::string script = "quiet";
-  std::string marks = "each";  // how sessions' marks are exchanged; "none": membership alone
+  std::string watermarks = "each";  // how sessions' marks are exchanged; "none": membership alone
   std::string scope =
       "everywhere";  // of the sessions' guarantee; "instance": the judge has to see stale reads
   std::uint64_t seed = 1;
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -58,7 +58,7 @@
   net::Loop loop;
   std::string answer = "{}";
   int asked = 0;
-  Server server;
+  AdminServer server;
 };
 
 TEST_CASE("a question has its answer and the connection ends; others cost their connection") {
@@ -125,17 +125,17 @@
 
 TEST_CASE("settings: operators are answered on loopback alone") {
   const auto on = [](const std::string& address) {
-    return ReadSetup("[control]\nlisten = \"" + address + "\"\n");
+    return ParseProgramSettings("[control]\nlisten = \"" + address + "\"\n");
   };
-  CHECK(std::get<Setup>(on("127.0.0.1:7")).control->port == 7);
-  CHECK(std::holds_alternative<Setup>(on("[::1]:7")));
+  CHECK(std::get<ProgramSettings>(on("127.0.0.1:7")).control->port == 7);
+  CHECK(std::holds_alternative<ProgramSettings>(on("[::1]:7")));
   for (const char* address : {"0.0.0.0:7", "10.0.0.1:7", "[::]:7", "127.0.0.1"}) {
     CAPTURE(address);
     const auto read = on(address);
     REQUIRE(std::holds_alternative<std::string>(read));
     CHECK(std::get<std::string>(read).starts_with("line 2, column 10: 'control.listen'"));
   }
-  CHECK_FALSE(std::get<Setup>(ReadSetup("")).control);
+  CHECK_FALSE(std::get<ProgramSettings>(ParseProgramSettings("")).control);
 }
 
 // What `lynxgrade peers` prints, and whether it went well.
--- a/tests/capacity/capacity_test.cpp
+++ b/tests/capacity/capacity_test.cpp
@@ -704,9 +704,9 @@
   CHECK(exchange.packets_per_s == kPacketsPerS);
   CHECK(exchange.idle == Duration(static_cast<std::int64_t>(kIdleFlushMs * 1000)));
   CHECK(static_cast<double>(exchange.kept) == kMarksKept);
-  const auto setup = ReadSetup("");
-  REQUIRE(std::holds_alternative<Setup>(setup));
-  const Setup& set = std::get<Setup>(setup);
+  const auto setup = ParseProgramSettings("");
+  REQUIRE(std::holds_alternative<ProgramSettings>(setup));
+  const ProgramSettings& set = std::get<ProgramSettings>(setup);
   CHECK(set.sessions.hold == Duration(static_cast<std::int64_t>(kHoldMs * 1000)));
   CHECK(set.sessions.recall == Duration(static_cast<std::int64_t>(kRecallS * 1e6)));
   CHECK(static_cast<double>(set.sessions.sessions) == kLedgerSessions);
@@ -715,10 +715,10 @@
   CHECK(static_cast<double>(budget.all()) == 1'000 - kReserved);
   CHECK(set.peers.asks_per_s == kAsksPerS);
   CHECK(set.peers.bytes_per_s == 0);  // rows of the directory are what is asked for without a budget
-  const lease::Owner::Options owner;
+  const lease::SessionLeaseManager::Options owner;
   CHECK(owner.lease == Duration(static_cast<std::int64_t>(kLeaseS * 1e6)));
   CHECK(owner.lease * 11 / 10 + owner.recall == Duration(static_cast<std::int64_t>(kOwnedForS * 1e6)));
-  CHECK(static_cast<double>(lease::Directory::Options().holds) == kSessionsHeld);
+  CHECK(static_cast<double>(lease::SessionLeaseClient::Options().holds) == kSessionsHeld);
   // A probe, and a row of one column `body` as the lab's data servers answer it.
   std::string query, answer;
   pg::AppendQuery(query, "SHOW pressure");
--- a/tests/consistency/consistency_test.cpp
+++ b/tests/consistency/consistency_test.cpp
@@ -13,109 +13,109 @@
 namespace lynxgrade::consistency {
 namespace {
 
-Position At(std::int64_t ms) { return Position(Duration(1'700'000'000'000'000 + ms * 1000)); }
-constexpr MemberId kA{1}, kB{2}, kC{3};
+LogPosition At(std::int64_t ms) { return LogPosition(Duration(1'700'000'000'000'000 + ms * 1000)); }
+constexpr ServerId kA{1}, kB{2}, kC{3};
 constexpr GroupId kGroup{2};
 
 TEST_CASE("ledger: against a plain map, no session is ever known by less than its newest write") {
   CHECK(rc::check("ledger", [](const std::vector<std::pair<std::uint8_t, std::uint16_t>>& writes) {
-    Ledger ledger(24);  // six buckets: most of 256 sessions have to be forgotten
-    std::map<std::uint8_t, Mark> model;
+    SessionWatermarkTable watermark_table(24);  // six buckets: most of 256 sessions have to be forgotten
+    std::map<std::uint8_t, WriteWatermark> model;
     for (const auto& [session, ms] : writes) {
-      const Key key = KeyOf(kGroup, std::to_string(session));
-      const Mark mark{At(ms), MemberId(session % 3u)};
-      ledger.Note(key, mark);
-      Mark& newest = model.try_emplace(session, mark).first->second;
-      if (mark.position > newest.position) newest = mark;
+      const SessionKey key = SessionKeyOf(kGroup, std::to_string(session));
+      const WriteWatermark watermark{At(ms), ServerId(session % 3u)};
+      watermark_table.Note(key, watermark);
+      WriteWatermark& newest = model.try_emplace(session, watermark).first->second;
+      if (watermark.position > newest.position) newest = watermark;
       for (const auto& [other, known] : model) {
-        const auto found = ledger.Find(KeyOf(kGroup, std::to_string(other)));
-        const bool exact = found.mark && found.mark->position == known.position;
-        const bool covered = !found.mark && found.floor && *found.floor >= known.position;
+        const auto found = watermark_table.Find(SessionKeyOf(kGroup, std::to_string(other)));
+        const bool exact = found.watermark && found.watermark->position == known.position;
+        const bool covered = !found.watermark && found.floor && *found.floor >= known.position;
         RC_ASSERT(exact || covered);
-        if (exact) RC_ASSERT(found.mark->by == known.by || !found.mark->by);
+        if (exact) RC_ASSERT(found.watermark->by == known.by || !found.watermark->by);
       }
     }
-    RC_ASSERT(ledger.size() <= 24 * 2);
+    RC_ASSERT(watermark_table.size() <= 24 * 2);
   }));
 }
 
 TEST_CASE("ledger: a session that never wrote gets no target while nothing was forgotten") {
-  Ledger ledger(1000);
-  ledger.Note(KeyOf(kGroup, "a"), {At(5), kA});
-  const auto other = ledger.Find(KeyOf(kGroup, "b"));
-  CHECK_FALSE(other.mark);
+  SessionWatermarkTable watermark_table(1000);
+  watermark_table.Note(SessionKeyOf(kGroup, "a"), {At(5), kA});
+  const auto other = watermark_table.Find(SessionKeyOf(kGroup, "b"));
+  CHECK_FALSE(other.watermark);
   CHECK_FALSE(other.floor);
-  CHECK(KeyOf(kGroup, "a") != KeyOf(GroupId(3), "a"));
+  CHECK(SessionKeyOf(kGroup, "a") != SessionKeyOf(GroupId(3), "a"));
 }
 
 TEST_CASE("ledger: positions keep their order over the re-basing, and round up where they are too old") {
-  Ledger ledger(100);
-  ledger.Note(KeyOf(kGroup, "old"), {At(0), kA});
+  SessionWatermarkTable watermark_table(100);
+  watermark_table.Note(SessionKeyOf(kGroup, "old"), {At(0), kA});
   const std::int64_t weeks = 50LL * 86'400'000;
-  ledger.Note(KeyOf(kGroup, "new"), {At(weeks), kA});
-  CHECK(ledger.Find(KeyOf(kGroup, "new")).mark->position == At(weeks));
-  CHECK(ledger.Find(KeyOf(kGroup, "old")).mark->position >= At(0));
-  CHECK(ledger.Find(KeyOf(kGroup, "old")).mark->position < At(weeks));
+  watermark_table.Note(SessionKeyOf(kGroup, "new"), {At(weeks), kA});
+  CHECK(watermark_table.Find(SessionKeyOf(kGroup, "new")).watermark->position == At(weeks));
+  CHECK(watermark_table.Find(SessionKeyOf(kGroup, "old")).watermark->position >= At(0));
+  CHECK(watermark_table.Find(SessionKeyOf(kGroup, "old")).watermark->position < At(weeks));
 }
 
 TEST_CASE(
     "reigns: what a lost primary answered after its successor's last word is in doubt, the rest is not") {
-  Reigns reigns(Duration(1'000'000));
-  CHECK(reigns.Primary(kA, At(0)));
-  reigns.Standby(kB, At(90));
-  CHECK_FALSE(reigns.Primary(kA, At(100)));
-  CHECK(reigns.Primary(kB, At(3000)));
+  PrimaryTimeline timelines(Duration(1'000'000));
+  CHECK(timelines.Primary(kA, At(0)));
+  timelines.Standby(kB, At(90));
+  CHECK_FALSE(timelines.Primary(kA, At(100)));
+  CHECK(timelines.Primary(kB, At(3000)));
   struct Case {
-    Mark mark;
+    WriteWatermark watermark;
     bool doubt;
   };
   for (const Case& c : {Case{{At(90), kA}, false}, Case{{At(91), kA}, true}, Case{{At(3100), kA}, true},
                         Case{{At(2900), kB}, false}, Case{{At(91), std::nullopt}, true}}) {
-    CAPTURE(c.mark.position.time_since_epoch().count());
-    CHECK(reigns.InDoubt(c.mark) == c.doubt);
+    CAPTURE(c.watermark.position.time_since_epoch().count());
+    CHECK(timelines.InDoubt(c.watermark) == c.doubt);
   }
-  CHECK(reigns.InDoubt(At(50), At(95)));
-  CHECK_FALSE(reigns.InDoubt(At(3001), At(3100)));
+  CHECK(timelines.InDoubt(At(50), At(95)));
+  CHECK_FALSE(timelines.InDoubt(At(3001), At(3100)));
 }
 
 TEST_CASE("reigns: a replica's position proves nothing past what a reign that is known can have lasted") {
-  Reigns reigns(Duration(1'000'000));
-  CHECK_FALSE(reigns.Believed());
-  reigns.Primary(kA, At(100));
-  CHECK(*reigns.Believed() == At(1100));
-  reigns.Standby(kB, At(80));
-  reigns.Standby(kB, At(5000));  // on the timeline of a successor that was not heard yet
-  reigns.Primary(kB, At(6000));
-  CHECK(reigns.held() == At(80));
+  PrimaryTimeline timelines(Duration(1'000'000));
+  CHECK_FALSE(timelines.Believed());
+  timelines.Primary(kA, At(100));
+  CHECK(*timelines.Believed() == At(1100));
+  timelines.Standby(kB, At(80));
+  timelines.Standby(kB, At(5000));  // on the timeline of a successor that was not heard yet
+  timelines.Primary(kB, At(6000));
+  CHECK(timelines.held() == At(80));
 }
 
 TEST_CASE("reigns: a primary that was a replica in between proves nothing of its own earlier writes") {
-  Reigns reigns(Duration(1'000'000));
-  reigns.Primary(kA, At(100));
-  reigns.Standby(kA, At(4000));
-  reigns.Primary(kA, At(9000));
-  CHECK(reigns.InDoubt(Mark{At(90), kA}));
-  CHECK_FALSE(reigns.Primary(kA, At(9100)));
+  PrimaryTimeline timelines(Duration(1'000'000));
+  timelines.Primary(kA, At(100));
+  timelines.Standby(kA, At(4000));
+  timelines.Primary(kA, At(9000));
+  CHECK(timelines.InDoubt(WriteWatermark{At(90), kA}));
+  CHECK_FALSE(timelines.Primary(kA, At(9100)));
 }
 
 TEST_CASE("reigns: another instance's word narrows a loss, and tells of a reign that was missed") {
-  Reigns reigns(Duration(1'000'000));
-  reigns.Primary(kA, At(100));
-  reigns.Primary(kB, At(5000));
-  CHECK(reigns.InDoubt(Mark{At(80), kA}));
-  reigns.Learn(kB, At(3000), At(95), At(5000));
-  CHECK_FALSE(reigns.InDoubt(Mark{At(80), kA}));
-  CHECK(reigns.InDoubt(Mark{At(96), kA}));
-  reigns.Learn(kC, At(8000), At(7000), At(8200));
-  CHECK(reigns.primary() == kC);
-  CHECK(reigns.InDoubt(Mark{At(7500), kB}));
+  PrimaryTimeline timelines(Duration(1'000'000));
+  timelines.Primary(kA, At(100));
+  timelines.Primary(kB, At(5000));
+  CHECK(timelines.InDoubt(WriteWatermark{At(80), kA}));
+  timelines.Learn(kB, At(3000), At(95), At(5000));
+  CHECK_FALSE(timelines.InDoubt(WriteWatermark{At(80), kA}));
+  CHECK(timelines.InDoubt(WriteWatermark{At(96), kA}));
+  timelines.Learn(kC, At(8000), At(7000), At(8200));
+  CHECK(timelines.primary() == kC);
+  CHECK(timelines.InDoubt(WriteWatermark{At(7500), kB}));
 }
 
 // A keeper with requests of one session, answered at will.
 struct Rig {
-  explicit Rig(Options options = Everywhere()) : keeper(SettingsHere(), options) {
+  explicit Rig(Options options = Everywhere()) : consistency_guard(SettingsHere(), options) {
     ListEvent list{ListKind::kPersisted, {}};
-    for (const MemberId id : {kA, kB, kC}) list.entries.push_back({.member = id, .group = kGroup});
+    for (const ServerId id : {kA, kB, kC}) list.entries.push_back({.server = id, .group = kGroup});
     Give(list);
   }
   static Options Everywhere() {
@@ -133,8 +133,8 @@
     return s;
   }
   Event Give(Event event) {
-    keeper.Before(now, event);
-    for (const Turned& turned : keeper.TakeTurned()) gone.push_back(turned);
+    consistency_guard.Before(now, event);
+    for (const RejectedRead& turned : consistency_guard.TakeTurned()) gone.push_back(turned);
     return event;
   }
   RequestEvent Ask(ClassIndex cls, const char* session) {
@@ -145,23 +145,23 @@
     ask.session = session;
     return std::get<RequestEvent>(Give(ask));
   }
-  OutcomeEvent Answer(RequestId id, MemberId member, bool primary, Position position,
+  OutcomeEvent Answer(RequestId id, ServerId server, bool primary, LogPosition position,
                       Outcome outcome = Outcome::kOk) {
     OutcomeEvent event;
     event.id = id;
-    event.member = member;
+    event.server = server;
     event.outcome = outcome;
     event.note = {position, primary};
     return std::get<OutcomeEvent>(Give(event));
   }
-  void Write(const char* session, MemberId by, Position commit) {
+  void Write(const char* session, ServerId by, LogPosition commit) {
     Answer(Ask(1, session).id, by, true, commit);
   }
-  std::optional<Position> Target(const char* session) { return Ask(0, session).target; }
+  std::optional<LogPosition> Target(const char* session) { return Ask(0, session).target; }
 
-  Keeper keeper;
-  Time now = At(0);
-  std::vector<Turned> gone;
+  SessionConsistencyGuard consistency_guard;
+  TimePoint now = At(0);
+  std::vector<RejectedRead> gone;
   std::uint32_t last = 0;
 };
 
@@ -181,8 +181,8 @@
 TEST_CASE("keeper: after a start from nothing each session may have written until then") {
   Rig rig;
   rig.now = At(10'000);
-  rig.keeper.LearnReign(kGroup, kA, At(-60'000), At(-60'000), At(9'000));
-  rig.keeper.Started(rig.now, std::nullopt);
+  rig.consistency_guard.LearnReign(kGroup, kA, At(-60'000), At(-60'000), At(9'000));
+  rig.consistency_guard.Started(rig.now, std::nullopt);
   CHECK(*rig.Target("s") == At(10'000));
   CHECK(rig.gone.empty());
   rig.Write("s", kA, At(10'500));
@@ -194,7 +194,7 @@
 TEST_CASE("keeper: where the reign's begin is not known after a start from nothing, reads are turned away") {
   Rig rig;
   rig.now = At(10'000);
-  rig.keeper.Started(rig.now, std::nullopt);
+  rig.consistency_guard.Started(rig.now, std::nullopt);
   rig.Write("w", kA, At(10'100));
   rig.Ask(0, "s");
   REQUIRE(rig.gone.size() == 1);
@@ -230,8 +230,8 @@
   rig.Write("s", kA, At(130));
   rig.now = At(3000);
   const RequestId read = rig.Ask(0, "s").id;
-  rig.keeper.LearnReign(kGroup, kB, At(2900), At(100), At(2950));
-  for (const Turned& turned : rig.keeper.TakeTurned()) rig.gone.push_back(turned);
+  rig.consistency_guard.LearnReign(kGroup, kB, At(2900), At(100), At(2950));
+  for (const RejectedRead& turned : rig.consistency_guard.TakeTurned()) rig.gone.push_back(turned);
   REQUIRE(rig.gone.size() == 1);
   CHECK(rig.gone[0].id == read);
 }
@@ -282,16 +282,17 @@
   Rig rig;
   rig.Write("s", kA, At(10));
   rig.now = At(100);
-  rig.keeper.Covered(7, At(90));
+  rig.consistency_guard.Covered(7, At(90));
   RequestEvent ask;
   ask.cls = 0;
-  CHECK(rig.keeper.WorthHolding(ask, rig.now));
+  CHECK(rig.consistency_guard.WorthHolding(ask, rig.now));
   CHECK(*rig.Target("x") == At(100));
-  rig.keeper.Covered(7, At(100));
+  rig.consistency_guard.Covered(7, At(100));
   CHECK_FALSE(rig.Target("x"));
-  rig.keeper.Learn(kGroup, KeyOf(kGroup, "x"), {At(95), kA});
+  rig.consistency_guard.Learn(kGroup, SessionKeyOf(kGroup, "x"), {At(95), kA});
   CHECK(*rig.Target("x") == At(95));
-  rig.keeper.Learn(kGroup, KeyOf(kGroup, "y"), {At(120), kB});  // its word tells of a new primary
+  rig.consistency_guard.Learn(kGroup, SessionKeyOf(kGroup, "y"),
+                              {At(120), kB});  // its word tells of a new primary
   rig.Ask(0, "x");
   CHECK(rig.gone.back().reason == Reason::kLost);
 }
@@ -300,12 +301,12 @@
   for (const bool carried : {false, true}) {
     Settings settings = Rig::SettingsHere();
     settings.sessions_carried = carried;
-    Keeper keeper(settings, Options{});
+    SessionConsistencyGuard consistency_guard(settings, Options{});
     RequestEvent ask;
     ask.target = At(7);
     ask.since_write = Duration(2000);
     Event event = ask;
-    keeper.Before(At(10), event);
+    consistency_guard.Before(At(10), event);
     const auto target = std::get<RequestEvent>(event).target;
     if (carried) CHECK(*target == At(8));
     if (!carried) CHECK_FALSE(target);
--- a/tests/durability/durability_test.cpp
+++ b/tests/durability/durability_test.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint64_t kBoot = 77;
 constexpr const char* kName = "n1";
 
-Position At(std::int64_t ms) { return Position(Duration(1'700'000'000'000'000 + ms * 1000)); }
+LogPosition At(std::int64_t ms) { return LogPosition(Duration(1'700'000'000'000'000 + ms * 1000)); }
 
 struct Folder {
   Folder() {
@@ -56,10 +56,10 @@
   static const std::uint64_t hash = [] {
     Folder folder;
     net::Loop loop;
-    consistency::Keeper keeper(SessionSettings(), Everywhere());
-    StateSetup setup;
+    consistency::SessionConsistencyGuard consistency_guard(SessionSettings(), Everywhere());
+    DurabilitySettings setup;
     setup.folder = folder.path;
-    Store store(loop, setup, kName, keeper);
+    WriteAheadLog store(loop, setup, kName, consistency_guard);
     REQUIRE(store.Open().empty());
     REQUIRE(store.Begin().empty());
     Head head;
@@ -165,32 +165,32 @@
   CHECK(Recover(folder.path, kName, kBoot, false).records.empty());
 }
 
-consistency::Key KeyNumber(std::uint64_t number) {
-  return consistency::KeyOf(GroupId(1), std::to_string(number));
+consistency::SessionKey KeyNumber(std::uint64_t number) {
+  return consistency::SessionKeyOf(GroupId(1), std::to_string(number));
 }
 
 // A store on a real folder, with a loop to turn.
-struct Life {
-  Life(const std::string& folder, std::size_t snapshot_bytes = 1u << 20)
-      : keeper(SessionSettings(), Everywhere()),
-        store(loop, SetupFor(folder, snapshot_bytes), kName, keeper) {
+struct IncarnationId {
+  IncarnationId(const std::string& folder, std::size_t snapshot_bytes = 1u << 20)
+      : consistency_guard(SessionSettings(), Everywhere()),
+        store(loop, SetupFor(folder, snapshot_bytes), kName, consistency_guard) {
     opened = store.Open();
     if (opened.empty()) {
-      Apply(store.recovered(), keeper);
+      Apply(store.recovered(), consistency_guard);
       opened = store.Begin();
     }
   }
-  static StateSetup SetupFor(const std::string& folder, std::size_t snapshot_bytes) {
-    StateSetup setup;
+  static DurabilitySettings SetupFor(const std::string& folder, std::size_t snapshot_bytes) {
+    DurabilitySettings setup;
     setup.folder = folder;
     setup.snapshot_bytes = snapshot_bytes;
     setup.stall = Duration(2'000'000);
     return setup;
   }
-  void Write(std::uint64_t key, Position position) {
-    const consistency::Mark mark{position, MemberId(1)};
-    keeper.Learn(std::nullopt, KeyNumber(key), mark);
-    store.Wrote(KeyNumber(key), mark);
+  void Write(std::uint64_t key, LogPosition position) {
+    const consistency::WriteWatermark watermark{position, ServerId(1)};
+    consistency_guard.Learn(std::nullopt, KeyNumber(key), watermark);
+    store.Wrote(KeyNumber(key), watermark);
   }
   void Until(const std::function<bool()>& holds) {
     bool late = false;
@@ -206,17 +206,17 @@
     if (store.WhenSafe([&] { safe = true; })) Until([&] { return safe; });
   }
   net::Loop loop;
-  consistency::Keeper keeper;
-  Store store;
+  consistency::SessionConsistencyGuard consistency_guard;
+  WriteAheadLog store;
   std::string opened;
 };
 
 TEST_CASE("a life that ends without a word leaves all that was answered; snapshots keep the folder small") {
   Folder folder;
-  const Position now =
-      Position(std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()));
+  const LogPosition now =
+      LogPosition(std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()));
   {
-    Life life(folder.path, 4096);
+    IncarnationId life(folder.path, 4096);
     REQUIRE(life.opened.empty());
     CHECK_FALSE(life.store.recovered().complete);
     for (std::uint64_t i = 0; i < 2000; ++i) {
@@ -227,17 +227,18 @@
     life.Write(999, now);
     life.Settle();
   }
-  Life next(folder.path);
+  IncarnationId next(folder.path);
   CHECK(next.store.recovered().complete);
-  CHECK(next.keeper.ledger().Find(KeyNumber(999)).mark);
-  CHECK(next.keeper.ledger().Find(KeyNumber(50)).mark->position >= now + Duration(1000) * 1999);
+  CHECK(next.consistency_guard.watermark_table().Find(KeyNumber(999)).watermark);
+  CHECK(next.consistency_guard.watermark_table().Find(KeyNumber(50)).watermark->position >=
+        now + Duration(1000) * 1999);
   CHECK(std::distance(fs::directory_iterator(folder.path), {}) == 1);
 }
 
 TEST_CASE("an orderly stop is complete after another boot too") {
   Folder folder;
   {
-    Life life(folder.path);
+    IncarnationId life(folder.path);
     life.Write(5, At(10));
     life.store.Stop();
   }
@@ -246,7 +247,7 @@
 
 TEST_CASE("a full disk: answers go on, and nothing is left that a later start could take for whole") {
   Folder folder;
-  Life life(folder.path);
+  IncarnationId life(folder.path);
   REQUIRE(life.opened.empty());
   std::signal(SIGXFSZ, SIG_IGN);
   rlimit before{};
@@ -282,15 +283,15 @@
         Case{"[peers]\nseeds = [\"127.0.0.1:1\"]\n", "'peers.listen' names no address"},
         Case{"[sessions\n", "line 1"}}) {
     CAPTURE(c.text);
-    const auto read = ReadSetup(c.text);
+    const auto read = ParseProgramSettings(c.text);
     REQUIRE(std::holds_alternative<std::string>(read));
     CAPTURE(std::get<std::string>(read));
     CHECK(std::get<std::string>(read).find(c.says) != std::string::npos);
   }
-  CHECK(std::holds_alternative<Setup>(ReadSetup("")));
-  const auto all = LoadSetup(SETTINGS_FILE);
-  REQUIRE(std::holds_alternative<Setup>(all));
-  CHECK(std::get<Setup>(all).sessions.scope == consistency::Scope::kInstance);
+  CHECK(std::holds_alternative<ProgramSettings>(ParseProgramSettings("")));
+  const auto all = LoadProgramSettings(SETTINGS_FILE);
+  REQUIRE(std::holds_alternative<ProgramSettings>(all));
+  CHECK(std::get<ProgramSettings>(all).sessions.scope == consistency::Scope::kInstance);
 }
 
 }  // namespace
--- a/tests/estimation/estimation_test.cpp
+++ b/tests/estimation/estimation_test.cpp
@@ -37,7 +37,7 @@
   std::mt19937_64 random(c.seed);
   std::uniform_real_distribution<double> even(0, 1);
   std::exponential_distribution<double> held(1 / c.held_ms), off(1.0 / 150);
-  FirstTry estimate;
+  FirstAttemptEstimator estimate;
   Errors sum;
   double later = 0, first = 0;
   for (int i = 0; i < 3000; ++i) {
@@ -63,7 +63,7 @@
 
 TEST_CASE("how long ago a client first asked is told from what it gives a try") {
   for (std::uint64_t seed : {1, 2, 3}) {
-    // Turned away at once, or after a second: what is left of the deadline binds later tries ever more.
+    // RejectedRead away at once, or after a second: what is left of the deadline binds later tries ever more.
     for (double held : {20.0, 400.0, 1000.0}) {
       const Errors marked = Play({.held_ms = held, .seed = seed});
       // Where they are turned away at once, most of a later try's age is the client's own wait, unseen here.
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE("the age of a try is bounded by what the deadline leaves, whatever was seen") {
-  FirstTry estimate;
+  FirstAttemptEstimator estimate;
   CHECK(estimate.Age(Duration{0}, Ms(100), true) == Duration{0});
   for (int i = 0; i < 40; ++i) estimate.Age(Ms(1000), Ms(600), false);
   for (int i = 0; i < 100; ++i) estimate.Unserved(Ms(900));
@@ -115,7 +115,7 @@
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<double> even(0, 1);
   Replica replica;
-  LogPosition estimate;
+  ReplicaPosition estimate;
   struct Open {
     double since, target;
     bool moves, up;
@@ -172,7 +172,7 @@
 }
 
 TEST_CASE("a position is a floor, and what was not heard for long rules nothing out") {
-  LogPosition p;
+  ReplicaPosition p;
   CHECK_FALSE(p.Proven(Ms(1)));
   CHECK(p.MayHold(Ms(5000), Ms(4900)));
   CHECK(p.MayReach(Ms(5000), Ms(100), Ms(4900), false));
@@ -190,24 +190,24 @@
 }
 
 TEST_CASE("what an instance stood still for is not taken for the member's delay") {
-  LogPosition with, without;
+  ReplicaPosition with, without;
   for (double now = 1000; now <= 2000; now += 100) {
     with.Seen(Ms(now), Ms(now - 10));
     without.Seen(Ms(now), Ms(now - 10));
   }
   // Three seconds without a turn: what was reported meanwhile is read now.
   with.Forgive(Ms(5000), Ms(3000));
-  for (LogPosition* p : {&with, &without}) p->Seen(Ms(5000), Ms(2050)), p->Seen(Ms(5400), Ms(2100));
+  for (ReplicaPosition* p : {&with, &without}) p->Seen(Ms(5000), Ms(2050)), p->Seen(Ms(5400), Ms(2100));
   CHECK(with.Expected(Ms(5500)) >= without.Expected(Ms(5500)));
   CHECK_FALSE(with.Proven(Ms(2101)));
 }
 
 // Clients of whom `early` leave at `at` aims, the others never; answered after a mean of `mean` aims.
-Stay Stays(double early, double at, double mean, std::uint64_t seed) {
+ClientPatienceEstimator Stays(double early, double at, double mean, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::uniform_real_distribution<double> even(0, 1);
   std::exponential_distribution<double> taken(1 / mean);
-  Stay stay;
+  ClientPatienceEstimator stay;
   for (int i = 0; i < 3000; ++i) {
     const double answer = taken(random);
     const bool left = even(random) < early && answer > at;
@@ -219,7 +219,7 @@
 // Seen on the second deployment: of a hundred clients one went away early, and late answers, which alone
 // corrected the figure, were given up: it sank to a third of the aim for all.
 TEST_CASE("few clients that leave early do not stand for all, and where most leave it shows") {
-  CHECK(Stay().Part() == 1);
+  CHECK(ClientPatienceEstimator().Part() == 1);
   for (std::uint64_t seed : {1, 2, 3}) {
     for (double mean : {0.1, 0.3, 1.0}) {
       CHECK(Stays(0.01, 0.25, mean, seed).Part() == 1);
@@ -233,22 +233,22 @@
   // Answers later than that are given up, so none tells that a client had stayed for it.
   std::mt19937_64 random(1);
   std::uniform_real_distribution<double> even(0, 1);
-  Stay loop;
+  ClientPatienceEstimator loop;
   for (int i = 0; i < 3000; ++i) {
     const bool left = even(random) < 0.02;
     loop.Seen(left ? 0.1 * even(random) : std::min(loop.Part(), 1.5 * even(random)), left);
   }
   CHECK(loop.Part() == 1);
-  Stay turned = Stays(1, 0.25, 0.3, 1);
+  ClientPatienceEstimator turned = Stays(1, 0.25, 0.3, 1);
   for (int i = 0; i < 3000; ++i) turned.Seen(0.6, false);
   CHECK(turned.Part() == 1);
-  Stay first;
+  ClientPatienceEstimator first;
   first.Seen(0.1, true);
   CHECK(first.Part() == 1);
 }
 
 TEST_CASE("what a warm member carries is a rate, smoothed over seconds") {
-  fleet::Carried carried;
+  fleet::WarmServerThroughput carried;
   for (int i = 0; i < 600; ++i) {
     carried.Add(0.1);
     carried.End(0.05, 4);
@@ -259,7 +259,7 @@
 }
 
 TEST_CASE("a window grows with what came back well, is cut once a stretch, and never closes for good") {
-  limits::Window window;
+  limits::AimdWindow window;
   CHECK(window.Open());
   window.Take();
   CHECK_FALSE(window.Open());
