--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 using fleet::Backoff;
-using fleet::CallWaits;
+using fleet::DiscoveryRetryPolicy;
 using Micros = fleet::Duration;
 
 constexpr Micros kLeast{150000}, kSpacing{20000};
@@ -117,7 +117,7 @@
         std::mt19937_64 random(5);
         std::uniform_real_distribution<double> even(0, 1);
         for (int play = 0; play < 2000; ++play) {
-          CallWaits waits(shared, instances, grace);
+          DiscoveryRetryPolicy waits(shared, instances, grace);
           const Duration first = waits.silence() + waits.Next(even(random), waits.silence());
           silent = std::max(silent, first + waits.answer());
           refused = std::max(refused, first + waits.Next(even(random), first) + waits.answer());
@@ -143,7 +143,7 @@
       std::uniform_real_distribution<double> even(0, 1);
       std::map<std::int64_t, int> made;
       for (std::uint32_t i = 0; i < instances; ++i) {
-        CallWaits waits(true, instances, Duration(2000000));
+        DiscoveryRetryPolicy waits(true, instances, Duration(2000000));
         for (Duration at{0}; (at += waits.Next(even(random), at)) < Duration(60000000);)
           ++made[at.count() / 1000000];
       }
@@ -208,7 +208,7 @@
     std::uint32_t again = 0;
     bool replaced = false;
     for (double t = 0; t < 1e-6 * static_cast<double>(kEnd.count()); t += gap(random_)) {
-      const Time now{Duration(1000000000 + static_cast<std::int64_t>(t * 1e6))};
+      const TimePoint now{Duration(1000000000 + static_cast<std::int64_t>(t * 1e6))};
       while (!due_.empty() && due_.begin()->first <= now) {
         const auto [when, what] = *due_.begin();
         due_.erase(due_.begin());
@@ -296,7 +296,7 @@
     for (std::uint32_t member = 101; member <= 106; ++member) {
       const auto it = sent_.find(member);
       const auto count =
-          it == sent_.end() ? 0 : std::count_if(it->second.begin(), it->second.end(), [&](Time t) {
+          it == sent_.end() ? 0 : std::count_if(it->second.begin(), it->second.end(), [&](TimePoint t) {
             return t - start_ - kReplaced < Duration(6000000);
           });
       least = std::min(least, kWork * static_cast<double>(count) / (6 * kCores * (0.15 + 0.85 / 6)));
@@ -309,7 +309,7 @@
   // One instance's connections to one member.
   struct Link {
     int out = 0;
-    std::vector<Time> idle;  // since when
+    std::vector<TimePoint> idle;  // since when
   };
   struct Due {
     std::uint32_t who;
@@ -321,7 +321,7 @@
     std::vector<ListEntry> entries;
     for (std::uint32_t i = 1; i <= 12; ++i) {
       const bool fresh = replaced && i <= 6;
-      ListEntry entry{.member = MemberId(fresh ? 100 + i : i), .group = GroupId(i <= 6 ? 1 : 2)};
+      ListEntry entry{.server = ServerId(fresh ? 100 + i : i), .group = GroupId(i <= 6 ? 1 : 2)};
       if (fresh) entry.started = start_ + kReplaced;
       entries.push_back(entry);
     }
@@ -337,9 +337,9 @@
     Feed(who, now_, ListEvent{ListKind::kPersisted, entries});
   }
 
-  void Feed(std::uint32_t who, Time now, const Event& event) {
+  void Feed(std::uint32_t who, TimePoint now, const Event& event) {
     now_ = std::max(now_, now);
-    if (const auto* end = std::get_if<OutcomeEvent>(&event)) Disconnect(who, end->member);
+    if (const auto* end = std::get_if<OutcomeEvent>(&event)) Disconnect(who, end->server);
     Actions actions;
     balancers_.at(who).Handle(now_, event, actions);
     for (const Action& action : actions) {
@@ -348,45 +348,47 @@
       }
       if (const auto* probe = std::get_if<Probe>(&action)) {
         ++probes_;
-        came_[static_cast<std::uint32_t>(probe->member)].emplace_back(now_, kProbeWork / kWork);
-        const bool found = static_cast<std::uint32_t>(probe->member) != ended_;
-        const ProbeEvent end{probe->member, found ? Outcome::kOk : Outcome::kUnreachable, Duration(1000), {}};
+        came_[static_cast<std::uint32_t>(probe->server)].emplace_back(now_, kProbeWork / kWork);
+        const bool found = static_cast<std::uint32_t>(probe->server) != ended_;
+        const HealthCheckEvent end{
+            probe->server, found ? Outcome::kOk : Outcome::kUnreachable, Duration(1000), {}};
         due_.emplace(now_ + end.taken, Due{who, lives_[who], end});
       }
       if (const auto* close = std::get_if<CloseIdle>(&action)) {
-        links_[{who, static_cast<std::uint32_t>(close->member)}].idle.clear();
+        links_[{who, static_cast<std::uint32_t>(close->server)}].idle.clear();
       }
       const auto* send = std::get_if<Send>(&action);
       if (send == nullptr) continue;
-      const auto member = static_cast<std::uint32_t>(send->member);
-      came_[member].emplace_back(now_, 1);
-      const bool primary = member == 101 || member == 1 || member == 7;
+      const auto server = static_cast<std::uint32_t>(send->server);
+      came_[server].emplace_back(now_, 1);
+      const bool primary = server == 101 || server == 1 || server == 7;
       const bool write = static_cast<std::uint32_t>(send->id) % 8 == 0;
       OutcomeEvent end;
       end.id = send->id;
       end.attempt = attempts_[send->id]++;
-      end.member = send->member;
+      end.server = send->server;
       end.note.primary = primary;
       end.outcome = write && !primary ? Outcome::kMiss : Outcome::kOk;
       end.request_done = end.outcome == Outcome::kOk;
       end.taken = end.request_done ? Duration(80000) : Duration(1000);
-      if (member == ended_) {
+      if (server == ended_) {
         ++refused_;
         end.outcome = Outcome::kUnreachable;
         end.request_done = false;
         end.note = {};
         end.taken = Duration(300);
       } else {
-        Connect(who, member);
+        Connect(who, server);
       }
-      if (end.request_done) sent_[member].push_back(now_);
+      if (end.request_done) sent_[server].push_back(now_);
       due_.emplace(now_ + end.taken, Due{who, lives_[who], end});
     }
   }
 
   void Connect(std::uint32_t who, std::uint32_t member) {
     Link& link = links_[{who, member}];
-    std::erase_if(link.idle, [&](Time since) { return now_ - since > Duration(1000000) * kIdleSeconds; });
+    std::erase_if(link.idle,
+                  [&](TimePoint since) { return now_ - since > Duration(1000000) * kIdleSeconds; });
     if (link.idle.empty()) {
       ++connects_;
     } else {
@@ -395,7 +397,7 @@
     ++link.out;
   }
 
-  void Disconnect(std::uint32_t who, MemberId member) {
+  void Disconnect(std::uint32_t who, ServerId member) {
     if (static_cast<std::uint32_t>(member) == ended_) return;
     Link& link = links_[{who, static_cast<std::uint32_t>(member)}];
     --link.out;
@@ -408,16 +410,16 @@
   std::uint32_t requests_ = 0;
   int probes_ = 0, connects_ = 0, refused_ = 0;
   std::map<std::pair<std::uint32_t, std::uint32_t>, Link> links_;
-  const Time start_{Duration(1000000000)};
-  Time now_ = start_;
+  const TimePoint start_{Duration(1000000000)};
+  TimePoint now_ = start_;
   std::vector<double> weights_;
   std::map<std::uint32_t, Balancer> balancers_;
   std::map<std::uint32_t, int> lives_;
-  std::multimap<Time, Due> due_;
+  std::multimap<TimePoint, Due> due_;
   std::map<RequestId, AttemptNumber> attempts_;
-  std::map<std::uint32_t, std::vector<Time>> sent_;
+  std::map<std::uint32_t, std::vector<TimePoint>> sent_;
   // What came, in calls of mean work: also probes, and what was turned away there.
-  std::map<std::uint32_t, std::vector<std::pair<Time, double>>> came_;
+  std::map<std::uint32_t, std::vector<std::pair<TimePoint, double>>> came_;
 };
 
 TEST_CASE("what all instances send a cold member stays under what makes it fall, and puts it to use") {
@@ -500,12 +502,13 @@
 }
 
 TEST_CASE("a draw keeps to its caps and gives what they cut off to the others, or to nobody") {
-  const auto parts = [](std::vector<fleet::Lot> lots) {
+  const auto parts = [](std::vector<fleet::WeightedCandidate> lots) {
     std::vector<double> part(lots.size() + 1);
-    for (int i = 0; i < 1000; ++i) part[fleet::Draw(lots, (i + 0.5) / 1000).value_or(lots.size())] += 0.001;
+    for (int i = 0; i < 1000; ++i)
+      part[fleet::ChooseCapped(lots, (i + 0.5) / 1000).value_or(lots.size())] += 0.001;
     return part;
   };
-  const auto is = [&](std::vector<fleet::Lot> lots, const std::vector<double>& wanted) {
+  const auto is = [&](std::vector<fleet::WeightedCandidate> lots, const std::vector<double>& wanted) {
     const auto got = parts(std::move(lots));
     for (std::size_t i = 0; i < wanted.size(); ++i) CHECK(got[i] == doctest::Approx(wanted[i]).epsilon(0.01));
   };
@@ -514,7 +517,7 @@
   is({{1, 0.3}, {8, 0.5}, {1}}, {0.25, 0.5, 0.25, 0});
   is({{4, 0.4}, {5, 0.1}, {1, 0.2}}, {0.4, 0.1, 0.2, 0.3});
   is({{1, 0}}, {0, 1});
-  CHECK_FALSE(fleet::Draw({}, 0.5));
+  CHECK_FALSE(fleet::ChooseCapped({}, 0.5));
 }
 
 }  // namespace
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -35,11 +35,13 @@
 constexpr int kKeys = 3;
 constexpr std::size_t kBytesPerS = 1'000'000'000;
 
-consistency::Key KeyOf(int number) { return consistency::KeyOf(kGroup, "s" + std::to_string(number)); }
+consistency::SessionKey SessionKeyOf(int number) {
+  return consistency::SessionKeyOf(kGroup, "s" + std::to_string(number));
+}
 
 // What is taken out.
 struct Without {
-  Directory::Options rules{};
+  SessionLeaseClient::Options rules{};
   bool size = false;    // a view counts as whole without all of the fleet
   bool agreed = false;  // the first instance takes owners set aside for ones like all
   // Nothing is taken out by this: bytes are short, and what is said waits and goes by way of an owner.
@@ -51,94 +53,99 @@
 // What one process knows of the others, and when it last heard them.
 struct Packet {
   std::size_t from = 0;
-  Life from_life = 0, to_life = 0;
-  Time started{};
+  IncarnationId from_life = 0, to_life = 0;
+  TimePoint started{};
   std::uint64_t ping = 0, ack = 0;  // numbers
   std::uint64_t view = 0, declares = 0;
   std::string ages;
-  std::optional<Courier::Leg> leg;
+  std::optional<LeaseMessageRelay::Leg> leg;
 };
 
-struct Node final : Marks {
-  Node(std::size_t number, Life life, Time now, std::size_t size, const Without& without,
-       const std::set<Life>& aside)
+struct Node final : KnownWatermarks {
+  Node(std::size_t number, IncarnationId incarnation_id, TimePoint now, std::size_t size,
+       const Without& without, const std::set<IncarnationId>& aside)
       : number(number),
-        life(life),
+        incarnation_id(incarnation_id),
         started(now),
-        standing({life, size, kProof, true}, now),
-        ledger(24),
+        quorum_tracker({incarnation_id, size, kProof, true}, now),
+        watermark_table(24),
         size(size),
         any_size(without.size),
         knows_aside(!without.agreed || number > 0),
         aside(aside),
-        courier({life, without.short_of_bytes ? kMs * 5 : Duration{0}}) {
-    Directory::Options options = without.rules;
+        courier({incarnation_id, without.short_of_bytes ? kMs * 5 : Duration{0}}) {
+    SessionLeaseClient::Options options = without.rules;
     if (without.short_of_bytes) {
       options.bytes_per_s = kBytesPerS;
       options.coalesce = kMs * 5;
     }
-    options.self = life;
+    options.self = incarnation_id;
     options.proof = kProof;
     options.alone = size == 1;
     options.owner.lease = kLease;
     options.reads_per_s = 1000;
     // Some have too little room.
-    if (life % 4 == 0) options.owner.entries = 2;
-    if (life % 5 == 0) options.holds = 1;
-    directory = std::make_unique<Directory>(options, *this, now);
+    if (incarnation_id % 4 == 0) options.owner.entries = 2;
+    if (incarnation_id % 5 == 0) options.holds = 1;
+    directory = std::make_unique<SessionLeaseClient>(options, *this, now);
     directory->Spent(now, kBytesPerS * 2 / 5);  // of the half that is saved up: short, and a read may ask
   }
-  consistency::Ledger::Known Newest(consistency::Key key) const override { return ledger.Find(key); }
-  void Learn(consistency::Key key, const consistency::Mark& mark) override { ledger.Note(key, mark); }
+  consistency::SessionWatermarkTable::Known Newest(consistency::SessionKey key) const override {
+    return watermark_table.Find(key);
+  }
+  void Learn(consistency::SessionKey key, const consistency::WriteWatermark& watermark) override {
+    watermark_table.Note(key, watermark);
+  }
 
-  void See(Time now) {
-    const membership::Standing::Value value = standing.At(now);
-    const bool all = value.part == membership::Part::kWhole && standing.count() == size;
-    const bool any = value.part >= membership::Part::kLarger;
+  void See(TimePoint now) {
+    const membership::QuorumTracker::Value value = quorum_tracker.At(now);
+    const bool all = value.part == membership::QuorumState::kComplete && quorum_tracker.count() == size;
+    const bool any = value.part >= membership::QuorumState::kMajority;
     // Those set aside alone, where the view has some.
-    owners = standing.lives();
-    std::erase_if(owners, [this](Life one) { return !aside.contains(one); });
-    Life by = aside.contains(life) ? 0 : OwnerOf(consistency::Key(life), owners);
+    owners = quorum_tracker.incarnation_ids();
+    std::erase_if(owners, [this](IncarnationId one) { return !aside.contains(one); });
+    IncarnationId by =
+        aside.contains(incarnation_id) ? 0 : OwnerOf(consistency::SessionKey(incarnation_id), owners);
     if (owners.empty() || !knows_aside) {
-      owners = standing.lives();
+      owners = quorum_tracker.incarnation_ids();
       by = 0;
     }
-    const std::uint64_t declares = standing.Declares(now);
+    const std::uint64_t declares = quorum_tracker.Declares(now);
     if (declares != 0) courier.See(declares, owners, by);
     directory->See(now, {declares, any_size ? any : all, &owners});
   }
 
   struct Known {
-    Life life = 0;
-    Time started{};
-    std::optional<Time> heard;
+    IncarnationId incarnation_id = 0;
+    TimePoint started{};
+    std::optional<TimePoint> heard;
     bool in = false;
   };
   std::size_t number;
-  Life life;
-  Time started;
-  membership::Standing standing;
-  consistency::Ledger ledger;
+  IncarnationId incarnation_id;
+  TimePoint started;
+  membership::QuorumTracker quorum_tracker;
+  consistency::SessionWatermarkTable watermark_table;
   std::size_t size;
   bool any_size, knows_aside;
-  const std::set<Life>& aside;  // lives that own for all
-  std::vector<Life> owners;
-  std::unique_ptr<Directory> directory;
-  Courier courier;
+  const std::set<IncarnationId>& aside;  // lives that own for all
+  std::vector<IncarnationId> owners;
+  std::unique_ptr<SessionLeaseClient> directory;
+  LeaseMessageRelay courier;
   std::map<std::size_t, Known> known;
-  std::map<std::size_t, Time> shunned;  // out of the view until then, heard or not
-  std::map<std::uint64_t, Time> pings;
-  Time next_ping{}, ticked{};
+  std::map<std::size_t, TimePoint> shunned;  // out of the view until then, heard or not
+  std::map<std::uint64_t, TimePoint> pings;
+  TimePoint next_ping{}, ticked{};
 };
 
 // Local time of one life: `offset` and `rate` as against the true time.
 struct Clock {
   Duration offset{};
   int permille = 0;  // faster
-  Time began{};
-  Time Local(Time at) const { return at + offset + (at - began) * permille / 1000; }
+  TimePoint began{};
+  TimePoint Local(TimePoint at) const { return at + offset + (at - began) * permille / 1000; }
   // The true time at which it shows `local`, rounded up.
-  Time True(Time local) const {
+  TimePoint True(TimePoint local) const {
     const Duration since = local - offset - began;
     return began + Duration(since.count() * 1000 / (1000 + permille) + 1);
   }
@@ -160,14 +167,14 @@
     // Offsets of hours and drifts of 4 %; no two lives share a clock.
     clocks[at] = {kMs * 1000 * (static_cast<std::int64_t>(Draw(20000)) - 10000),
                   static_cast<int>(Draw(81)) - 40, now};
-    if (at + owners >= count) aside.insert(lives + 1);
-    nodes[at] = std::make_unique<Node>(at, ++lives, clocks[at].Local(now), count, without, aside);
-    starts[lives] = now;
+    if (at + owners >= count) aside.insert(incarnation_ids + 1);
+    nodes[at] = std::make_unique<Node>(at, ++incarnation_ids, clocks[at].Local(now), count, without, aside);
+    starts[incarnation_ids] = now;
     stopped[at] = now;
     std::erase_if(writes, [at](const Write& write) { return write.at == at; });
     std::erase_if(reads, [at](const Read& read) { return read.at == at; });
   }
-  Time Local(std::size_t at) const { return clocks[at].Local(now); }
+  TimePoint Local(std::size_t at) const { return clocks[at].Local(now); }
 
   void Send(std::size_t from, std::size_t to, const Packet& packet) {
     if (cut.contains({from, to}) || (packet.leg && muted.contains({from, to}))) return;
@@ -183,22 +190,22 @@
     Node& node = *nodes[at];
     Packet packet;
     packet.from = at;
-    packet.from_life = node.life;
-    packet.started = starts[node.life];
-    packet.view = node.standing.view();
-    packet.declares = node.standing.Declares(Local(at));
+    packet.from_life = node.incarnation_id;
+    packet.started = starts[node.incarnation_id];
+    packet.view = node.quorum_tracker.view();
+    packet.declares = node.quorum_tracker.Declares(Local(at));
     return packet;
   }
 
-  void Say(std::size_t at, const Outbox& out) {
-    Courier::Legs legs;
-    for (const Outgoing& one : out) nodes[at]->courier.Post(Local(at), one, legs);
+  void Say(std::size_t at, const LeaseOutbox& out) {
+    LeaseMessageRelay::Legs legs;
+    for (const OutgoingLeaseMessage& one : out) nodes[at]->courier.Post(Local(at), one, legs);
     Carry(at, legs);
   }
-  void Carry(std::size_t at, const Courier::Legs& legs) {
-    for (const Courier::Leg& leg : legs) {
+  void Carry(std::size_t at, const LeaseMessageRelay::Legs& legs) {
+    for (const LeaseMessageRelay::Leg& leg : legs) {
       for (const auto& [to, known] : nodes[at]->known) {
-        if (known.life != leg.to) continue;
+        if (known.incarnation_id != leg.to) continue;
         Packet packet = Head(at);
         packet.to_life = leg.to;
         packet.leg = leg;
@@ -209,35 +216,35 @@
 
   void Look(std::size_t at) {
     Node& node = *nodes[at];
-    const Time local = Local(at);
-    std::vector<Life> in{node.life};
+    const TimePoint local = Local(at);
+    std::vector<IncarnationId> in{node.incarnation_id};
     for (auto& [to, known] : node.known) {
       const auto shunned = node.shunned.find(to);
       known.in = known.heard && local - *known.heard < kSilent &&
                  (shunned == node.shunned.end() || local > shunned->second);
-      if (known.in) in.push_back(known.life);
+      if (known.in) in.push_back(known.incarnation_id);
     }
     std::ranges::sort(in);
     std::uint64_t digest = 1;
-    for (const Life one : in) digest = digest * 0x9E3779B97F4A7C15ull + one;
-    node.standing.Saw(local, digest, in);
+    for (const IncarnationId one : in) digest = digest * 0x9E3779B97F4A7C15ull + one;
+    node.quorum_tracker.Saw(local, digest, in);
   }
 
   void Take(std::size_t at, const Packet& packet) {
     Node& node = *nodes[at];
-    const Time local = Local(at);
+    const TimePoint local = Local(at);
     node.See(local);
     Node::Known& known = node.known[packet.from];
-    if (packet.started > known.started || known.life == 0)
+    if (packet.started > known.started || known.incarnation_id == 0)
       known = {packet.from_life, packet.started, {}, false};
-    if (known.life == packet.from_life) known.heard = local;
+    if (known.incarnation_id == packet.from_life) known.heard = local;
     Look(at);
     if (packet.ack != 0) {
       const auto ping = node.pings.find(packet.ack);
       if (ping != node.pings.end()) {
         node.See(local);
-        node.standing.Answered(packet.from_life, ping->second, packet.declares);
-        node.standing.Told(ping->second, packet.view, packet.ages);
+        node.quorum_tracker.Answered(packet.from_life, ping->second, packet.declares);
+        node.quorum_tracker.Told(ping->second, packet.view, packet.ages);
         node.pings.erase(ping);
       }
     }
@@ -245,13 +252,13 @@
     if (packet.ping != 0) {
       Packet answer = Head(at);
       answer.ack = packet.ping;
-      answer.ages = node.standing.Ages(local, packet.view);
+      answer.ages = node.quorum_tracker.Ages(local, packet.view);
       Send(at, packet.from, answer);
     }
-    if (packet.leg && packet.to_life == node.life) {
-      Outbox out;
-      Courier::Legs legs;
-      const Life by = node.courier.Take(local, packet.from_life, *packet.leg, legs);
+    if (packet.leg && packet.to_life == node.incarnation_id) {
+      LeaseOutbox out;
+      LeaseMessageRelay::Legs legs;
+      const IncarnationId by = node.courier.Take(local, packet.from_life, *packet.leg, legs);
       if (by != 0) node.directory->Take(local, by, packet.leg->message, out);
       Carry(at, legs);
       Say(at, out);
@@ -260,11 +267,11 @@
 
   void TickNode(std::size_t at) {
     Node& node = *nodes[at];
-    const Time local = Local(at);
+    const TimePoint local = Local(at);
     node.See(local);
-    if (node.ticked != Time{} && local - node.ticked > kPing * 2) node.standing.StoodStill(local);
+    if (node.ticked != TimePoint{} && local - node.ticked > kPing * 2) node.quorum_tracker.StoodStill(local);
     // What is spent all the time is what comes in.
-    if (node.ticked != Time{} && local > node.ticked) {
+    if (node.ticked != TimePoint{} && local > node.ticked) {
       const auto us = static_cast<std::size_t>((local - node.ticked).count());
       node.directory->Spent(local, us * (kBytesPerS / 1'000'000));
     }
@@ -282,32 +289,32 @@
       }
       std::erase_if(node.pings, [&](const auto& item) { return local - item.second > kProof * 2; });
     }
-    Outbox out;
+    LeaseOutbox out;
     node.directory->Tick(local, out);
     Say(at, out);
-    Courier::Legs due;
+    LeaseMessageRelay::Legs due;
     node.courier.Due(local, due);
     Carry(at, due);
     waited += due.size();
   }
 
-  void Want(std::size_t at, int key, Directory::Use use) {
-    Outbox out;
+  void Want(std::size_t at, int key, SessionLeaseClient::Use use) {
+    LeaseOutbox out;
     nodes[at]->See(Local(at));
-    nodes[at]->directory->Want(Local(at), kGroup, KeyOf(key), use, out);
+    nodes[at]->directory->Want(Local(at), kGroup, SessionKeyOf(key), use, out);
     Say(at, out);
   }
 
   // A write that is taken now, runs for a while, and is answered once it may be.
   void BeginWrite(std::size_t at, int key) {
     if (now < stopped[at]) return;
-    Want(at, key, Directory::Use::kWrite);
+    Want(at, key, SessionLeaseClient::Use::kWrite);
     writes.push_back(
         {at, key, now + Duration(1000 + static_cast<std::int64_t>(Draw(20000))), {}, now + kMs * 900});
   }
   void BeginRead(std::size_t at, int key) {
     if (now < stopped[at]) return;
-    Want(at, key, Directory::Use::kRead);
+    Want(at, key, SessionLeaseClient::Use::kRead);
     reads.push_back({at, key, now});
   }
 
@@ -319,19 +326,20 @@
         continue;
       }
       Node& node = *nodes[write.at];
-      const Time local = Local(write.at);
-      if (!write.mark) {
+      const TimePoint local = Local(write.at);
+      if (!write.watermark) {
         // Its commit lies a little before its end came here. Data servers' clocks show the true time.
-        write.mark = consistency::Mark{now - Duration(static_cast<std::int64_t>(Draw(1000))), MemberId(7)};
-        node.ledger.Note(KeyOf(write.key), *write.mark);
+        write.watermark =
+            consistency::WriteWatermark{now - Duration(static_cast<std::int64_t>(Draw(1000))), ServerId(7)};
+        node.watermark_table.Note(SessionKeyOf(write.key), *write.watermark);
       }
       node.See(local);
-      const bool may = node.directory->MayAnswer(local, KeyOf(write.key));
+      const bool may = node.directory->MayAnswer(local, SessionKeyOf(write.key));
       if (may) {
-        answered.push_back({write.at, write.key, write.mark->position, now});
+        answered.push_back({write.at, write.key, write.watermark->position, now});
         ++writes_answered;
       } else if (now < write.until) {
-        Want(write.at, write.key, Directory::Use::kWrite);
+        Want(write.at, write.key, SessionLeaseClient::Use::kWrite);
         ++i;
         continue;
       } else {
@@ -346,9 +354,9 @@
         continue;
       }
       Node& node = *nodes[read.at];
-      const Time local = Local(read.at);
+      const TimePoint local = Local(read.at);
       node.See(local);
-      const auto floor = node.directory->Exact(local, KeyOf(read.key));
+      const auto floor = node.directory->Exact(local, SessionKeyOf(read.key));
       if (!floor && now - read.arrived < kHold) {
         ++i;
         continue;
@@ -362,30 +370,30 @@
   struct Read {
     std::size_t at;
     int key;
-    Time arrived;
+    TimePoint arrived;
   };
   struct Write {
     std::size_t at;
     int key;
-    Time done;
-    std::optional<consistency::Mark> mark;
-    Time until;
+    TimePoint done;
+    std::optional<consistency::WriteWatermark> watermark;
+    TimePoint until;
   };
 
-  void Judge(const Read& read, const Node& node, Position floor) {
-    const consistency::Ledger::Known known = node.ledger.Find(KeyOf(read.key));
+  void Judge(const Read& read, const Node& node, LogPosition floor) {
+    const consistency::SessionWatermarkTable::Known known = node.watermark_table.Find(SessionKeyOf(read.key));
     // The floor is by the reader's clock, marks are by the data servers'.
-    Position target = clocks[read.at].True(floor);
-    if (known.mark) target = std::max(target, known.mark->position);
-    if (!known.mark && known.floor) target = std::max(target, *known.floor);
+    LogPosition target = clocks[read.at].True(floor);
+    if (known.watermark) target = std::max(target, known.watermark->position);
+    if (!known.watermark && known.floor) target = std::max(target, *known.floor);
     for (const auto& [by, key, position, at] : answered) {
-      if (key != read.key || by == read.at || now - at > kRecall || position <= target) continue;
+      if (key != read.key || by == read.at || now - at > kRevoke || position <= target) continue;
       ++stale;
       return;
     }
     // Its own, also of the life before.
     for (const auto& [by, key, position, at] : answered) {
-      if (key != read.key || by != read.at || now - at > kRecall || position <= target) continue;
+      if (key != read.key || by != read.at || now - at > kRevoke || position <= target) continue;
       ++stale;
       return;
     }
@@ -394,7 +402,7 @@
   }
 
   void Pass(Duration time) {
-    const Time end = now + time;
+    const TimePoint end = now + time;
     for (; now < end; now += kTick) {
       std::vector<Datagram> waiting;
       while (!wire.empty() && wire.top().at <= now) {
@@ -500,7 +508,7 @@
   }
 
   struct Datagram {
-    Time at{};
+    TimePoint at{};
     std::uint64_t order = 0;
     std::size_t to = 0;
     Packet packet;
@@ -508,17 +516,17 @@
       return std::tie(at, order) > std::tie(other.at, other.order);
     }
   };
-  static constexpr Duration kRecall{30'000'000};
+  static constexpr Duration kRevoke{30'000'000};
 
   std::mt19937_64 random;
   Without without;
   std::size_t count, owners;
-  std::set<Life> aside;  // also those that are over
-  Time now{Duration(1'700'000'000'000'000)};
+  std::set<IncarnationId> aside;  // also those that are over
+  TimePoint now{Duration(1'700'000'000'000'000)};
   std::vector<std::unique_ptr<Node>> nodes;
   std::vector<Clock> clocks;
-  std::vector<Time> stopped;
-  std::map<Life, Time> starts;
+  std::vector<TimePoint> stopped;
+  std::map<IncarnationId, TimePoint> starts;
   std::set<std::pair<std::size_t, std::size_t>> cut;
   // Links that are cut while others carry word of both ends: of a directory nothing goes over them.
   std::set<std::pair<std::size_t, std::size_t>> muted;
@@ -528,44 +536,45 @@
   struct Answered {
     std::size_t by;
     int key;
-    Position position;
-    Time at;
+    LogPosition position;
+    TimePoint at;
   };
   std::vector<Answered> answered;
   int loss = 0, late = 0;
-  std::uint64_t order = 0, lives = 100, numbers = 0, waited = 0;
+  std::uint64_t order = 0, incarnation_ids = 100, numbers = 0, waited = 0;
   int stale = 0, exact = 0, early = 0, conservative = 0, writes_answered = 0, writes_failed = 0;
 };
 
 TEST_CASE(
     "rendezvous: all find the same owner, in any order; where one goes only its keys move; none is spared") {
-  std::vector<Life> lives;
-  for (Life life = 1; life <= 41; ++life) lives.push_back(life * 7919);
-  std::map<Life, int> owned;
+  std::vector<IncarnationId> incarnation_ids;
+  for (IncarnationId incarnation_id = 1; incarnation_id <= 41; ++incarnation_id)
+    incarnation_ids.push_back(incarnation_id * 7919);
+  std::map<IncarnationId, int> owned;
   for (int i = 0; i < 41'000; ++i) {
-    const consistency::Key key = KeyOf(i);
-    const Life owner = OwnerOf(key, lives);
+    const consistency::SessionKey key = SessionKeyOf(i);
+    const IncarnationId owner = OwnerOf(key, incarnation_ids);
     ++owned[owner];
-    std::vector<Life> other(lives.rbegin(), lives.rend());
+    std::vector<IncarnationId> other(incarnation_ids.rbegin(), incarnation_ids.rend());
     CHECK(OwnerOf(key, other) == owner);
-    std::erase(other, lives[5]);
-    if (owner != lives[5]) CHECK(OwnerOf(key, other) == owner);
+    std::erase(other, incarnation_ids[5]);
+    if (owner != incarnation_ids[5]) CHECK(OwnerOf(key, other) == owner);
   }
-  for (const auto& [life, count] : owned) {
+  for (const auto& [incarnation_id, count] : owned) {
     CHECK(count > 800);
     CHECK(count < 1200);
   }
   CHECK(owned.size() == 41);
-  CHECK(OwnerOf(KeyOf(1), {}) == 0);
+  CHECK(OwnerOf(SessionKeyOf(1), {}) == 0);
 }
 
 TEST_CASE(
     "budget: over any time no more is allowed than its rate and half a second's worth, whatever else goes") {
   CHECK(rc::check("spending", [](const std::vector<std::tuple<std::uint16_t, std::uint16_t, bool>>& acts) {
     constexpr double kRate = 12000;
-    Time now{Duration(1'700'000'000'000'000)};
-    Budget budget(kRate, now);
-    std::vector<std::pair<Time, double>> allowed;
+    TimePoint now{Duration(1'700'000'000'000'000)};
+    BandwidthBudget budget(kRate, now);
+    std::vector<std::pair<TimePoint, double>> allowed;
     for (const auto& [wait, bytes, must] : acts) {
       now += Duration(wait * 10);
       const bool allows = budget.Allows(now, bytes);
@@ -582,8 +591,8 @@
       }
     }
   }));
-  Time now{Duration(1'700'000'000'000'000)};
-  Budget budget(1000, now), none(0, now);
+  TimePoint now{Duration(1'700'000'000'000'000)};
+  BandwidthBudget budget(1000, now), none(0, now);
   CHECK(budget.Allows(now, 500));
   CHECK_FALSE(budget.Allows(now, 501));
   budget.Spend(now, 1'000'000);  // a storm of what cannot wait
@@ -597,33 +606,33 @@
 TEST_CASE("directory: a read asks within the budget of bytes, and a write beyond it") {
   World world(2, 1, {});
   Node& node = *world.nodes[0];
-  Directory::Options options;
-  options.self = node.life;
+  SessionLeaseClient::Options options;
+  options.self = node.incarnation_id;
   options.bytes_per_s = 4000;
   options.reads_per_s = 1000;
-  Time now = world.Local(0);
-  Directory directory(options, node, now);
-  const std::vector<Life> others{node.life + 1};
+  TimePoint now = world.Local(0);
+  SessionLeaseClient directory(options, node, now);
+  const std::vector<IncarnationId> others{node.incarnation_id + 1};
   directory.See(now, {7, true, &others});
-  Outbox out;
+  LeaseOutbox out;
   int asked = 0;
   for (int key = 0; key < 100; ++key) {
-    asked += directory.Want(now, kGroup, KeyOf(key), Directory::Use::kRead, out);
+    asked += directory.Want(now, kGroup, SessionKeyOf(key), SessionLeaseClient::Use::kRead, out);
   }
   CHECK(asked == 10);  // half a second's worth, 200 bytes each, as long as none is answered
   CHECK(directory.counts().capped == 90);
   CHECK(directory.counts().over_budget == 90);
-  CHECK(directory.Want(now, kGroup, KeyOf(200), Directory::Use::kWrite, out));
+  CHECK(directory.Want(now, kGroup, SessionKeyOf(200), SessionLeaseClient::Use::kWrite, out));
   CHECK(out.size() == 11);
   directory.Spent(now, 5000);
   now += kMs * 700;
   directory.See(now, {7, true, &others});
   directory.Tick(now, out);  // the reads are given up
-  CHECK_FALSE(directory.Want(now, kGroup, KeyOf(201), Directory::Use::kRead, out));
+  CHECK_FALSE(directory.Want(now, kGroup, SessionKeyOf(201), SessionLeaseClient::Use::kRead, out));
   now += kMs * 400;
   directory.See(now, {7, true, &others});
   directory.Tick(now, out);
-  CHECK(directory.Want(now, kGroup, KeyOf(201), Directory::Use::kRead, out));
+  CHECK(directory.Want(now, kGroup, SessionKeyOf(201), SessionLeaseClient::Use::kRead, out));
 }
 
 TEST_CASE(
@@ -706,22 +715,23 @@
 }
 
 TEST_CASE("courier: asks go by way of one owner, together, and their answers come back that way") {
-  constexpr Life kPooler = 11, kOther = 12;
-  const std::vector<Life> owners{21, 22, 23};
-  Time now{Duration(1'700'000'000'000'000)};
-  Courier pooler({kPooler, kMs * 5}), near({21, kMs * 5}), far({22, kMs * 5});
+  constexpr IncarnationId kPooler = 11, kOther = 12;
+  const std::vector<IncarnationId> owners{21, 22, 23};
+  TimePoint now{Duration(1'700'000'000'000'000)};
+  LeaseMessageRelay pooler({kPooler, kMs * 5}), near({21, kMs * 5}), far({22, kMs * 5});
   pooler.See(7, owners, 21);
   near.See(7, owners, 0);
   far.See(7, owners, 0);
-  const auto key_of = [&](Life owner) {
+  const auto key_of = [&](IncarnationId owner) {
     for (int number = 0;; ++number) {
-      if (OwnerOf(KeyOf(number), owners) == owner) return KeyOf(number);
+      if (OwnerOf(SessionKeyOf(number), owners) == owner) return SessionKeyOf(number);
     }
   };
-  const auto ask = [&](Life owner, int tries, bool may_wait) {
-    return Outgoing{owner, {Message::Kind::kAsk, 7, key_of(owner), kGroup}, tries, may_wait};
+  const auto ask = [&](IncarnationId owner, int tries, bool may_wait) {
+    return OutgoingLeaseMessage{
+        owner, {LeaseMessage::Kind::kAcquire, 7, key_of(owner), kGroup}, tries, may_wait};
   };
-  Courier::Legs out;
+  LeaseMessageRelay::Legs out;
   // Bytes are not short, or it had no answer: straight.
   pooler.Post(now, ask(22, 1, false), out);
   pooler.Post(now, ask(22, 2, false), out);
@@ -736,8 +746,8 @@
   CHECK(out.empty());
   pooler.Due(now + kMs * 5, out);
   REQUIRE(out.size() == 2);
-  for (const Courier::Leg& leg : out) CHECK((leg.to == 21 && leg.by_way));
-  Courier::Legs sent = std::exchange(out, {});
+  for (const LeaseMessageRelay::Leg& leg : out) CHECK((leg.to == 21 && leg.by_way));
+  LeaseMessageRelay::Legs sent = std::exchange(out, {});
   // One is for that owner itself, and the other one goes on at once.
   CHECK(near.Take(now, kPooler, sent[0], out) == kPooler);
   CHECK(out.empty());
@@ -749,14 +759,14 @@
   CHECK(far.Take(now, 21, sent[0], out) == kPooler);
   CHECK(out.empty());
   // The grants of both come by the near one, and in company.
-  const Message granted{Message::Kind::kGrant, 7, key_of(22), kGroup};
+  const LeaseMessage granted{LeaseMessage::Kind::kGrant, 7, key_of(22), kGroup};
   far.Post(now, {kPooler, granted}, out);
   REQUIRE(out.size() == 1);
   CHECK(out[0].to == 21);
   CHECK(out[0].pass_to == kPooler);
   sent = std::exchange(out, {});
   CHECK(near.Take(now, 22, sent[0], out) == 0);
-  near.Post(now, {kPooler, {Message::Kind::kGrant, 7, key_of(21), kGroup}}, out);
+  near.Post(now, {kPooler, {LeaseMessage::Kind::kGrant, 7, key_of(21), kGroup}}, out);
   CHECK(out.empty());
   near.Due(now + kMs * 5, out);
   REQUIRE(out.size() == 2);
@@ -764,32 +774,33 @@
   CHECK(pooler.Take(now, 21, out[1], sent) == 21);
   out.clear();
   // What an owner says of a key that is not its own is not passed on as the word of who owns it.
-  Courier::Leg false_word{21, {Message::Kind::kGrant, 7, key_of(23), kGroup}};
+  LeaseMessageRelay::Leg false_word{21, {LeaseMessage::Kind::kGrant, 7, key_of(23), kGroup}};
   false_word.pass_to = kPooler;
   CHECK(near.Take(now, 22, false_word, out) == 0);
   near.Due(now + kMs * 50, out);
   CHECK(out.empty());
   CHECK(near.counts().strays == 1);
   // Nor is what was said under another view.
-  Courier::Leg other_view{21, {Message::Kind::kAsk, 8, key_of(22), kGroup}};
+  LeaseMessageRelay::Leg other_view{21, {LeaseMessage::Kind::kAcquire, 8, key_of(22), kGroup}};
   other_view.by_way = true;
   CHECK(near.Take(now, kPooler, other_view, out) == 0);
-  const Courier::Leg old_recall{kPooler, {Message::Kind::kRecall, 8, key_of(22), kGroup}, 1, true};
+  const LeaseMessageRelay::Leg old_recall{
+      kPooler, {LeaseMessage::Kind::kRevoke, 8, key_of(22), kGroup}, 1, true};
   CHECK(pooler.Take(now, 21, old_recall, out) == 0);
   CHECK(out.empty());
   // Straight: a recall that had no answer, one of another view, one to who was not heard by way, or long ago.
-  const Message recall{Message::Kind::kRecall, 7, key_of(22), kGroup};
+  const LeaseMessage recall{LeaseMessage::Kind::kRevoke, 7, key_of(22), kGroup};
   far.Post(now, {kPooler, recall, 2}, out);
-  far.Post(now, {kPooler, {Message::Kind::kRecall, 6, key_of(22), kGroup}}, out);
+  far.Post(now, {kPooler, {LeaseMessage::Kind::kRevoke, 6, key_of(22), kGroup}}, out);
   far.Post(now, {kOther, recall}, out);
   far.Post(now + kMs * 3000, {kPooler, recall}, out);
   REQUIRE(out.size() == 4);
-  for (const Courier::Leg& leg : out) CHECK((leg.pass_to == 0 && !leg.by_way && leg.to != 21));
+  for (const LeaseMessageRelay::Leg& leg : out) CHECK((leg.pass_to == 0 && !leg.by_way && leg.to != 21));
   out.clear();
   // And to one that has gone straight since.
   far.Post(now, {kPooler, recall}, out);
   CHECK(out[0].pass_to == kPooler);
-  CHECK(far.Take(now, kPooler, {22, {Message::Kind::kAsk, 7, key_of(22), kGroup}}, out) == kPooler);
+  CHECK(far.Take(now, kPooler, {22, {LeaseMessage::Kind::kAcquire, 7, key_of(22), kGroup}}, out) == kPooler);
   far.Post(now, {kPooler, recall}, out);
   CHECK(out[1].to == kPooler);
 }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 using membership::IsMajority;
-using membership::Part;
+using membership::QuorumState;
 
 constexpr Duration kTick{10000}, kSecond{1000000};
 
@@ -59,7 +59,7 @@
   void Begin(std::size_t i, Duration clock = {}, std::optional<std::size_t> named = {}) {
     proto::Member self;
     self.set_name("n" + std::to_string(named.value_or(i)));
-    self.set_life(random() | 1);
+    self.set_incarnation_id(random() | 1);
     self.set_started_us(static_cast<std::uint64_t>((now + clock).time_since_epoch().count()));
     self.set_address(Address(i));
     std::vector<std::string> seeds;
@@ -106,7 +106,7 @@
   }
 
   void Pass(Duration time) {
-    const Time end = now + time;
+    const TimePoint end = now + time;
     std::vector<Out> outs;
     for (; now < end; now += kTick) {
       std::vector<Datagram> kept;  // in the socket of a process that is stopped
@@ -136,16 +136,16 @@
   // Without proof: who sees more than half alive says so at once.
   bool Claims(std::size_t i, std::uint64_t& view) {
     if (proven) {
-      const auto value = nodes[i]->StandingAt(now);
+      const auto value = nodes[i]->QuorumStateAt(now);
       view = value.view;
       return IsMajority(value.part);
     }
     std::size_t alive = 1;
-    view = nodes[i]->self().life();
+    view = nodes[i]->self().incarnation_id();
     for (const auto& [name, peer] : nodes[i]->peers()) {
       if (peer.member.state() != proto::Member::ALIVE) continue;
       ++alive;
-      view += peer.member.life();
+      view += peer.member.incarnation_id();
     }
     return alive > nodes.size() / 2;
   }
@@ -165,7 +165,7 @@
         const auto peer = nodes[i]->peers().find("n" + std::to_string(j));
         const bool dead = peer != nodes[i]->peers().end() &&
                           peer->second.member.state() == proto::Member::DEAD &&
-                          peer->second.member.life() == nodes[j]->self().life();
+                          peer->second.member.incarnation_id() == nodes[j]->self().incarnation_id();
         const bool sound = Runs(j) && Reaches(i, j) && now - stopped[j] > kSecond * 3;
         if (!dead || !sound || now - changed < settle) {
           held_dead.erase({i, j});
@@ -179,11 +179,11 @@
     figures.two_majorities += majorities.size() > 1;
   }
 
-  Part PartOf(std::size_t i) { return nodes[i]->StandingAt(now).part; }
-  bool All(const std::vector<std::size_t>& of, Part part) {
-    return std::ranges::all_of(of, [&](std::size_t i) { return PartOf(i) == part; });
+  QuorumState QuorumStateOf(std::size_t i) { return nodes[i]->QuorumStateAt(now).part; }
+  bool All(const std::vector<std::size_t>& of, QuorumState part) {
+    return std::ranges::all_of(of, [&](std::size_t i) { return QuorumStateOf(i) == part; });
   }
-  std::size_t Holding(std::size_t of, proto::Member::State state) const {
+  std::size_t SessionLeases(std::size_t of, proto::Member::State state) const {
     std::size_t count = 0;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       if (i == of || nodes[i] == nullptr) continue;
@@ -194,7 +194,7 @@
   }
 
   struct Datagram {
-    Time at{};
+    TimePoint at{};
     std::uint64_t order = 0;
     std::size_t to = 0;
     std::string from;
@@ -206,8 +206,8 @@
   Swim::Options options;
   std::mt19937_64 random;
   bool proven;
-  Time now{Duration(1'700'000'000'000'000)};
-  Time changed = now;             // the links, last
+  TimePoint now{Duration(1'700'000'000'000'000)};
+  TimePoint changed = now;        // the links, last
   Duration settle = kSecond * 8;  // after which the instances should have it right
   int loss = 0;                   // percent
   Duration delay{300}, jitter{0};
@@ -215,11 +215,11 @@
   bool judge_pairs = true;  // who is wrongly held dead: with the square of the number
   std::uint64_t order_of_turns = 0;
   std::vector<std::unique_ptr<Swim>> nodes;
-  std::vector<Time> stopped;  // until when
-  std::vector<Time> claimed;  // when a claim of more than half was last true, or absent
+  std::vector<TimePoint> stopped;  // until when
+  std::vector<TimePoint> claimed;  // when a claim of more than half was last true, or absent
   std::set<std::pair<std::size_t, std::size_t>> cut, held_dead;
   std::set<std::size_t> former;  // of a version that knows nothing of blocks: it neither says nor takes them
-  std::map<std::pair<std::size_t, std::size_t>, Time> asked;  // who pinged whom last
+  std::map<std::pair<std::size_t, std::size_t>, TimePoint> asked;  // who pinged whom last
   std::priority_queue<Datagram, std::vector<Datagram>, std::greater<>> flying;
   std::uint64_t order = 0;
   Figures figures;
@@ -234,26 +234,26 @@
     CAPTURE(seed);
     World w(8, seed);
     w.Pass(kSecond * 20);
-    REQUIRE(w.All(kAll, Part::kWhole));
+    REQUIRE(w.All(kAll, QuorumState::kComplete));
     w.Cut({kFive, kThree});
     w.Pass(kSecond * 20);
-    CHECK(w.All(kFive, Part::kLarger));
-    CHECK(w.All(kThree, Part::kSmaller));
+    CHECK(w.All(kFive, QuorumState::kMajority));
+    CHECK(w.All(kThree, QuorumState::kMinority));
     w.Heal();
     w.Pass(kSecond * 25);
-    CHECK(w.All(kAll, Part::kWhole));
+    CHECK(w.All(kAll, QuorumState::kComplete));
     w.Cut({{0, 1, 2, 3}, {4, 5, 6, 7}});
     w.Pass(kSecond * 20);
-    CHECK(w.All(kAll, Part::kSmaller));
+    CHECK(w.All(kAll, QuorumState::kMinority));
     w.Heal();
     w.Cut({{0, 1, 2}, {3, 4, 5}, {6, 7}});
     w.Pass(kSecond * 20);
-    CHECK(w.All(kAll, Part::kSmaller));
+    CHECK(w.All(kAll, QuorumState::kMinority));
     w.Heal();
     w.Cut({{0}, {1, 2, 3, 4, 5, 6, 7}});
     w.Pass(kSecond * 25);
-    CHECK(w.PartOf(0) == Part::kAlone);
-    CHECK(w.All({1, 2, 3, 4, 5, 6, 7}, Part::kSomeMissing));
+    CHECK(w.QuorumStateOf(0) == QuorumState::kIsolated);
+    CHECK(w.All({1, 2, 3, 4, 5, 6, 7}, QuorumState::kNearlyComplete));
     CHECK(w.figures.two_majorities == 0);
     CHECK(w.figures.stale_majority <= kProof);
     CHECK(w.figures.wrongly_dead == 0);
@@ -369,9 +369,9 @@
       w.stopped[3] = w.now + stop;
       w.Pass(stop);
       // Before its first turn, by its clock alone: what was proven lapses within a bound.
-      CHECK(IsMajority(w.PartOf(3)) == (stop < kProof));
+      CHECK(IsMajority(w.QuorumStateOf(3)) == (stop < kProof));
       w.Pass(kTick);
-      CHECK(w.PartOf(3) == Part::kInDoubt);
+      CHECK(w.QuorumStateOf(3) == QuorumState::kUnknown);
       for (int i = 0; i < 300; ++i) {
         w.Pass(kTick);
         for (const auto& [name, peer] : w.nodes[3]->peers()) {
@@ -380,7 +380,7 @@
       }
       CHECK(w.nodes[3]->stalls() == 1);
       w.Pass(kSecond * 25);
-      CHECK(w.All(kAll, Part::kWhole));
+      CHECK(w.All(kAll, QuorumState::kComplete));
       CHECK(w.figures.two_majorities == 0);
       CHECK(w.figures.wrongly_dead == 0);
     }
@@ -441,7 +441,7 @@
 constexpr double kNever = 40;
 
 double Until(World& w, const std::function<bool()>& holds) {
-  const Time from = w.now;
+  const TimePoint from = w.now;
   while (!holds()) {
     w.Pass(kTick * 5);
     if (w.now - from > kSecond * static_cast<int>(kNever)) return kNever;
@@ -456,7 +456,7 @@
   w.judge_pairs = count <= 64;
   Course course;
   const auto all = Numbers(0, count);
-  course.whole = Until(w, [&] { return w.All(all, Part::kWhole); });
+  course.whole = Until(w, [&] { return w.All(all, QuorumState::kComplete); });
   w.Pass(kSecond * (count > 64 ? 150 : 10));  // until the news of the start has been told often enough
   w.settle = Duration{0};
   w.figures = {};
@@ -468,13 +468,14 @@
   const auto larger = Numbers(0, more), smaller = Numbers(more, count);
   w.Cut({larger, smaller});
   course.sides = Until(w, [&] {
-    return std::ranges::all_of(larger, [&](std::size_t i) { return IsMajority(w.PartOf(i)); }) &&
-           std::ranges::none_of(smaller, [&](std::size_t i) { return w.PartOf(i) > Part::kSmaller; });
+    return std::ranges::all_of(larger, [&](std::size_t i) { return IsMajority(w.QuorumStateOf(i)); }) &&
+           std::ranges::none_of(smaller,
+                                [&](std::size_t i) { return w.QuorumStateOf(i) > QuorumState::kMinority; });
   });
   w.Heal();
-  course.healed = Until(w, [&] { return w.All(all, Part::kWhole); });
+  course.healed = Until(w, [&] { return w.All(all, QuorumState::kComplete); });
   w.nodes[1].reset();
-  course.all_know = Until(w, [&] { return w.Holding(1, proto::Member::DEAD) + 1 >= count; });
+  course.all_know = Until(w, [&] { return w.SessionLeases(1, proto::Member::DEAD) + 1 >= count; });
   course.two_majorities = w.figures.two_majorities;
   return course;
 }
@@ -538,11 +539,11 @@
     w.judge_pairs = false;
     w.judge_every = 20;
     const auto all = Numbers(0, count);
-    const double start = Until(w, [&] { return w.All(all, Part::kWhole); });
+    const double start = Until(w, [&] { return w.All(all, QuorumState::kComplete); });
     w.Pass(kSecond * 10);
     w.Begin(1);
     w.Pass(kSecond * 2);  // until somebody has noticed
-    const double restart = 2 + Until(w, [&] { return w.All(all, Part::kWhole); });
+    const double restart = 2 + Until(w, [&] { return w.All(all, QuorumState::kComplete); });
     w.Pass(kSecond * number("SETTLE_S", 60));
     w.figures = {};
     const int seconds = number("MEASURE_S", 30);
@@ -553,8 +554,8 @@
     for (int i = 0; i < seconds * 20; ++i) {
       w.Pass(kTick * 5);
       for (const std::size_t at : all) {
-        const auto until = w.nodes[at]->standing().AllUntil(w.now);
-        const bool whole = w.PartOf(at) == Part::kWhole;
+        const auto until = w.nodes[at]->quorum_tracker().AllUntil(w.now);
+        const bool whole = w.QuorumStateOf(at) == QuorumState::kComplete;
         lapses += was[at] && !whole;
         lapsed += !whole;
         was[at] = whole;
@@ -582,18 +583,18 @@
   w.judge_pairs = false;
   w.judge_every = 10;
   const auto all = Numbers(0, kCount);
-  REQUIRE(Until(w, [&] { return w.All(all, Part::kWhole); }) < kNever);
+  REQUIRE(Until(w, [&] { return w.All(all, QuorumState::kComplete); }) < kNever);
   for (const int loss : {0, 5}) {
     CAPTURE(loss);
     w.loss = loss;
     w.Pass(kSecond * 5);
     w.figures = {};
     int lapsed = 0;
-    const Time from = w.now;
+    const TimePoint from = w.now;
     // In each round of all every other turn is one's own block's; two rounds hold each pair for certain.
     for (int i = 0; i < 4 * 10 * static_cast<int>(kCount) / 5; ++i) {
       w.Pass(kTick * 10);
-      lapsed += !w.All(all, Part::kWhole);
+      lapsed += !w.All(all, QuorumState::kComplete);
     }
     CHECK(lapsed == 0);
     CHECK(w.figures.told_blocks > w.figures.told_ages * 9);
@@ -610,11 +611,11 @@
     w.judge_pairs = false;
     w.judge_every = 20;
     const auto all = Numbers(0, count);
-    REQUIRE(Until(w, [&] { return w.All(all, Part::kWhole); }) < kNever);
+    REQUIRE(Until(w, [&] { return w.All(all, QuorumState::kComplete); }) < kNever);
     w.Pass(kSecond * 3);  // claims are to be as old as they mostly are
     w.figures = {};
     w.Pass(kSecond);
-    CHECK(w.All(all, Part::kWhole));
+    CHECK(w.All(all, QuorumState::kComplete));
     return static_cast<double>(w.figures.bytes - w.figures.news) / static_cast<double>(count);
   };
   const double few = bytes(16), many = bytes(300);
@@ -629,20 +630,20 @@
   w.judge_every = 10;
   for (std::size_t i = 0; i < kCount; ++i) w.former.insert(i);
   const auto all = Numbers(0, kCount);
-  REQUIRE(Until(w, [&] { return w.All(all, Part::kWhole); }) < kNever);
+  REQUIRE(Until(w, [&] { return w.All(all, QuorumState::kComplete); }) < kNever);
   for (const std::size_t updated : {1, 20, 40, 79, 80}) {
     CAPTURE(updated);
     for (std::size_t i = 0; i < updated; ++i) {
       if (w.former.erase(i) > 0) w.Begin(i);
     }
     w.Pass(kSecond * 2);
-    REQUIRE(Until(w, [&] { return w.All(all, Part::kWhole); }) < kNever);
+    REQUIRE(Until(w, [&] { return w.All(all, QuorumState::kComplete); }) < kNever);
     w.Pass(kSecond * 5);
     w.figures = {};
     int lapsed = 0;
     for (int i = 0; i < 200; ++i) {
       w.Pass(kTick * 5);
-      lapsed += !w.All(all, Part::kWhole);
+      lapsed += !w.All(all, QuorumState::kComplete);
     }
     CHECK(lapsed == 0);
     // Who is of the former version is told the ages of all, by everybody, as is whoever asks one of them.
@@ -658,12 +659,12 @@
     CAPTURE(seed);
     World w(5, seed);
     w.Pass(kSecond * 15);
-    REQUIRE(w.All(Numbers(0, 5), Part::kWhole));
+    REQUIRE(w.All(Numbers(0, 5), QuorumState::kComplete));
     w.Begin(2, -kSecond * 3600);  // at once, while the others still hold its last life for alive
     w.Pass(kSecond * 30);
-    CHECK(w.All(Numbers(0, 5), Part::kWhole));
+    CHECK(w.All(Numbers(0, 5), QuorumState::kComplete));
     for (const std::size_t i : {0, 1, 3, 4}) {
-      CHECK(w.nodes[i]->peers().at("n2").member.life() == w.nodes[2]->self().life());
+      CHECK(w.nodes[i]->peers().at("n2").member.incarnation_id() == w.nodes[2]->self().incarnation_id());
     }
   }
 }
@@ -674,47 +675,47 @@
   w.Begin(5, {}, 1);  // a second n1, later
   w.Pass(kSecond * 20);
   for (const std::size_t i : {0, 2, 3, 4}) {
-    CHECK(w.nodes[i]->peers().at("n1").member.life() == w.nodes[5]->self().life());
+    CHECK(w.nodes[i]->peers().at("n1").member.incarnation_id() == w.nodes[5]->self().incarnation_id());
     CHECK(w.nodes[i]->conflicts() > 0);
   }
   CHECK(w.nodes[1]->conflicts() > 0);
-  CHECK(w.PartOf(1) == Part::kInDoubt);
-  CHECK(w.PartOf(0) == Part::kSomeMissing);  // five of the six that the settings name
+  CHECK(w.QuorumStateOf(1) == QuorumState::kUnknown);
+  CHECK(w.QuorumStateOf(0) == QuorumState::kNearlyComplete);  // five of the six that the settings name
   CHECK(w.figures.two_majorities == 0);
 }
 
 TEST_CASE("standing: nothing is proven at first, and what was proven lapses by itself") {
-  const auto at = [](int ms) { return Time(Duration(std::int64_t{ms} * 1000)); };
+  const auto at = [](int ms) { return TimePoint(Duration(std::int64_t{ms} * 1000)); };
   const std::vector<std::uint64_t> two{1, 2}, alone{1};
-  membership::Standing s({1, 3, Duration(1000000)}, at(0));
+  membership::QuorumTracker s({1, 3, Duration(1000000)}, at(0));
   s.Saw(at(0), 77, two);
-  CHECK(s.At(at(10)).part == Part::kInDoubt);
+  CHECK(s.At(at(10)).part == QuorumState::kUnknown);
   CHECK(s.Declares(at(1099)) == 0);
   s.Answered(2, at(1000), 77);
-  CHECK(s.At(at(1050)).part == Part::kInDoubt);
+  CHECK(s.At(at(1050)).part == QuorumState::kUnknown);
   CHECK(s.Declares(at(1100)) == 77);
-  CHECK(s.At(at(1100)).part == Part::kSomeMissing);
+  CHECK(s.At(at(1100)).part == QuorumState::kNearlyComplete);
   CHECK(s.At(at(1100)).until == at(2000));
   s.Answered(2, at(900), 0);  // older than what is known
-  CHECK(s.At(at(2000)).part == Part::kSomeMissing);
-  CHECK(s.At(at(2001)).part == Part::kInDoubt);
+  CHECK(s.At(at(2000)).part == QuorumState::kNearlyComplete);
+  CHECK(s.At(at(2001)).part == QuorumState::kUnknown);
   s.Answered(2, at(2100), 78);  // it stands by another view
-  CHECK(s.At(at(2150)).part == Part::kInDoubt);
+  CHECK(s.At(at(2150)).part == QuorumState::kUnknown);
   s.Saw(at(3000), 5, alone);
-  CHECK(s.At(at(3000)).part == Part::kAlone);
+  CHECK(s.At(at(3000)).part == QuorumState::kIsolated);
   CHECK(s.At(at(3500)).since == at(3000));
-  membership::Standing one({1, 1, Duration(1000000)}, at(0));
+  membership::QuorumTracker one({1, 1, Duration(1000000)}, at(0));
   one.Saw(at(0), 5, alone);
-  CHECK(one.At(at(2000)).part == Part::kWhole);
+  CHECK(one.At(at(2000)).part == QuorumState::kComplete);
 }
 
 TEST_CASE("standing: words of others count by the age that they are told with, and never grow younger") {
-  const auto at = [](int ms) { return Time(Duration(std::int64_t{ms} * 1000)); };
-  const std::vector<std::uint64_t> lives{1, 2, 3, 4, 5};
+  const auto at = [](int ms) { return TimePoint(Duration(std::int64_t{ms} * 1000)); };
+  const std::vector<std::uint64_t> incarnation_ids{1, 2, 3, 4, 5};
   const Duration proof(1000000);
-  membership::Standing a({1, 5, proof}, at(0)), b({2, 5, proof}, at(0));
-  a.Saw(at(0), 9, lives);
-  b.Saw(at(0), 9, lives);
+  membership::QuorumTracker a({1, 5, proof}, at(0)), b({2, 5, proof}, at(0));
+  a.Saw(at(0), 9, incarnation_ids);
+  b.Saw(at(0), 9, incarnation_ids);
   a.Answered(3, at(1500), 9);
   a.Answered(4, at(1600), 8);  // stands by another view: not told
   CHECK(a.Ages(at(2000), 8).empty());
@@ -722,42 +723,42 @@
   REQUIRE(ages.size() == 5);
   CHECK(static_cast<unsigned char>(ages[2]) == 125);
   for (const std::size_t i : {0, 1, 3, 4}) {
-    CHECK(static_cast<unsigned char>(ages[i]) == membership::Standing::kNoWord);
+    CHECK(static_cast<unsigned char>(ages[i]) == membership::QuorumTracker::kNoWord);
   }
   // Asked at 1,900 by its own clock, whenever the answer came: the word is from 1,400 at the latest.
   b.Answered(1, at(1900), 9);
   b.Told(at(1900), 8, ages);  // of another view: nothing is known of who is who there
-  CHECK(b.At(at(2000)).part == Part::kInDoubt);
+  CHECK(b.At(at(2000)).part == QuorumState::kUnknown);
   b.Told(at(1900), 9, ages.substr(1));
-  CHECK(b.At(at(2000)).part == Part::kInDoubt);
+  CHECK(b.At(at(2000)).part == QuorumState::kUnknown);
   b.Told(at(1900), 9, ages);
-  CHECK(b.At(at(2000)).part == Part::kLarger);
+  CHECK(b.At(at(2000)).part == QuorumState::kMajority);
   CHECK(b.At(at(2000)).until == at(2400));
-  CHECK(b.At(at(2400)).part == Part::kLarger);
-  CHECK(b.At(at(2401)).part == Part::kInDoubt);
+  CHECK(b.At(at(2400)).part == QuorumState::kMajority);
+  CHECK(b.At(at(2401)).part == QuorumState::kUnknown);
   // Its own life among what is told adds nothing.
-  std::string flattering(5, static_cast<char>(membership::Standing::kNoWord));
+  std::string flattering(5, static_cast<char>(membership::QuorumTracker::kNoWord));
   flattering[1] = 0;
   b.Told(at(2500), 9, flattering);
-  CHECK(b.At(at(2500)).part == Part::kInDoubt);
+  CHECK(b.At(at(2500)).part == QuorumState::kUnknown);
 }
 
 TEST_CASE("standing: through any number of hands a word lapses no later than its sender's silence ends") {
   // A word of life 1 is handed on at random between three whose clocks run apart by up to a twentieth.
   std::mt19937_64 random(7);
   const Duration proof(1000000);
-  const std::vector<std::uint64_t> lives{1, 2, 3, 4};
+  const std::vector<std::uint64_t> incarnation_ids{1, 2, 3, 4};
   int counted = 0;
   for (int play = 0; play < 200; ++play) {
     std::vector<double> rate;
-    std::vector<membership::Standing> holders;
-    for (std::uint64_t life = 2; life <= 4; ++life) {
+    std::vector<membership::QuorumTracker> holders;
+    for (std::uint64_t incarnation_id = 2; incarnation_id <= 4; ++incarnation_id) {
       rate.push_back(0.955 + 0.001 * static_cast<double>(random() % 95));
-      holders.emplace_back(membership::Standing::Options{life, 4, proof}, Time{});
-      holders.back().Saw(Time{}, 9, lives);
+      holders.emplace_back(membership::QuorumTracker::Options{incarnation_id, 4, proof}, TimePoint{});
+      holders.back().Saw(TimePoint{}, 9, incarnation_ids);
     }
     const auto clock = [&](std::size_t of, double us) {
-      return Time(Duration(static_cast<std::int64_t>(rate[of] * us)));
+      return TimePoint(Duration(static_cast<std::int64_t>(rate[of] * us)));
     };
     double us = 5e6;
     const double said = us;  // by life 1, in answer to a question of the first
@@ -769,10 +770,10 @@
       if (from != to) holders[to].Told(clock(to, asked), 9, holders[from].Ages(clock(from, us), 9));
       for (std::size_t i = 0; i < 3; ++i) {
         const std::string ages = holders[i].Ages(clock(i, us), 9);
-        if (static_cast<unsigned char>(ages[0]) == membership::Standing::kNoWord) continue;
+        if (static_cast<unsigned char>(ages[0]) == membership::QuorumTracker::kNoWord) continue;
         ++counted;
         // By the quickest clock life 1 is silent for 1.1 times the proof.
-        REQUIRE((us - said) * 1.0505 <= 1.1 * 1e6 + 1e6 / membership::Standing::kAgeUnits);
+        REQUIRE((us - said) * 1.0505 <= 1.1 * 1e6 + 1e6 / membership::QuorumTracker::kAgeUnits);
       }
     }
   }
@@ -786,14 +787,14 @@
 }
 
 TEST_CASE("standing: claims for blocks are told beside the ages of the asker's own block") {
-  const auto at = [](int ms) { return Time(Duration(std::int64_t{ms} * 1000)); };
+  const auto at = [](int ms) { return TimePoint(Duration(std::int64_t{ms} * 1000)); };
   const Duration proof(1000000);
-  const std::vector<std::uint64_t> lives{10, 20, 30, 40, 50, 60, 70};  // blocks of 2, 2 and 3
-  membership::Standing a({10, 7, proof}, at(0));
-  a.Saw(at(0), 9, lives);
-  for (const auto& [life, ms] :
+  const std::vector<std::uint64_t> incarnation_ids{10, 20, 30, 40, 50, 60, 70};  // blocks of 2, 2 and 3
+  membership::QuorumTracker a({10, 7, proof}, at(0));
+  a.Saw(at(0), 9, incarnation_ids);
+  for (const auto& [incarnation_id, ms] :
        {std::pair{20, 1900}, {30, 1500}, {40, 1700}, {50, 1900}, {60, 1900}, {70, 1200}}) {
-    a.Answered(static_cast<std::uint64_t>(life), at(ms), 9);
+    a.Answered(static_cast<std::uint64_t>(incarnation_id), at(ms), 9);
   }
   // The age of a block is that of its oldest word; its own word it says with the answer itself.
   CHECK(a.BlockAges(at(2000), 9, 30) == Bytes({25, 125, 200, 125, 75}));
@@ -807,17 +808,17 @@
   a.Answered(40, at(1950), 8);
   CHECK(a.BlockAges(at(2000), 9, 30) == Bytes({25, 255, 200, 125, 255}));
   // Nor for its own block by one who stands by nothing.
-  membership::Standing unsettled({10, 7, proof}, at(1500));
-  unsettled.Saw(at(1500), 9, lives);
-  for (const std::uint64_t life : lives) unsettled.Answered(life, at(1900), 9);
+  membership::QuorumTracker unsettled({10, 7, proof}, at(1500));
+  unsettled.Saw(at(1500), 9, incarnation_ids);
+  for (const std::uint64_t incarnation_id : incarnation_ids) unsettled.Answered(incarnation_id, at(1900), 9);
   CHECK(unsettled.BlockAges(at(2000), 9, 20) == Bytes({255, 25, 25, 255, 25}));
   CHECK(unsettled.BlockAges(at(2600), 9, 20) == Bytes({175, 175, 175, 255, 175}));
 }
 
 TEST_CASE("standing: what is told of blocks counts from the asking, and only in full and of the same view") {
-  const auto at = [](int ms) { return Time(Duration(std::int64_t{ms} * 1000)); };
+  const auto at = [](int ms) { return TimePoint(Duration(std::int64_t{ms} * 1000)); };
   const Duration proof(1000000);
-  const std::vector<std::uint64_t> lives{10, 20, 30, 40, 50, 60, 70};
+  const std::vector<std::uint64_t> incarnation_ids{10, 20, 30, 40, 50, 60, 70};
   struct Case {
     std::string what;
     std::uint64_t view;
@@ -842,28 +843,28 @@
            Case{"no claim for its own and no age", 9, Bytes({255, 50, 75, 0, 255}), 0},
        }) {
     CAPTURE(c.what);
-    membership::Standing b({10, 7, proof}, at(0));
-    b.Saw(at(0), 9, lives);
+    membership::QuorumTracker b({10, 7, proof}, at(0));
+    b.Saw(at(0), 9, incarnation_ids);
     b.ToldBlocks(at(1900), c.view, c.told);
     const auto until = b.AllUntil(at(1900));
     CHECK(until == (c.until_ms == 0 ? std::nullopt : std::optional(at(c.until_ms))));
-    CHECK((b.At(at(1900)).part == Part::kWhole) == (c.until_ms != 0));
+    CHECK((b.At(at(1900)).part == QuorumState::kComplete) == (c.until_ms != 0));
     // It holds up to then, and no longer.
     if (c.until_ms != 0) {
-      CHECK(b.At(at(c.until_ms)).part == Part::kWhole);
-      CHECK(b.At(at(c.until_ms + 1)).part != Part::kWhole);
+      CHECK(b.At(at(c.until_ms)).part == QuorumState::kComplete);
+      CHECK(b.At(at(c.until_ms + 1)).part != QuorumState::kComplete);
       CHECK_FALSE(b.AllUntil(at(c.until_ms + 1)));
     }
   }
 }
 
 TEST_CASE("standing: claims are merged by the later, undone by a word against them, and go with their view") {
-  const auto at = [](int ms) { return Time(Duration(std::int64_t{ms} * 1000)); };
+  const auto at = [](int ms) { return TimePoint(Duration(std::int64_t{ms} * 1000)); };
   const Duration proof(1000000);
-  const std::vector<std::uint64_t> lives{10, 20, 30, 40, 50, 60, 70};
+  const std::vector<std::uint64_t> incarnation_ids{10, 20, 30, 40, 50, 60, 70};
   const auto fresh = [&] {
-    membership::Standing b({10, 7, proof}, at(0));
-    b.Saw(at(0), 9, lives);
+    membership::QuorumTracker b({10, 7, proof}, at(0));
+    b.Saw(at(0), 9, incarnation_ids);
     b.ToldBlocks(at(1900), 9, Bytes({25, 50, 75, 255, 0}));
     return b;
   };
@@ -874,8 +875,8 @@
   CHECK(b.AllUntil(at(1950)) == at(2700));
   b.Answered(30, at(1960), 0);
   CHECK_FALSE(b.AllUntil(at(1960)));
-  CHECK(b.Ages(at(1960), 9)[2] == static_cast<char>(membership::Standing::kNoWord));
-  CHECK(b.BlockAges(at(1960), 9, 10)[1] == static_cast<char>(membership::Standing::kNoWord));
+  CHECK(b.Ages(at(1960), 9)[2] == static_cast<char>(membership::QuorumTracker::kNoWord));
+  CHECK(b.BlockAges(at(1960), 9, 10)[1] == static_cast<char>(membership::QuorumTracker::kNoWord));
   b.ToldBlocks(at(1980), 9, Bytes({255, 2, 255, 255, 255}));
   CHECK(b.AllUntil(at(1980)));
   // Single ages tell what a claim proves, for those who know nothing of claims.
@@ -897,21 +898,21 @@
 
   Ten(std::uint64_t seed, bool drift) : random(seed), slowest(drift ? kSlowest : 1) {
     for (const std::size_t without : {9, 0, 4}) {
-      std::vector<std::uint64_t> lives;
+      std::vector<std::uint64_t> incarnation_ids;
       for (std::size_t i = 0; i < kLives; ++i) {
-        if (i != without) lives.push_back(i + 1);
+        if (i != without) incarnation_ids.push_back(i + 1);
       }
-      views.push_back(lives);
+      views.push_back(incarnation_ids);
     }
     for (std::size_t i = 0; i < kLives; ++i) {
       rate.push_back(drift ? kSlowest + 0.001 * static_cast<double>(random() % 91) : 1);
       offset.push_back(drift ? static_cast<double>(random() % 1000) * 1e6 : 0);
-      nodes.emplace_back(membership::Standing::Options{i + 1, kLives - 1, Duration(1000000)}, Local(i));
+      nodes.emplace_back(membership::QuorumTracker::Options{i + 1, kLives - 1, Duration(1000000)}, Local(i));
       See(i, i == 9 ? 1 : 0);
     }
   }
-  Time Local(std::size_t of) const {
-    return Time(Duration(static_cast<std::int64_t>(offset[of] + rate[of] * us)));
+  TimePoint Local(std::size_t of) const {
+    return TimePoint(Duration(static_cast<std::int64_t>(offset[of] + rate[of] * us)));
   }
   void See(std::size_t at, std::size_t view) {
     if (std::ranges::binary_search(views[view], at + 1)) nodes[at].Saw(Local(at), view + 1, views[view]);
@@ -919,7 +920,7 @@
 
   struct Question {
     std::size_t from = 0, to = 0;
-    Time asked{};
+    TimePoint asked{};
     std::uint64_t view = 0;
     double at = 0;
     bool blocks = false;
@@ -948,7 +949,7 @@
           continue;
         }
         if (static_cast<int>(random() % 100) < loss || mute.contains(q.to)) continue;
-        membership::Standing& node = nodes[q.to];
+        membership::QuorumTracker& node = nodes[q.to];
         Answer answer{q, node.Declares(Local(q.to)), node.view(), {}, {}, late()};
         (q.blocks ? answer.block_ages : answer.ages) =
             q.blocks ? node.BlockAges(Local(q.to), q.view, q.from + 1) : node.Ages(Local(q.to), q.view);
@@ -960,7 +961,7 @@
           answers.push_back(a);
           continue;
         }
-        membership::Standing& node = nodes[a.to.from];
+        membership::QuorumTracker& node = nodes[a.to.from];
         if (deaf.contains(a.to.from)) continue;
         node.Answered(a.to.to + 1, a.to.asked, a.declares);
         node.Told(a.to.asked, a.view, a.ages);
@@ -973,12 +974,12 @@
   void Judge() {
     for (std::size_t i = 0; i < kLives; ++i) {
       const auto until = nodes[i].AllUntil(Local(i));
-      const bool whole = nodes[i].At(Local(i)).part == Part::kWhole;
+      const bool whole = nodes[i].At(Local(i)).part == QuorumState::kComplete;
       if (!until && !whole) continue;
       ++claimed;
-      for (const std::uint64_t life : nodes[i].lives()) {
-        if (life == i + 1) continue;
-        const auto one = said.find({life - 1, nodes[i].view()});
+      for (const std::uint64_t incarnation_id : nodes[i].incarnation_ids()) {
+        if (incarnation_id == i + 1) continue;
+        const auto one = said.find({incarnation_id - 1, nodes[i].view()});
         // Its age, if each part of it was counted by the slowest clock.
         const double true_age = one == said.end() ? 1e18 : us - one->second;
         unproven += true_age * slowest > kProofUs + 50;
@@ -1028,7 +1029,7 @@
   int loss = 0;
   std::vector<std::vector<std::uint64_t>> views;
   std::vector<double> rate, offset;
-  std::vector<membership::Standing> nodes;
+  std::vector<membership::QuorumTracker> nodes;
   std::vector<Question> questions;
   std::vector<Answer> answers;
   std::set<std::size_t> mute, deaf;
--- a/tests/pg/parsers_test.cpp
+++ b/tests/pg/parsers_test.cpp
@@ -17,7 +17,7 @@
 using namespace std::string_literals;
 
 TEST_CASE("a watch's body is taken apart into values and empty lines, however it is cut or indented") {
-  using Kind = discovery::ListText::Kind;
+  using Kind = discovery::WatchBodyParser::Kind;
   const struct {
     std::string bytes;
     std::vector<std::pair<Kind, std::string>> pieces;
@@ -36,7 +36,7 @@
   for (const auto& c : cases) {
     CAPTURE(c.bytes);
     for (const std::size_t step : {std::size_t{1}, c.bytes.size()}) {
-      discovery::ListText text;
+      discovery::WatchBodyParser text;
       for (std::size_t at = 0; at < c.bytes.size(); at += step) text.Feed(c.bytes.substr(at, step));
       for (const auto& [kind, value] : c.pieces) {
         const auto piece = text.Take();
@@ -49,7 +49,7 @@
   }
   // An end that is one: what stands there is whole or was cut.
   for (const bool whole : {true, false}) {
-    discovery::ListText text;
+    discovery::WatchBodyParser text;
     text.Feed(whole ? "{}" : "{\"a\":[");
     text.End();
     const auto piece = text.Take();
@@ -161,7 +161,7 @@
 
 TEST_CASE("load reports") {
   const auto report = upstream::ReportOf("x0=1767225600.123,x1=1,util=0.61");
-  CHECK(report->position == Time(std::chrono::milliseconds(1767225600123)));
+  CHECK(report->position == TimePoint(std::chrono::milliseconds(1767225600123)));
   CHECK(report->primary == true);
   CHECK(report->busy == 0.61);
   for (const char* bad : {"", "x0", "x0=", "x0=a", "x0=1e", "=1", "x0=inf"}) {
@@ -279,7 +279,7 @@
   };
   for (const auto& c : cases) {
     CAPTURE(c.targets);
-    discovery::RosterReader reader({"a", "b"});
+    discovery::EndpointListReader reader({"a", "b"});
     std::string wrong;
     const auto change = reader.Read(R"({"rev":4,"all":true,"targets":[)" + c.targets + "]}", wrong);
     REQUIRE(change.has_value());
@@ -287,10 +287,10 @@
     CHECK(wrong.empty() == !c.fault);
     if (c.taken > 0) {
       CHECK(change->targets[0].entry.zone == 1);
-      CHECK(change->targets[0].entry.started == Time(Duration(5000)));
+      CHECK(change->targets[0].entry.started == TimePoint(Duration(5000)));
     }
   }
-  discovery::RosterReader one({}), two({});
+  discovery::EndpointListReader one({}), two({});
   two.IdOf("another");
   CHECK(one.IdOf("s-1") == two.IdOf("s-1"));  // the same at every pooler, whatever it met before
   for (const char* bad :
@@ -302,7 +302,7 @@
 }
 
 TEST_CASE("the reader forgets what a change has ended") {
-  discovery::RosterReader reader({"a"});
+  discovery::EndpointListReader reader({"a"});
   const auto entry = [](const char* uid, const char* state) {
     return R"({"uid":")"s + uid + R"(","endpoint":"127.0.0.1:5","az":"a","pod_group":1,"state":")" + state +
            "\"}";
@@ -331,7 +331,7 @@
         start + R"("listen":"127.0.0.1:1"})", start + R"("listen":"127.0.0.1:1","settings":{"classes":[]}})",
         start + R"("listen":"127.0.0.1:1","settings":{"classes":[{"name":"c"}]}})"}) {
     CAPTURE(bad);
-    const auto config = ReadConfig(bad);
+    const auto config = ParsePlatformConfig(bad);
     REQUIRE(std::holds_alternative<std::string>(config));
     CHECK(std::get<std::string>(config).find('\n') == std::string::npos);
   }
--- a/tests/proxy/deadlines_test.cpp
+++ b/tests/proxy/deadlines_test.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 Duration Ms(int ms) { return std::chrono::milliseconds(ms); }
-Time At(std::int64_t us) { return Time(Duration(us)); }
+TimePoint At(std::int64_t us) { return TimePoint(Duration(us)); }
 
 // Runs the loop for so long by its own clock.
-void Pass(World& w, Duration time) {
+void Pass(SimulatedFleet& w, Duration time) {
   bool over = false;
   net::Timer timer(w.loop);
   timer.After(time, [&] { over = true; });
@@ -27,7 +27,7 @@
 
 // A data server that keeps its first query until it is told to answer, and answers the rest at once.
 struct Held {
-  explicit Held(World& w) : server(w.Serve({})) {
+  explicit Held(SimulatedFleet& w) : server(w.Serve({})) {
     server.script = [this](Peer& peer, const std::string& text) {
       if (first != nullptr) return kAnswer(peer, text);
       first = &peer;
@@ -65,8 +65,8 @@
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 40), rc::gen::inRange(0, 30000)));
     net::Arrivals arrivals;
-    std::vector<Time> truth;
-    Time now = At(1000000);
+    std::vector<TimePoint> truth;
+    TimePoint now = At(1000000);
     for (const auto& [size, wait] : steps) {
       now += Duration(wait);
       arrivals.Came(static_cast<std::size_t>(size), now);
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE("a request whose time was over as it waited behind another is refused at once and never sent on") {
-  World w(200, Unhurried());
+  SimulatedFleet w(200, Unhurried());
   Held held(w);
   Peer& client = w.Client({Ask("any", "1", 60000), Ask("any", "2", 200), Ask("any", "3", 60000)});
   w.Until([&] { return held.first != nullptr; });
@@ -101,7 +101,7 @@
 }
 
 TEST_CASE("what a request waited behind others is off the time that its data server is told") {
-  World w(200, Unhurried());
+  SimulatedFleet w(200, Unhurried());
   Held held(w);
   w.Client({Ask("any", "1", 60000), Ask("any", "2", 60000)});
   w.Until([&] { return held.first != nullptr; });
@@ -112,7 +112,7 @@
 }
 
 TEST_CASE("a request that came into the kernel while the ring was full has its time from then") {
-  World w(200, Unhurried());
+  SimulatedFleet w(200, Unhurried());
   Held held(w);
   // The first is taken out at once, and the ring holds 256 KiB: what is behind these stays in the kernel.
   const std::string wide = Ask("any", "1", 60000) + std::string(150000, ' ');
@@ -132,7 +132,7 @@
 }
 
 TEST_CASE("a request that came while the program stood still has its time from when it came") {
-  World w(200, Unhurried());
+  SimulatedFleet w(200, Unhurried());
   DataServer& server = w.Serve(kAnswer);
   w.List();
   Bare client(w.front.port());
@@ -148,7 +148,7 @@
 }
 
 TEST_CASE("a request on a connection that waited to be accepted has its time from when it came") {
-  World w(200, Unhurried());
+  SimulatedFleet w(200, Unhurried());
   DataServer& server = w.Serve(kAnswer);
   w.List();
   Bare client(w.front.port(), Query(Ask("any", "1", 200)) + Query(Ask("any", "2", 60000)));
@@ -158,11 +158,11 @@
 }
 
 TEST_CASE("a cancel that waits to be accepted does not end a request that was taken after it came") {
-  World w(200, Unhurried());
+  SimulatedFleet w(200, Unhurried());
   Held held(w);
   Peer& client = w.Client({Ask("any", "1", 60000), Ask("any", "2", 60000)});
   w.Until([&] { return held.first != nullptr; });
-  const std::string key = KeyOf(client);
+  const std::string key = SessionKeyOf(client);
   REQUIRE(key.size() == 8);
   held.server.script = kSilent;
   // It means the first, and stands behind so many in the queue that the second is taken before it is looked
@@ -180,7 +180,7 @@
 }
 
 TEST_CASE("a message in pieces has its time from its first byte, also behind a request that took long") {
-  World w(200, Unhurried());
+  SimulatedFleet w(200, Unhurried());
   Held held(w);
   Peer& client = w.Client({Ask("any", "1", 60000)});
   w.Until([&] { return held.first != nullptr; });
@@ -196,7 +196,7 @@
 }
 
 TEST_CASE("a message in pieces has its own time, not that of the one before it") {
-  World w(200, Unhurried());
+  SimulatedFleet w(200, Unhurried());
   w.Serve(kAnswer);
   w.List();
   Peer& client = w.Client({});
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 TEST_CASE("a request is served with the data server's value; its statement changes in d alone") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kAnswer);
   w.List();
   std::string asked = Ask("any", "x");
@@ -21,7 +21,7 @@
 }
 
 TEST_CASE("pipelined queries are answered in their order, a bad one between them too") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kAnswer);
   w.List();
   Peer& client = w.Client({Ask("any", "1"), Ask("nobody"), "SELECT 1", "", Ask("any", "2")});
@@ -30,7 +30,7 @@
 }
 
 TEST_CASE("rule 1: a request that no data server answers gets one final answer, before its deadline") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   w.List();
   Peer& client = w.Client({Ask("any", "k", 300)});
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE("rule 2: a write that may have run is not refused, and not sent beyond its window") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve([](Peer& p, const std::string&) { p.connection->Close(); });
   server.report = "x1=1,x0=1";
   w.List();
@@ -54,7 +54,7 @@
 }
 
 TEST_CASE("rule 2: a write that was turned away untouched may be refused, with a time to come back") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve([](Peer& p, const std::string&) { p.Say(Error("25006")); });
   server.report = "x1=1,x0=1";
   w.List();
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE("rule 3: nothing new goes to a data server that drains") {
-  World w;
+  SimulatedFleet w;
   DataServer& draining = w.Serve(kAnswer);
   DataServer& other = w.Serve(kAnswer);
   w.List();
@@ -75,7 +75,7 @@
 }
 
 TEST_CASE("rule 5: a read that a replica is too far behind for is sent again, not answered from old data") {
-  World w;
+  SimulatedFleet w;
   int turned_away = 0;
   const Script behind = [&](Peer& p, const std::string&) {
     if (++turned_away <= 2) return p.Say(Error("72000"));
@@ -90,7 +90,7 @@
 }
 
 TEST_CASE("a client that closes calls its attempt off; one that only ended its sending is answered") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   w.List();
   Peer& gone = w.Client({Ask("any")});
@@ -107,7 +107,7 @@
 }
 
 TEST_CASE("what is malformed costs its own connection, with the SQLSTATE for it") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kAnswer);
   w.List();
   const struct {
@@ -131,7 +131,7 @@
 }
 
 TEST_CASE("an answer that nobody asked for costs the data server its connection, and nothing else") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve([](Peer& p, const std::string&) { p.Say(Row("a") + Row("b")); });
   w.List();
   Peer& client = w.Client(Asks(8));
@@ -161,7 +161,7 @@
                         two_rows,      "T\0"s + good,  good.substr(0, message('C').first)};
   for (const std::string& bytes : spoilt) {
     CAPTURE(bytes);
-    World w;
+    SimulatedFleet w;
     int asked = 0;
     DataServer& server =
         w.Serve([&](Peer& p, const std::string&) { p.Say(++asked == 1 ? bytes : Row("v")); });
@@ -177,7 +177,7 @@
 
 TEST_CASE(
     "a statement that a data server cannot use is not tried elsewhere, and not held against that server") {
-  World w;
+  SimulatedFleet w;
   std::size_t asked = 0;
   const Script picky = [&](Peer& p, const std::string& text) {
     ++asked;
@@ -199,7 +199,7 @@
 
 // What crosses a data server's close behind its answer is lost as a reset, though nothing is wrong there.
 TEST_CASE("a connection that has only just answered is left alone where there is another") {
-  World w;
+  SimulatedFleet w;
   std::vector<Peer*> asked;
   DataServer& server = w.Serve([&](Peer& p, const std::string&) { asked.push_back(&p); });
   w.List();
@@ -208,7 +208,7 @@
   w.Until([&] { return asked.size() == 2; });
   for (Peer* peer : asked) peer->Say(Row("v"));
   w.Until([&] { return one.Types().ends_with("TDCZ") && two.Types().ends_with("TDCZ"); });
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   w.Until([&] { return w.loop.Now() - from > Duration(20000); });
   asked.clear();
   server.script = [&](Peer& p, const std::string&) {
@@ -221,7 +221,7 @@
 }
 
 TEST_CASE("an answer is as good with a load report that cannot be read as with none") {
-  World w;
+  SimulatedFleet w;
   w.Serve([](Peer& p, const std::string&) {
     std::string report, row = Row("v");
     pg::AppendStatus(report, "pressure", "util=much,,\x01");
@@ -233,21 +233,21 @@
 }
 
 TEST_CASE("data servers that are gone are forgotten, and known again when they come back") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kAnswer);
   w.Serve(kAnswer);
   w.List();
   Peer& client = w.Client(Asks(4));
   w.Until([&] { return client.Types().ends_with("TDCZTDCZTDCZTDCZ"); });
   w.List(ListKind::kPartial, Lifecycle::kDeleted);
-  w.pool.Forget(MemberId(1));
+  w.pool.Forget(ServerId(1));
   w.Until([&] { return w.pool.servers() == 1; });
   w.List(ListKind::kPartial);
   CHECK(w.pool.servers() == 2);
 }
 
 TEST_CASE("an empty query is answered as such only once requests can be served; SSL is declined") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kAnswer);
   Peer& early = w.Client({""});
   w.Until([&] { return early.Saw("57P03"); });
@@ -263,7 +263,7 @@
 }
 
 TEST_CASE("a stop serves on for a while, finishes what was taken, closes clients between requests and ends") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   w.List();
   Peer& idle = w.Client({""});
@@ -271,7 +271,7 @@
   w.Until([&] { return server.queries.size() == 1 && idle.Saw("I"); });
   bool done = false;
   w.front.Drain([&] { done = true; });
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   Peer& late = w.Client({""});  // connections still come for a while
   w.Until([&] { return late.Types().ends_with("IZ"); });
   // The front layer has let go of this pooler, and another may not be back: who is connected is served on.
@@ -288,13 +288,13 @@
 
 // The program may be killed 3.7 s after it was told to stop: what it has then not answered would be lost.
 TEST_CASE("what is asked during a stop is answered before the program may be killed") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kSilent);
   w.List();
   Peer& client = w.Client({""});
   w.Until([&] { return client.Saw("I"); });
   w.front.Drain([] {});
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   std::string query;
   pg::AppendQuery(query, Ask("any", "k", 60000));
   client.Say(query);
@@ -303,7 +303,7 @@
 }
 
 TEST_CASE("silent clients and unfinished messages are closed in time, idle and served clients stay") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kSilent);
   w.List();
   Peer& idle = w.Client({""});
@@ -311,7 +311,7 @@
   Peer& begun = w.Client({});
   begun.Say(std::string("Q\0\0\2\0", 5) + "/* id=");
   Peer& silent = w.Connect(w.front.port());
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   w.Until([&] { return begun.ended && silent.ended; });
   CHECK(w.loop.Now() - from < Duration(3000000));
   CHECK(begun.Saw("08P01"));
@@ -320,7 +320,7 @@
 }
 
 TEST_CASE("connections that say nothing make room before clients that are of use") {
-  World w(100);  // 60 to share, 15 of them for backends
+  SimulatedFleet w(100);  // 60 to share, 15 of them for backends
   w.Serve(kAnswer);
   w.List();
   std::vector<Peer*> useful;
@@ -338,16 +338,16 @@
 
 // Those that asked once and stay hold what others need to ask at all.
 TEST_CASE("idle clients go the sooner, the more there are") {
-  World w(100);  // 60 to share: 20 clients are over a quarter
+  SimulatedFleet w(100);  // 60 to share: 20 clients are over a quarter
   w.List();
   for (int i = 0; i < 20; ++i) w.Client({""});
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   w.Until([&] { return std::ranges::any_of(w.clients, [](const auto& p) { return p->ended; }); });
   CHECK(w.loop.Now() - from < Duration(2000000));
 }
 
 TEST_CASE("hundreds of queries at once do not keep another client waiting") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kAnswer);
   w.List();
   Peer& flood = w.Client(Texts(1500, "SELECT 1"));
@@ -358,7 +358,7 @@
 }
 
 TEST_CASE("an id that is open elsewhere gets an error, and the open request its answer") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   w.List();
   const std::string query = Ask("any");
@@ -375,7 +375,7 @@
 }
 
 TEST_CASE("a group that nobody knows is refused at once") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kAnswer);
   w.List();
   std::string query = Ask("any");
@@ -386,7 +386,7 @@
 }
 
 TEST_CASE("clients beyond the budget are taken in for idle ones") {
-  World w(100);  // 60 to share, 15 of them for backends
+  SimulatedFleet w(100);  // 60 to share, 15 of them for backends
   w.Serve(kAnswer);
   w.List();
   for (int i = 0; i < 70; ++i) w.Client({""});
@@ -408,10 +408,11 @@
         peer.connection = Connection::Adopt(loop, std::move(socket), peer, 65536, 65536);
       });
   REQUIRE(agent.Open({"127.0.0.1", 0}).empty());
-  discovery::RosterReader reader({"a"});
+  discovery::EndpointListReader reader({"a"});
   std::vector<std::int64_t> versions;
-  discovery::Watch watch(loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
-                         [&](const discovery::RosterChange& change) { versions.push_back(change.revision); });
+  discovery::Watch watch(
+      loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
+      [&](const discovery::EndpointListUpdate& change) { versions.push_back(change.revision); });
   watch.Start();
   const auto until = [&](const std::function<bool()>& holds) {
     while (!holds()) g_main_context_iteration(nullptr, TRUE);
@@ -434,13 +435,13 @@
   net::Listener agent(
       loop, [] { return true; }, [](net::ObjectPtr<GSocket>) {});
   REQUIRE(agent.Open({"127.0.0.1", 0}).empty());
-  discovery::RosterReader reader({"a"});
+  discovery::EndpointListReader reader({"a"});
   for (const bool shared : {false, true}) {
     CAPTURE(shared);
     std::set<std::int64_t> tenths;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
       discovery::Watch watch(loop, {"127.0.0.1", agent.port()}, reader, 41, seed * 7919,
-                             {shared, 300, Duration(2000000)}, [](const discovery::RosterChange&) {});
+                             {shared, 300, Duration(2000000)}, [](const discovery::EndpointListUpdate&) {});
       watch.Start();
       tenths.insert((*watch.calls_at() - loop.Now()).count() / 100000);
       watch.MoveTo({"127.0.0.2", agent.port()});
@@ -455,7 +456,7 @@
 // Discovery that is of no use: it turns calls away, cuts its answer in the head and in a list, answers what
 // is none, and says nothing at all. What is known serves on, and the first word that can be used binds.
 TEST_CASE("discovery that fails in each way costs no answer, one line an episode, and its next word counts") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kAnswer);
   w.List();
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -491,11 +492,11 @@
         }
       });
   REQUIRE(agent.Open({"127.0.0.1", 0}).empty());
-  discovery::RosterReader reader({"a"});
+  discovery::EndpointListReader reader({"a"});
   const Logged logged;
   bool told = false;
   discovery::Watch watch(w.loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
-                         [&](const discovery::RosterChange&) {
+                         [&](const discovery::EndpointListUpdate&) {
                            told = true;
                            w.List(ListKind::kPartial, Lifecycle::kDraining);
                          });
@@ -517,16 +518,16 @@
 }
 
 TEST_CASE("discovery whose connections are refused is logged once an episode, and requests are served on") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kAnswer);
   w.List();
   const std::uint16_t closed = ClosedPort(w.loop);
-  discovery::RosterReader reader({"a"});
+  discovery::EndpointListReader reader({"a"});
   const Logged logged;
   discovery::Watch watch(w.loop, {"127.0.0.1", closed}, reader, 41, 1, {},
-                         [](const discovery::RosterChange&) {});
+                         [](const discovery::EndpointListUpdate&) {});
   watch.Start();
-  std::set<Time> calls;  // each time for which a call is put off
+  std::set<TimePoint> calls;  // each time for which a call is put off
   w.Until([&] {
     if (watch.calls_at()) calls.insert(*watch.calls_at());
     return calls.size() >= 4;
@@ -540,7 +541,7 @@
 // The agent has known for long that the only data server drains; the list in the configuration is older. The
 // agent is called before the first client has its answer, however many instances start: what it tells binds.
 TEST_CASE("a pooler of 300 that starts with an old list obeys a drain that its agent knows of") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kAnswer);
   Agent agent(w.loop);
   const auto list = [&](const char* revision, const char* state) {
@@ -551,7 +552,7 @@
   };
   agent.line = list("42", "Terminating") + "\n";
   Program program(w);
-  std::string config = program.Config(agent.Where(), list("41", "Ready"));
+  std::string config = program.PlatformConfig(agent.Where(), list("41", "Ready"));
   config.replace(config.find(R"("settings":{)"), 12,
                  R"("settings":{"peers_total":300,"discovery":"push",)"
                  R"("rules":{"drain_grace_us":2000000},)");
@@ -571,7 +572,7 @@
 }
 
 TEST_CASE("SIGHUP moves the watch and nothing else; a file that cannot be used changes nothing") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   Agent first(w.loop), second(w.loop);
   const std::string target = R"({"uid":"s-1","endpoint":"127.0.0.1:)" +
@@ -582,7 +583,7 @@
   second.line = R"({"rev":7,"all":true,"targets":[]})"
                 "\n";  // a whole list, of a count of its own
   Program program(w);
-  program.Configure(program.Config(first.Where(), known));
+  program.Configure(program.PlatformConfig(first.Where(), known));
   program.Start();
   w.Until([&] { return first.Asked("since=41 "); });
   Peer& client = program.Client({Ask("any")});
@@ -594,7 +595,7 @@
     w.Until([&] { return alive.Types().ends_with("IZ"); });
   }
   CHECK_FALSE(first.peers[0]->ended);
-  program.Configure(program.Config(second.Where(), known));
+  program.Configure(program.PlatformConfig(second.Where(), known));
   g_subprocess_send_signal(program.process.get(), SIGHUP);
   w.Until([&] { return second.Asked("since=41 ") && first.peers[0]->ended; });
   second.peers[0]->connection->Close();
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -30,14 +30,14 @@
 
 TEST_CASE(
     "a cancel ends the open request with 57014, calls its attempt off, and leaves the connection usable") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   w.List();
   Peer& client = w.Client({Ask("any", "k", kLong)});
   w.Until([&] { return server.queries.size() == 1; });
   const std::size_t asked_on = server.peers.size();
   Peer& cancel = w.Connect(w.front.port());
-  cancel.Say(CancelBytes(KeyOf(client)));
+  cancel.Say(CancelBytes(SessionKeyOf(client)));
   w.Until([&] { return client.Types().ends_with("EZ") && cancel.ended; });
   CHECK(client.Saw("57014"));
   CHECK(cancel.bytes.empty());
@@ -51,13 +51,13 @@
 }
 
 TEST_CASE("a cancel with a wrong key, or one that is nobody's, has no effect and gets a close alone") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   w.List();
   Peer& client = w.Client({Ask("any", "k", kLong)});
   Peer& other = w.Client({""});
   w.Until([&] { return server.queries.size() == 1 && other.Saw("I"); });
-  const std::string key = KeyOf(client), others = KeyOf(other);
+  const std::string key = SessionKeyOf(client), others = SessionKeyOf(other);
   REQUIRE(key.size() == 8);
   CHECK(key.substr(0, 4) != others.substr(0, 4));
   CHECK(key.substr(4) != others.substr(4));
@@ -76,7 +76,7 @@
 }
 
 TEST_CASE("a cancel that crosses the answer does not hit the next request of that connection") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   w.List();
   Peer& client = w.Client({Ask("any", "1", kLong), Ask("any", "2", kLong)});
@@ -86,7 +86,7 @@
   w.Until([&] { return w.front.sessions() == 2; });
   for (const auto& peer : server.peers) peer->Say(Row("1"));
   w.Until([&] { return server.queries.size() == 2; });
-  cancel.Say(CancelBytes(KeyOf(client)));
+  cancel.Say(CancelBytes(SessionKeyOf(client)));
   w.Until([&] { return cancel.ended; });
   CHECK(w.proxy.open() == 1);
   for (const auto& peer : server.peers) peer->Say(Row("2"));
@@ -94,7 +94,7 @@
 }
 
 TEST_CASE("a client that sends more than the ring holds and goes is missed at once") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   w.List();
   std::string much;
@@ -106,7 +106,7 @@
   w.Until([&] { return server.queries.size() == 1; });
   client.SayMuch(much);
   // Until the ring is full and nothing is read any more.
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   w.Until([&] { return w.loop.Now() - from > Duration(50000); });
   client.Read();  // or the kernel would reset at once
   client.Close();
@@ -116,7 +116,7 @@
 }
 
 TEST_CASE("a client that has ended its sending is told from one that closes after that") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kSilent);
   w.List();
   Peer& stays = w.Client({Ask("any", "1", kLong)});
@@ -135,7 +135,7 @@
 TEST_CASE("a write that waits for its primary is not sent on once its client has closed") {
   Settings patient = Usual();
   patient.classes[2].aim = 30 * kSecond;
-  World w(200, patient);
+  SimulatedFleet w(200, patient);
   DataServer& server = w.Serve([](Peer& p, const std::string&) { p.Say(Error("25006")); });
   w.List();
   Peer& client = w.Client({Ask("write", "gone", kLong)});
@@ -158,7 +158,7 @@
     Settings settings = Usual();
     settings.may_cancel = may_cancel;
     settings.reports = Reports::kNone;
-    World w(200, settings);
+    SimulatedFleet w(200, settings);
     DataServer& server = w.Serve(kAnswer);
     server.greets = false;
     w.List();
@@ -176,7 +176,7 @@
 
 TEST_CASE(
     "a message that trickles on without an end is closed in time, though something has always just come") {
-  World w;
+  SimulatedFleet w;
   w.Serve(kAnswer);
   w.List();
   Peer& client = w.Client({});
@@ -193,7 +193,7 @@
 }
 
 TEST_CASE("hundreds of connections that send much and go in one segment cost the others nothing") {
-  World w(1000);
+  SimulatedFleet w(1000);
   DataServer& server = w.Serve([](Peer& p, const std::string& text) {
     if (text.find("'g'") != std::string::npos) p.Say(Row("g"));  // the others' never come back
   });
@@ -237,17 +237,17 @@
 }
 
 // Until the listener is closed, and those between requests are told to go.
-void UntilLeaving(World& w, Time from) {
+void UntilLeaving(SimulatedFleet& w, TimePoint from) {
   w.Until([&] { return w.loop.Now() - from >= Duration(720000); });
 }
 
 TEST_CASE("a stop answers what was read behind an answer, and what is sent later is not sent on") {
-  World w(200, Short());
+  SimulatedFleet w(200, Short());
   DataServer& server = w.Serve(kSilent);
   w.List();
   bool done = false;
   w.front.Drain([&] { done = true; });
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   w.Until([&] { return w.loop.Now() - from >= Duration(600000); });
   Peer& client = w.Client({Ask("any", "1", kLong), Ask("any", "2", kLong)});
   w.Until([&] { return server.queries.size() == 1; });
@@ -269,7 +269,7 @@
 TEST_CASE("a request that crosses the close of a resting connection is not sent on, and draws no reset") {
   Settings patient = Short();
   for (RequestClass& kind : patient.classes) kind.aim = 30 * kSecond;  // or it might be refused for its time
-  World w(200, patient);
+  SimulatedFleet w(200, patient);
   DataServer& server = w.Serve(kAnswer);
   w.List();
   Bare resting(w.front.port(), Query(""));
@@ -288,7 +288,7 @@
 TEST_CASE("a client that asks again at each answer is told the end by a stop all the same") {
   Settings patient = Short();
   for (RequestClass& kind : patient.classes) kind.aim = 30 * kSecond;
-  World w(200, patient);
+  SimulatedFleet w(200, patient);
   std::vector<std::unique_ptr<net::Timer>> timers;
   DataServer& server = w.Serve([&](Peer& p, const std::string&) {  // hardly a moment between two requests
     timers.push_back(std::make_unique<net::Timer>(w.loop));
@@ -298,7 +298,7 @@
   Peer& client = w.Client({Ask("any", "k", kLong)});
   bool done = false;
   w.front.Drain([&] { done = true; });
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   std::size_t heard = 0, at_stop = 0;
   w.Until([&] {
     if (w.loop.Now() - from >= Duration(720000) && at_stop == 0) at_stop = server.queries.size();
@@ -315,11 +315,11 @@
 }
 
 TEST_CASE("half a request at a stop is refused with 57P03, or answered if its rest comes") {
-  World w(200, Short());
+  SimulatedFleet w(200, Short());
   w.Serve(kAnswer);
   w.List();
   w.front.Drain([] {});
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   w.Until([&] { return w.loop.Now() - from >= Duration(650000); });
   const std::string query = Query(Ask("any", "v", kLong));
   Peer& half = w.Client({""});
@@ -336,11 +336,11 @@
 }
 
 TEST_CASE("a connection that waits in the queue as the listener closes has its request answered") {
-  World w(200, Short());
+  SimulatedFleet w(200, Short());
   w.Serve(kAnswer);
   w.List();
   w.front.Drain([] {});
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   w.Until([&] { return w.loop.Now() - from >= Duration(600000); });
   // The loop stands still until the listener is due to close: the connection and its request come meanwhile.
   Bare queued(w.front.port(), Query(Ask("any", "v", kLong)));
@@ -354,7 +354,7 @@
 }
 
 TEST_CASE("what is owed is answered before the earliest kill, whatever its deadline") {
-  World w(200, Short());
+  SimulatedFleet w(200, Short());
   DataServer& server = w.Serve(kSilent);
   w.List();
   Peer& out = w.Client({Ask("any", "1", kLong)});
@@ -365,7 +365,7 @@
   bool done = false;
   w.front.Drain([&] { done = true; });
   w.front.Drain([&] { FAIL("a second stop is none of its own"); });
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   w.Until([&] { return out.Types().ends_with("EZ") && held.Types().ends_with("EZ"); });
   // The loop's own times: this is the moment that was chosen, not how fast the machine is.
   CHECK(w.loop.Now() - from >= Duration(850000));
@@ -374,7 +374,7 @@
 }
 
 TEST_CASE("an answer larger than the client's window at the stop arrives whole, and then the end") {
-  World w(200, Short());
+  SimulatedFleet w(200, Short());
   const std::string large(60000, 'x');
   DataServer& server = w.Serve([&](Peer& p, const std::string&) {
     std::string out;
@@ -398,7 +398,7 @@
   client.Say(out);
   w.Until([&] { return !server.queries.empty(); });
   w.front.Drain([] {});
-  const Time from = w.loop.Now();
+  const TimePoint from = w.loop.Now();
   UntilLeaving(w, from);
   client.connection->ResumeReading();
   w.Until([&] { return client.ended; });
@@ -411,7 +411,7 @@
 }
 
 TEST_CASE("an idle client that is closed for its age reads the end; its next request is not run, nor reset") {
-  World w(100);
+  SimulatedFleet w(100);
   DataServer& server = w.Serve(kAnswer);
   w.List();
   Bare first(w.front.port(), Query(""));
@@ -433,7 +433,7 @@
 struct Ends final : proxy::BackendEvents {
   std::vector<proxy::AttemptEnd> attempts;
   void OnAttemptEnd(proxy::AttemptEnd end) override { attempts.push_back(std::move(end)); }
-  void OnProbeEnd(const ProbeEvent&) override {}
+  void OnProbeEnd(const HealthCheckEvent&) override {}
 };
 
 struct Text final : proxy::Work {
@@ -462,20 +462,20 @@
   const auto until = [&](const std::function<bool()>& holds) {
     while (!holds()) g_main_context_iteration(nullptr, TRUE);
   };
-  pool.SetAddress(MemberId(1), {"127.0.0.1", listener.port()});
+  pool.SetAddress(ServerId(1), {"127.0.0.1", listener.port()});
   const auto work = std::make_shared<Text>();
-  pool.Send(RequestId(1), 1, MemberId(1), work, {Duration(4000000), Duration(30000)});
+  pool.Send(RequestId(1), 1, ServerId(1), work, {Duration(4000000), Duration(30000)});
   until([&] { return queries.size() == 1; });  // the hello
   until([&] { return ends.attempts.size() == 1; });
   CHECK(ends.attempts[0].outcome == Outcome::kUnreachable);
   peers[0]->Say(Hello());
   // Up now, for one that may still be written, and for one whose time passes while the loop stands still.
-  pool.Send(RequestId(2), 0, MemberId(1), work, {Duration(4000000)});
+  pool.Send(RequestId(2), 0, ServerId(1), work, {Duration(4000000)});
   until([&] { return queries.size() == 2; });
   peers[0]->Say(Row("v"));
   until([&] { return ends.attempts.size() == 2; });
   CHECK(ends.attempts[1].outcome == Outcome::kOk);
-  pool.Send(RequestId(3), 1, MemberId(1), work, {Duration(4000000), Duration(0)});
+  pool.Send(RequestId(3), 1, ServerId(1), work, {Duration(4000000), Duration(0)});
   until([&] { return ends.attempts.size() == 3; });
   CHECK(ends.attempts[2].outcome == Outcome::kUnreachable);
   CHECK(queries.size() == 2);
@@ -497,7 +497,7 @@
     Settings settings = Usual();
     settings.classes[2].effect = c.effect;
     settings.classes[2].repeat_window = c.window;
-    World w(200, settings);
+    SimulatedFleet w(200, settings);
     DataServer& server = w.Serve([](Peer& p, const std::string&) { p.connection->Close(); });
     server.report = "x1=1,x0=1";
     w.List();
@@ -512,7 +512,7 @@
 TEST_CASE("an answer and a reset in one turn is an answer, and one that is cut is none") {
   for (const bool whole : {true, false}) {
     CAPTURE(whole);
-    World w;
+    SimulatedFleet w;
     int asked = 0;
     const auto reset = [](Peer& p) {
       const linger now{1, 0};
@@ -539,7 +539,7 @@
   Settings patient = Usual();
   // Or it might be refused for the time it has lost.
   for (RequestClass& kind : patient.classes) kind.aim = 30 * kSecond;
-  World w(200, patient);
+  SimulatedFleet w(200, patient);
   Peer* endless = nullptr;
   w.Serve([&](Peer& p, const std::string&) {
     if (endless != nullptr) return p.Say(Row("v"));
@@ -560,14 +560,14 @@
 }
 
 TEST_CASE("a data server that drained and is back under its id, with a new start, is used again") {
-  World w;
+  SimulatedFleet w;
   DataServer& server = w.Serve(kAnswer);
   w.List();
   w.List(ListKind::kPartial, Lifecycle::kDraining);
   Peer& refused = w.Client({Ask("any", "k", 300)});
   w.Until([&] { return refused.Saw("53300"); });
   ListEvent back{ListKind::kPartial, {}};
-  back.entries.push_back({.member = MemberId(1), .group = GroupId(2), .started = w.loop.Now()});
+  back.entries.push_back({.server = ServerId(1), .group = GroupId(2), .started = w.loop.Now()});
   w.proxy.ListChanged(back);
   Peer& served = w.Client({Ask("any", "k", 3000)});
   w.Until([&] { return served.Types().ends_with("TDCZ"); });
@@ -591,7 +591,7 @@
         reader({"a"}) {
     REQUIRE(listener.Open({"127.0.0.1", 0}).empty());
     watch.emplace(loop, net::Address{"127.0.0.1", listener.port()}, reader, 41, 1, callers,
-                  [this](const discovery::RosterChange& change) { changes.push_back(change); });
+                  [this](const discovery::EndpointListUpdate& change) { changes.push_back(change); });
     watch->Start();
   }
   // The time limit is for a test that hangs, not a measure of speed.
@@ -604,9 +604,9 @@
   }
   net::Loop loop;
   net::Listener listener;
-  discovery::RosterReader reader;
+  discovery::EndpointListReader reader;
   std::vector<std::unique_ptr<Peer>> peers;
-  std::vector<discovery::RosterChange> changes;
+  std::vector<discovery::EndpointListUpdate> changes;
   std::optional<discovery::Watch> watch;
 };
 
@@ -679,7 +679,7 @@
 }
 
 TEST_CASE("the role that the list shows is read, and a start beyond all time is none") {
-  discovery::RosterReader reader({"a"});
+  discovery::EndpointListReader reader({"a"});
   std::string wrong;
   const auto change = reader.Read(
       R"({"rev":1,"all":true,"targets":[)"
@@ -703,7 +703,7 @@
 // It stands in the read of its configuration, a pipe here, when the signal comes: after that the file names
 // another address.
 TEST_CASE("SIGHUP that comes while the program starts is obeyed once it has started") {
-  World w;
+  SimulatedFleet w;
   Agent first(w.loop), second(w.loop);
   first.line = second.line = std::string(kNoList) + "\n";
   Program program(w);
@@ -715,9 +715,9 @@
   opener.join();
   REQUIRE(pipe != nullptr);
   g_subprocess_send_signal(program.process.get(), SIGHUP);
-  const std::string text = program.Config(first.Where(), kNoList);
+  const std::string text = program.PlatformConfig(first.Where(), kNoList);
   std::remove(path.c_str());
-  program.Configure(program.Config(second.Where(), kNoList));
+  program.Configure(program.PlatformConfig(second.Where(), kNoList));
   std::fwrite(text.data(), 1, text.size(), pipe);
   std::fclose(pipe);
   w.Until([&] { return program.over || second.Asked("GET "); });
@@ -725,9 +725,9 @@
 }
 
 TEST_CASE("a malformed field of the configuration ends the start with one sentence that names it") {
-  World w;
+  SimulatedFleet w;
   Program program(w);
-  const std::string sound = program.Config("127.0.0.1:1", kNoList);
+  const std::string sound = program.PlatformConfig("127.0.0.1:1", kNoList);
   const struct {
     const char *old, *now, *named;
   } cases[] = {
@@ -769,10 +769,10 @@
 }
 
 TEST_CASE("a program that knows nobody, with discovery down, is ready in time and refuses with advice") {
-  World w;
+  SimulatedFleet w;
   const std::uint16_t closed = ClosedPort(w.loop);
   Program program(w);
-  program.Configure(program.Config("127.0.0.1:" + std::to_string(closed), kNoList));
+  program.Configure(program.PlatformConfig("127.0.0.1:" + std::to_string(closed), kNoList));
   program.Start();
   // On one connection, once it is taken in: one for each look were more than this process may hold.
   Peer* client = nullptr;
@@ -794,10 +794,10 @@
 }
 
 TEST_CASE("SIGTERM twice, and before it is ready, ends the program in order") {
-  World w;
+  SimulatedFleet w;
   Agent silent(w.loop);
   Program program(w);
-  std::string config = program.Config(silent.Where(), kNoList);
+  std::string config = program.PlatformConfig(silent.Where(), kNoList);
   config.replace(config.find("4000000"), 7, "400000");
   program.Configure(config);
   program.Start();
@@ -813,7 +813,7 @@
 // The process may hold no more descriptors than its configuration says, and idle clients ask for all of them.
 TEST_CASE(
     "clients that fill the descriptors while discovery is down do not keep its word out at its return") {
-  World w(2000);
+  SimulatedFleet w(2000);
   DataServer& server = w.Serve(kAnswer);
   const std::uint16_t port = ClosedPort(w.loop);
   const std::string known = R"({"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:)" +
@@ -822,7 +822,7 @@
   std::string now = known;
   now.replace(now.find("Ready"), 5, "Terminating");
   Program program(w);
-  std::string config = program.Config("127.0.0.1:" + std::to_string(port), known);
+  std::string config = program.PlatformConfig("127.0.0.1:" + std::to_string(port), known);
   config.replace(config.find(R"("seed")"), 6, R"("limits":{"sockets":100},"seed")");
   program.Configure(config);
   program.Start();
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -26,14 +26,14 @@
 namespace {
 
 constexpr GroupId kGroup{1};
-constexpr MemberId kPrimary{7};
+constexpr ServerId kPrimary{7};
 constexpr Duration kMs{1000};
 constexpr Duration kSecond{1'000'000};
 constexpr Duration kTick{5000};
 constexpr std::size_t kHeads = 18 + 28;  // the envelope, UDP and IPv4
 constexpr ClassIndex kRead = 0, kWrite = 1;
 
-enum class Way { kEach, kDirectory, kPlain };  // plain: writes do not wait to be held
+enum class Way { kBroadcast, kLeases, kPlain };  // plain: writes do not wait to be held
 
 Settings TwoClasses() {
   Settings settings;
@@ -55,23 +55,23 @@
 
 struct Fleet;
 
-struct Node final : consistency::Holding {
-  Node(Fleet& fleet, std::size_t number, std::uint64_t life, Way way);
-  std::optional<Position> Exact(consistency::Key key) override;
-  bool Want(GroupId group, consistency::Key key, bool write) override;
+struct Node final : consistency::SessionLeases {
+  Node(Fleet& fleet, std::size_t number, std::uint64_t incarnation_id, Way way);
+  std::optional<LogPosition> Exact(consistency::SessionKey key) override;
+  bool Want(GroupId group, consistency::SessionKey key, bool write) override;
 
   Fleet& fleet;
   std::size_t number;
-  std::uint64_t life;
+  std::uint64_t incarnation_id;
   Way way;
-  consistency::Keeper keeper;
+  consistency::SessionConsistencyGuard consistency_guard;
   std::unique_ptr<Exchange> exchange;
   std::uint32_t last = 0;
   bool wrote = false;
 };
 
 struct Options {
-  Way way = Way::kDirectory;
+  Way way = Way::kLeases;
   int loss = 0;
   double reads_per_s = 1000;
   Duration delay{300};
@@ -101,8 +101,8 @@
     std::erase_if(writes, [at](const Write& write) { return write.at == at; });
     std::erase_if(reads, [at](const Read& read) { return read.at == at; });
     if (options.mixed) random_old[at] = random() % 2 == 0;
-    nodes[at] = std::make_unique<Node>(*this, at, ++lives, way);
-    ready_from[at] = Time{};
+    nodes[at] = std::make_unique<Node>(*this, at, ++incarnation_ids, way);
+    ready_from[at] = TimePoint{};
     stopped[at] = now;
   }
   // Of an older version: it chooses among all that go by the directory.
@@ -134,7 +134,7 @@
   bool Ready(std::size_t at) {
     Exchange& exchange = *nodes[at]->exchange;
     if (!exchange.MayServe(now)) return false;
-    if (ready_from[at] == Time{}) ready_from[at] = now + kSecond * 3;
+    if (ready_from[at] == TimePoint{}) ready_from[at] = now + kSecond * 3;
     return now >= ready_from[at] || (exchange.Joined() && exchange.swim().unheard_seeds().empty());
   }
 
@@ -143,7 +143,7 @@
     Node& node = *nodes[at];
     Event event = RequestEvent{.id = RequestId(++node.last), .group = kGroup, .cls = kWrite};
     std::get<RequestEvent>(event).session = Name(session);
-    node.keeper.Before(now, event);
+    node.consistency_guard.Before(now, event);
     writes.push_back({at, session, RequestId(node.last), now, now + Duration(1000 + random() % 15000), {}});
   }
 
@@ -153,14 +153,14 @@
     RequestEvent event{.id = RequestId(++node.last), .group = kGroup, .cls = kRead};
     event.session = Name(session);
     event.arrived = now;
-    const bool hold = node.keeper.WorthHolding(event, now);
-    if (hold && node.way == Way::kEach) {
+    const bool hold = node.consistency_guard.WorthHolding(event, now);
+    if (hold && node.way == Way::kBroadcast) {
       std::vector<membership::Out> outs;
       node.exchange->Solicit(now, outs);
       Send(at, outs);
     }
     ++reads_begun;
-    reads.push_back({at, session, event, hold ? now + node.keeper.hold() : now});
+    reads.push_back({at, session, event, hold ? now + node.consistency_guard.hold() : now});
   }
 
   static std::string Name(int session) { return "s" + std::to_string(session); }
@@ -173,14 +173,14 @@
         continue;
       }
       Node& node = *nodes[write.at];
-      const consistency::Key key = consistency::KeyOf(kGroup, Name(write.session));
+      const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, Name(write.session));
       if (!write.position) {
         write.position = now;
         OutcomeEvent outcome{write.id, 0, kPrimary, Outcome::kOk, kMs, true, {}, {}};
         outcome.note.primary = true;
         outcome.note.position = now;
         Event event = outcome;
-        node.keeper.Before(now, event);
+        node.consistency_guard.Before(now, event);
       }
       if (node.exchange->MayAnswer(now, key)) {
         answered[write.session].push_back({*write.position, now});
@@ -196,15 +196,15 @@
     std::vector<Read> waiting;
     for (Read& read : std::exchange(reads, {})) {
       Node& node = *nodes[read.at];
-      if (now < stopped[read.at] || (now < read.until && !node.keeper.WordCame(read.event))) {
+      if (now < stopped[read.at] || (now < read.until && !node.consistency_guard.WordCame(read.event))) {
         waiting.push_back(read);
         continue;
       }
       Event event = read.event;
-      node.keeper.Before(now, event);
+      node.consistency_guard.Before(now, event);
       const auto target = std::get<RequestEvent>(event).target;
-      for (const auto& one : node.keeper.TakeTurned()) (void)one;
-      node.keeper.Over(read.event.id);
+      for (const auto& one : node.consistency_guard.TakeTurned()) (void)one;
+      node.consistency_guard.Over(read.event.id);
       ++reads_done;
       // A replica that is 20 ms behind would have to be waited for.
       conservative += target && *target + kMs * 20 > *read.event.arrived;
@@ -219,7 +219,7 @@
   }
 
   void Pass(Duration time) {
-    const Time end = now + time;
+    const TimePoint end = now + time;
     std::vector<membership::Out> outs;
     for (; now < end; now += kTick) {
       while (!wire.empty() && wire.top().at <= now) {
@@ -253,12 +253,12 @@
 
   bool Whole() const {
     return std::ranges::all_of(nodes, [this](const auto& node) {
-      membership::Standing standing = node->exchange->swim().standing();
-      return standing.At(now).part == membership::Part::kWhole;
+      membership::QuorumTracker quorum_tracker = node->exchange->swim().quorum_tracker();
+      return quorum_tracker.At(now).part == membership::QuorumState::kComplete;
     });
   }
   bool UntilWhole(Duration most) {
-    for (const Time end = now + most; now < end; Pass(kMs * 100)) {
+    for (const TimePoint end = now + most; now < end; Pass(kMs * 100)) {
       if (Whole()) return true;
     }
     return false;
@@ -271,14 +271,14 @@
   // times as the options say in the mean, `roam` of a hundred of all these elsewhere. What sessions have not
   // done by its end is left out, unless it goes on.
   void Load(Duration time, double per_s, int roam, bool go_on = false) {
-    const Time end = now + time;
+    const TimePoint end = now + time;
     double due = 0;
     while (now < end) {
       due += per_s / 3 * static_cast<double>(Poolers()) * 1e-6 * static_cast<double>(kTick.count());
       for (; due >= 1; due -= 1) {
         const int session = ++sessions;
         std::size_t home = random() % Poolers();
-        Time at = now;
+        TimePoint at = now;
         double reads_due = 0;
         if (options.reads_a_write != 2) reads_due = 1e-2 * static_cast<double>(random() % 100);
         const auto step = [&](bool write) {
@@ -307,7 +307,7 @@
   }
 
   struct Datagram {
-    Time at{};
+    TimePoint at{};
     std::uint64_t order = 0;
     std::size_t to = 0;
     std::string from;
@@ -320,35 +320,35 @@
     std::size_t at;
     int session;
     RequestId id;
-    Time begun, done;
-    std::optional<Position> position;
+    TimePoint begun, done;
+    std::optional<LogPosition> position;
   };
   struct Read {
     std::size_t at;
     int session;
     RequestEvent event;
-    Time until;
+    TimePoint until;
   };
   struct Answered {
-    Position position;
-    Time at;
+    LogPosition position;
+    TimePoint at;
   };
 
   std::size_t size;
   Options options;
   std::mt19937_64 random;
-  Time now{Duration(1'700'000'000'000'000)};
+  TimePoint now{Duration(1'700'000'000'000'000)};
   std::vector<std::unique_ptr<Node>> nodes;
-  std::vector<Time> stopped;
-  std::map<std::size_t, Time> ready_from;
+  std::vector<TimePoint> stopped;
+  std::map<std::size_t, TimePoint> ready_from;
   std::priority_queue<Datagram, std::vector<Datagram>, std::greater<>> wire;
   std::set<std::pair<std::size_t, std::size_t>> cut;
   std::vector<Write> writes;
   std::vector<Read> reads;
-  std::vector<std::pair<Time, std::function<void()>>> later;  // what sessions will do
-  std::unordered_map<int, std::vector<Answered>> answered;    // by session
-  std::vector<double> waited_ms;                              // answers of writes, after they had run
-  std::uint64_t order = 0, lives = 100, directory_bytes = 0, packets = 0;
+  std::vector<std::pair<TimePoint, std::function<void()>>> later;  // what sessions will do
+  std::unordered_map<int, std::vector<Answered>> answered;         // by session
+  std::vector<double> waited_ms;                                   // answers of writes, after they had run
+  std::uint64_t order = 0, incarnation_ids = 100, directory_bytes = 0, packets = 0;
   std::uint64_t directory_packets = 0, directory_entries = 0;
   std::vector<std::uint64_t> bytes_out, bytes_in;  // of each instance, heads included
   std::vector<std::clock_t> spent;                 // processor time, of owners set aside
@@ -357,16 +357,20 @@
   int sessions = 0, stale = 0, reads_begun = 0, reads_done = 0, conservative = 0, writes_failed = 0;
 };
 
-Node::Node(Fleet& fleet, std::size_t number, std::uint64_t life, Way way)
-    : fleet(fleet), number(number), life(life), way(way), keeper(TwoClasses(), Everywhere()) {
+Node::Node(Fleet& fleet, std::size_t number, std::uint64_t incarnation_id, Way way)
+    : fleet(fleet),
+      number(number),
+      incarnation_id(incarnation_id),
+      way(way),
+      consistency_guard(TwoClasses(), Everywhere()) {
   ListEvent list{ListKind::kPersisted, {}};
-  list.entries.push_back({.member = kPrimary, .group = kGroup});
+  list.entries.push_back({.server = kPrimary, .group = kGroup});
   Event event = std::move(list);
-  keeper.Before(fleet.now, event);
-  keeper.Started(fleet.now, std::nullopt);
+  consistency_guard.Before(fleet.now, event);
+  consistency_guard.Started(fleet.now, std::nullopt);
   proto::Member self;
   self.set_name("n" + std::to_string(number));
-  self.set_life(life * 0x9E3779B97F4A7C15ull | 1);
+  self.set_incarnation_id(incarnation_id * 0x9E3779B97F4A7C15ull | 1);
   self.set_started_us(static_cast<std::uint64_t>(fleet.now.time_since_epoch().count()));
   self.set_address("a" + std::to_string(number));
   Exchange::Options options;
@@ -376,28 +380,32 @@
   options.swim.owners_named = fleet.options.owners_named;
   if (fleet.Old(number)) options.swim.understands = 0;
   if (fleet.old_owner == number) options.swim.understands = membership::Swim::kUnderstandsOwners;
-  if (way != Way::kEach) {
-    lease::Directory::Options& directory = options.directory.emplace();
+  if (way != Way::kBroadcast) {
+    lease::SessionLeaseClient::Options& directory = options.directory.emplace();
     directory.reads_per_s = fleet.options.reads_per_s;
     directory.bytes_per_s = fleet.options.bytes_per_s;
     directory.coalesce = fleet.options.coalesce;
-    directory.writes_wait = way == Way::kDirectory;
+    directory.writes_wait = way == Way::kLeases;
   }
   std::vector<std::string> seeds;
   for (std::size_t i = 0; i < fleet.size; ++i) seeds.push_back("a" + std::to_string(i));
-  exchange = std::make_unique<Exchange>(options, self, seeds, false, keeper, life);
-  if (way != Way::kEach) keeper.SetHolding(this);
-  keeper.OnWrite([this](GroupId group, consistency::Key key, const consistency::Mark& mark) {
-    exchange->Wrote(group, key, mark);
-  });
+  exchange = std::make_unique<Exchange>(options, self, seeds, false, consistency_guard, incarnation_id);
+  if (way != Way::kBroadcast) consistency_guard.SetHolding(this);
+  consistency_guard.OnWrite(
+      [this](GroupId group, consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
+        exchange->Wrote(group, key, watermark);
+      });
 }
 
-std::optional<Position> Node::Exact(consistency::Key key) { return exchange->Exact(fleet.now, key); }
+std::optional<LogPosition> Node::Exact(consistency::SessionKey key) {
+  return exchange->Exact(fleet.now, key);
+}
 
-bool Node::Want(GroupId group, consistency::Key key, bool write) {
+bool Node::Want(GroupId group, consistency::SessionKey key, bool write) {
   std::vector<membership::Out> outs;
   const bool expected = exchange->Want(
-      fleet.now, group, key, write ? lease::Directory::Use::kWrite : lease::Directory::Use::kRead, outs);
+      fleet.now, group, key,
+      write ? lease::SessionLeaseClient::Use::kWrite : lease::SessionLeaseClient::Use::kRead, outs);
   fleet.Send(number, outs);
   return expected;
 }
@@ -464,7 +472,7 @@
   int done = 0, conservative = 0, answered = 0, failed = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
-    Fleet fleet(3 + seed % 3, {Way::kDirectory, static_cast<int>(seed % 3) * 8}, seed);
+    Fleet fleet(3 + seed % 3, {Way::kLeases, static_cast<int>(seed % 3) * 8}, seed);
     fleet.UntilWhole(kSecond * 20);
     Storm(fleet, 900);
     CHECK(fleet.stale == 0);
@@ -511,8 +519,8 @@
   fleet.Pass(kSecond);
   for (std::size_t at = 0; at < 4; ++at) CHECK(grants(at) > 0);
   // Replaced by new lives they own alone again, and reads are precise.
-  fleet.Begin(4, Way::kDirectory);
-  fleet.Begin(5, Way::kDirectory);
+  fleet.Begin(4, Way::kLeases);
+  fleet.Begin(5, Way::kLeases);
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
   const std::uint64_t first = grants(0);
@@ -550,7 +558,7 @@
     "directory: beside lives that know nothing of owners set aside all own, and they go on being whole") {
   Fleet fleet(5, {.owners = 2, .mixed = true});
   for (std::size_t at = 0; at < fleet.size; ++at) {
-    while (fleet.random_old[at] != (at != 1 && at < 3)) fleet.Begin(at, Way::kDirectory);
+    while (fleet.random_old[at] != (at != 1 && at < 3)) fleet.Begin(at, Way::kLeases);
   }
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
@@ -565,7 +573,7 @@
   for (std::size_t at = 0; at < fleet.size; ++at) CHECK(grants(at) > 20);
   // With the last one replaced those set aside are the only ones.
   for (const std::size_t at : {0u, 2u}) {
-    do fleet.Begin(at, Way::kDirectory);
+    do fleet.Begin(at, Way::kLeases);
     while (fleet.random_old[at]);
   }
   REQUIRE(fleet.UntilWhole(kSecond * 20));
@@ -613,7 +621,7 @@
     double sum = 0;
     std::uint64_t waited = 0, passed_on = 0;
     for (std::size_t at = 0; at < fleet.size; ++at) {
-      const lease::Courier& courier = *fleet.nodes[at]->exchange->courier();
+      const lease::LeaseMessageRelay& courier = *fleet.nodes[at]->exchange->courier();
       waited += courier.counts().waited;
       passed_on += courier.counts().passed_on;
       CHECK((courier.counts().passed_on > 0) == (fleet.Aside(at) && coalesce > Duration{0}));
@@ -647,7 +655,7 @@
     Fleet fleet(8, {.owners = 2, .bytes_per_s = short_of_bytes ? 4000.0 : 1e6, .coalesce = kMs * 5});
     if (short_of_bytes) {
       fleet.old_owner = 7;
-      fleet.Begin(7, Way::kDirectory);
+      fleet.Begin(7, Way::kLeases);
     }
     Crowd(fleet);
     fleet.Pass(kSecond * 6);
@@ -657,7 +665,7 @@
     if (!short_of_bytes) continue;
     // It is replaced, and what is said goes by way of an owner.
     fleet.old_owner.reset();
-    fleet.Begin(7, Way::kDirectory);
+    fleet.Begin(7, Way::kLeases);
     fleet.writes_failed = 0;
     Crowd(fleet);
     fleet.Pass(kSecond * 6);
@@ -729,7 +737,7 @@
 TEST_CASE("members: what a later version says of a life is passed on whole, and a view names its owners") {
   proto::Member told;
   told.set_name("x");
-  told.set_life(77);
+  told.set_incarnation_id(77);
   told.set_started_us(5);
   told.set_address("a9");
   std::string bytes = told.SerializeAsString();
@@ -738,7 +746,7 @@
   REQUIRE(known.ParseFromString(bytes));
   proto::Member self;
   self.set_name("n0");
-  self.set_life(7);
+  self.set_incarnation_id(7);
   self.set_address("a0");
   const auto view = [&](const proto::Member& of) {
     membership::Swim::Options options;
@@ -748,13 +756,13 @@
     packet.set_version(1);
     *packet.mutable_sender() = of;
     std::vector<membership::Out> outs;
-    swim.Take(Time{kSecond}, "a9", packet, outs);
-    swim.Tick(Time{kSecond * 2}, outs);
+    swim.Take(TimePoint{kSecond}, "a9", packet, outs);
+    swim.Tick(TimePoint{kSecond * 2}, outs);
     proto::Packet passed;
     swim.Dress(passed);
     REQUIRE(passed.rumours_size() == 1);
     CHECK(passed.rumours(0).SerializeAsString() == of.SerializeAsString());
-    return std::pair(swim.standing().view(), swim.owners());
+    return std::pair(swim.quorum_tracker().view(), swim.owners());
   };
   CHECK(known.SerializeAsString().ends_with(std::string("\xa0\x06\x2a", 3)));
   const auto [plain, nobody] = view(known);
@@ -782,13 +790,13 @@
 
 TEST_CASE(
     "directory: beside instances that tell each of every write nothing is stale, and theirs stay covered") {
-  Fleet fleet(4, {Way::kEach});
+  Fleet fleet(4, {Way::kBroadcast});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Load(kSecond * 3, 10, 30);
   // One after the other goes over to the directory.
   for (std::size_t at = 0; at < fleet.size; ++at) {
     CAPTURE(at);
-    fleet.Begin(at, Way::kDirectory);
+    fleet.Begin(at, Way::kLeases);
     fleet.Pass(kSecond * 4);
     fleet.conservative = fleet.reads_done = 0;
     fleet.Load(kSecond * 5, 10, 30);
@@ -796,7 +804,7 @@
     CHECK(fleet.reads_done > 100);
     if (at + 1 < fleet.size) {
       // The old ones know what the new ones answered, as before.
-      const auto covered = fleet.nodes[fleet.size - 1]->keeper.CoveredUpTo();
+      const auto covered = fleet.nodes[fleet.size - 1]->consistency_guard.CoveredUpTo();
       REQUIRE(covered);
       CHECK(fleet.now - *covered < kSecond);
     }
@@ -843,11 +851,11 @@
   fleet.Pass(kSecond);
   fleet.cut = {{0, 1}, {1, 0}};
   fleet.Pass(kSecond * 2);
-  const auto& standing = fleet.nodes[0]->exchange->swim().standing();
-  const std::uint64_t view = standing.view();
+  const auto& quorum_tracker = fleet.nodes[0]->exchange->swim().quorum_tracker();
+  const std::uint64_t view = quorum_tracker.view();
   fleet.Load(kSecond * 10, 10, 30);
   fleet.Pass(kSecond * 5);
-  CHECK(standing.view() == view);  // both are heard by the others, so nobody leaves the view
+  CHECK(quorum_tracker.view() == view);  // both are heard by the others, so nobody leaves the view
   CHECK(fleet.waited_ms.size() > 300);
   CHECK(fleet.writes_failed == 0);
   CHECK(fleet.stale == 0);
@@ -860,7 +868,7 @@
   Fleet fleet(2, {});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   Exchange& exchange = *fleet.nodes[0]->exchange;
-  const consistency::Key key = consistency::KeyOf(kGroup, "s1");
+  const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, "s1");
   fleet.nodes[0]->Want(kGroup, key, true);
   fleet.Pass(kSecond);
   REQUIRE(exchange.MayAnswer(fleet.now, key));
@@ -868,7 +876,7 @@
   *packet.mutable_sender() = fleet.nodes[1]->exchange->swim().self();
   proto::Member& later = *packet.add_rumours();
   later = exchange.swim().self();
-  later.set_life(4711);
+  later.set_incarnation_id(4711);
   later.set_started_us(later.started_us() + 1);
   std::vector<membership::Out> outs;
   exchange.Take(fleet.now, "a1", packet, outs);
@@ -881,7 +889,7 @@
 }
 
 TEST_CASE("directory: asks for reads are capped, and what is not asked for is conservative") {
-  Fleet fleet(4, {Way::kDirectory, 0, 1});
+  Fleet fleet(4, {Way::kLeases, 0, 1});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
   for (int i = 0; i < 100; ++i) {
@@ -939,8 +947,8 @@
 TEST_CASE(
     "directory: a mark that is handed on tells no reign of the group of another session of the same key") {
   constexpr GroupId kOther{2};
-  const consistency::Key key = consistency::KeyOf(kGroup, "p10");
-  REQUIRE(key == consistency::KeyOf(kOther, "p11"));
+  const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, "p10");
+  REQUIRE(key == consistency::SessionKeyOf(kOther, "p11"));
   Fleet fleet(2, {});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
@@ -948,7 +956,7 @@
     // Written in one group here, and met in the other there.
     Node& node = *fleet.nodes[at];
     Node& other = *fleet.nodes[1 - at];
-    node.keeper.Learn(kGroup, key, {fleet.now, kPrimary});
+    node.consistency_guard.Learn(kGroup, key, {fleet.now, kPrimary});
     node.Want(kGroup, key, true);
     fleet.Pass(kSecond);
     REQUIRE(node.exchange->MayAnswer(fleet.now, key));
@@ -956,9 +964,9 @@
     fleet.Pass(kSecond);
     REQUIRE(other.exchange->MayAnswer(fleet.now, key));
     CHECK_FALSE(node.exchange->MayAnswer(fleet.now, key));
-    REQUIRE(other.keeper.ledger().Find(key).mark);
-    const auto& reigns = other.keeper.reigns();
-    CHECK((!reigns.contains(kOther) || !reigns.at(kOther).primary()));
+    REQUIRE(other.consistency_guard.watermark_table().Find(key).watermark);
+    const auto& timelines = other.consistency_guard.timelines();
+    CHECK((!timelines.contains(kOther) || !timelines.at(kOther).primary()));
   }
 }
 
@@ -967,72 +975,74 @@
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Load(kSecond, 20, 0);
   fleet.Pass(kSecond * 40);
-  fleet.Begin(2, Way::kDirectory);
+  fleet.Begin(2, Way::kLeases);
   fleet.Pass(kSecond * 3);
-  const auto& reigns = fleet.nodes[2]->keeper.reigns();
-  REQUIRE(reigns.contains(kGroup));
-  CHECK(reigns.at(kGroup).primary() == kPrimary);
-  CHECK(fleet.now - reigns.at(kGroup).since() > kSecond * 30);
+  const auto& timelines = fleet.nodes[2]->consistency_guard.timelines();
+  REQUIRE(timelines.contains(kGroup));
+  CHECK(timelines.at(kGroup).primary() == kPrimary);
+  CHECK(fleet.now - timelines.at(kGroup).since() > kSecond * 30);
 }
 
 TEST_CASE("exchange: where each tells each, all of 243 groups are told, again and again, also after losses") {
-  Fleet fleet(2, {Way::kEach, 0});
+  Fleet fleet(2, {Way::kBroadcast, 0});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
-  const Position since = fleet.now - kSecond * 3600;
+  const LogPosition since = fleet.now - kSecond * 3600;
   constexpr int kGroups = 243;
-  const auto know = [&](Position confirmed) {
+  const auto know = [&](LogPosition confirmed) {
     for (int group = 1; group <= kGroups; ++group) {
-      fleet.nodes[0]->keeper.LearnReign(GroupId(group), kPrimary, since, since, confirmed);
+      fleet.nodes[0]->consistency_guard.LearnReign(GroupId(group), kPrimary, since, since, confirmed);
     }
   };
-  const auto known = [&](Position confirmed) {
-    return std::ranges::count_if(fleet.nodes[1]->keeper.reigns(), [&](const auto& item) {
+  const auto known = [&](LogPosition confirmed) {
+    return std::ranges::count_if(fleet.nodes[1]->consistency_guard.timelines(), [&](const auto& item) {
       return item.second.primary() == kPrimary && item.second.confirmed() >= confirmed;
     });
   };
   know(fleet.now);
-  const Position first = fleet.now;
+  const LogPosition first = fleet.now;
   fleet.cut = {{0, 1}, {1, 0}};  // what is told first is lost
   fleet.Pass(kMs * 300);
   fleet.cut.clear();
   fleet.Pass(kSecond * 5);
   CHECK(known(first) == kGroups);
   // Nothing changes but that they last.
-  const Position later = fleet.now;
+  const LogPosition later = fleet.now;
   know(later);
   fleet.Pass(kSecond * 8);
   CHECK(known(later) == kGroups);
   // A new reign goes before the round.
-  fleet.nodes[0]->keeper.LearnReign(GroupId(200), MemberId(8), fleet.now, fleet.now, fleet.now);
+  fleet.nodes[0]->consistency_guard.LearnReign(GroupId(200), ServerId(8), fleet.now, fleet.now, fleet.now);
   fleet.Pass(kMs * 200);
-  CHECK(fleet.nodes[1]->keeper.reigns().at(GroupId(200)).primary() == MemberId(8));
+  CHECK(fleet.nodes[1]->consistency_guard.timelines().at(GroupId(200)).primary() == ServerId(8));
 }
 
 TEST_CASE(
     "settings: a directory is chosen by name, and not where views are not proven or nobody is to be asked") {
   const std::string sessions = "[sessions]\nscope = \"everywhere\"\n[peers]\n";
   const std::string listens = sessions + "listen = \"127.0.0.1:7000\"\nkey_file = \"k\"\n";
-  const auto marks = [](const std::string& text) -> std::optional<Marks> {
-    const auto setup = ReadSetup(text);
-    if (!std::holds_alternative<Setup>(setup)) return std::nullopt;
-    return std::get<Setup>(setup).peers.marks;
+  const auto watermarks = [](const std::string& text) -> std::optional<ReplicationMode> {
+    const auto setup = ParseProgramSettings(text);
+    if (!std::holds_alternative<ProgramSettings>(setup)) return std::nullopt;
+    return std::get<ProgramSettings>(setup).peers.watermarks;
   };
-  CHECK(marks(listens) == Marks::kEach);
-  CHECK(marks(listens + "marks = \"each\"\n") == Marks::kEach);
-  CHECK(marks(listens + "marks = \"directory\"\nasks_per_s = 5\n") == Marks::kDirectory);
-  const auto aside = ReadSetup(listens + "marks = \"directory\"\nowner = true\nbytes_per_s = 12000\n");
-  REQUIRE(std::holds_alternative<Setup>(aside));
-  CHECK(std::get<Setup>(aside).peers.owner);
-  CHECK(std::get<Setup>(aside).peers.bytes_per_s == 12000);
-  CHECK(std::get<Setup>(aside).peers.coalesce == kMs * 5);
-  const auto waits = ReadSetup(listens + "marks = \"directory\"\nbytes_per_s = 12000\ncoalesce_ms = 8\n");
-  REQUIRE(std::holds_alternative<Setup>(waits));
-  CHECK(std::get<Setup>(waits).peers.coalesce == kMs * 8);
-  const auto neither = ReadSetup(listens + "marks = \"directory\"\n");
-  REQUIRE(std::holds_alternative<Setup>(neither));
-  CHECK_FALSE(std::get<Setup>(neither).peers.owner);
-  CHECK(std::get<Setup>(neither).peers.bytes_per_s == 0);
+  CHECK(watermarks(listens) == ReplicationMode::kBroadcast);
+  CHECK(watermarks(listens + "marks = \"each\"\n") == ReplicationMode::kBroadcast);
+  CHECK(watermarks(listens + "marks = \"directory\"\nasks_per_s = 5\n") == ReplicationMode::kLeases);
+  const auto aside =
+      ParseProgramSettings(listens + "marks = \"directory\"\nowner = true\nbytes_per_s = 12000\n");
+  REQUIRE(std::holds_alternative<ProgramSettings>(aside));
+  CHECK(std::get<ProgramSettings>(aside).peers.owner);
+  CHECK(std::get<ProgramSettings>(aside).peers.bytes_per_s == 12000);
+  CHECK(std::get<ProgramSettings>(aside).peers.coalesce == kMs * 5);
+  const auto waits =
+      ParseProgramSettings(listens + "marks = \"directory\"\nbytes_per_s = 12000\ncoalesce_ms = 8\n");
+  REQUIRE(std::holds_alternative<ProgramSettings>(waits));
+  CHECK(std::get<ProgramSettings>(waits).peers.coalesce == kMs * 8);
+  const auto neither = ParseProgramSettings(listens + "marks = \"directory\"\n");
+  REQUIRE(std::holds_alternative<ProgramSettings>(neither));
+  CHECK_FALSE(std::get<ProgramSettings>(neither).peers.owner);
+  CHECK(std::get<ProgramSettings>(neither).peers.bytes_per_s == 0);
   struct Wrong {
     std::string text, names;
   };
@@ -1047,7 +1057,7 @@
         Wrong{listens + "coalesce_ms = 101\n", "'peers.coalesce_ms' lies outside"},
         Wrong{listens + "marks = \"directory\"\nbytes_per_s = -1\n", "'peers.bytes_per_s' lies outside"}}) {
     CAPTURE(wrong.text);
-    const auto setup = ReadSetup(wrong.text);
+    const auto setup = ParseProgramSettings(wrong.text);
     REQUIRE(std::holds_alternative<std::string>(setup));
     CHECK(std::get<std::string>(setup).find(wrong.names) != std::string::npos);
   }
@@ -1056,62 +1066,65 @@
 TEST_CASE(
     "keeper: what is known exactly has neither a gap nor a doubt after its floor, and the rest has as "
     "before") {
-  struct Known final : consistency::Holding {
-    std::optional<Position> Exact(consistency::Key) override { return exact; }
-    bool Want(GroupId, consistency::Key, bool write) override {
+  struct Known final : consistency::SessionLeases {
+    std::optional<LogPosition> Exact(consistency::SessionKey) override { return exact; }
+    bool Want(GroupId, consistency::SessionKey, bool write) override {
       ++(write ? writes : reads);
       return true;
     }
-    std::optional<Position> exact;
+    std::optional<LogPosition> exact;
     int reads = 0, writes = 0;
   } known;
-  constexpr MemberId kSuccessor{8};
+  constexpr ServerId kSuccessor{8};
   consistency::Options options = Everywhere();
   options.refuse_doubt = true;
-  consistency::Keeper keeper(TwoClasses(), options);
-  keeper.SetHolding(&known);
-  Time now{Duration(1'700'000'000'000'000)};
+  consistency::SessionConsistencyGuard consistency_guard(TwoClasses(), options);
+  consistency_guard.SetHolding(&known);
+  TimePoint now{Duration(1'700'000'000'000'000)};
   ListEvent list{ListKind::kPersisted, {}};
-  for (const MemberId member : {kPrimary, kSuccessor})
-    list.entries.push_back({.member = member, .group = kGroup});
+  for (const ServerId member : {kPrimary, kSuccessor})
+    list.entries.push_back({.server = member, .group = kGroup});
   Event event = std::move(list);
-  keeper.Before(now, event);
+  consistency_guard.Before(now, event);
   // A primary of long ago, and its successor two seconds ago, which held the log up to three seconds ago.
-  keeper.LearnReign(kGroup, kPrimary, now - kSecond * 3600, now - kSecond * 3600, now - kSecond * 3);
-  keeper.LearnReign(kGroup, kSuccessor, now - kSecond * 2, now - kSecond * 3, now);
-  keeper.TakeTurned();
+  consistency_guard.LearnReign(kGroup, kPrimary, now - kSecond * 3600, now - kSecond * 3600,
+                               now - kSecond * 3);
+  consistency_guard.LearnReign(kGroup, kSuccessor, now - kSecond * 2, now - kSecond * 3, now);
+  consistency_guard.TakeTurned();
   std::uint32_t last = 0;
   const auto read = [&](const char* session) {
     RequestEvent ask{.id = RequestId(++last), .group = kGroup, .cls = kRead};
     ask.session = session;
     Event of = ask;
-    keeper.Before(now, of);
+    consistency_guard.Before(now, of);
     return std::get<RequestEvent>(of).target;
   };
   // Not held: a write that may be lost may be its session's.
-  CHECK(keeper.WorthHolding({.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
+  CHECK(consistency_guard.WorthHolding({.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
   read("a");
-  CHECK(keeper.TakeTurned().size() == 1);
+  CHECK(consistency_guard.TakeTurned().size() == 1);
   // Held: it wrote nothing since the floor, which lies before the loss.
   known.exact = now - kSecond * 20;
-  CHECK_FALSE(keeper.WorthHolding({.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
+  CHECK_FALSE(
+      consistency_guard.WorthHolding({.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
   CHECK(read("a") == now - kSecond * 20);
-  CHECK(keeper.TakeTurned().empty());
+  CHECK(consistency_guard.TakeTurned().empty());
   // A floor within the loss is in doubt, and one that is later than the read is cut to it.
   known.exact = now - kSecond * 2 - kMs * 500;
   read("a");
-  CHECK(keeper.TakeTurned().size() == 1);
+  CHECK(consistency_guard.TakeTurned().size() == 1);
   known.exact = now + kSecond;
   CHECK(read("b") <= now);
-  CHECK(keeper.TakeTurned().size() == 1);
+  CHECK(consistency_guard.TakeTurned().size() == 1);
   // Its own mark in the loss is in doubt as ever; one before it is served by itself.
   known.exact = now - kSecond * 20;
-  keeper.Learn(kGroup, consistency::KeyOf(kGroup, "lost"), {now - kSecond * 2 - kMs * 500, kPrimary});
+  consistency_guard.Learn(kGroup, consistency::SessionKeyOf(kGroup, "lost"),
+                          {now - kSecond * 2 - kMs * 500, kPrimary});
   read("lost");
-  CHECK(keeper.TakeTurned().size() == 1);
-  keeper.Learn(kGroup, consistency::KeyOf(kGroup, "kept"), {now - kSecond * 4, kPrimary});
+  CHECK(consistency_guard.TakeTurned().size() == 1);
+  consistency_guard.Learn(kGroup, consistency::SessionKeyOf(kGroup, "kept"), {now - kSecond * 4, kPrimary});
   CHECK(read("kept") == now - kSecond * 4);
-  CHECK(keeper.TakeTurned().empty());
+  CHECK(consistency_guard.TakeTurned().empty());
   CHECK(known.reads == 2);
 }
 
@@ -1119,14 +1132,14 @@
 TEST_CASE("proxy: a write's answer waits until its session is held, and fails at the end of its request") {
   for (const int granted_after_ms : {0, 60, -1}) {
     CAPTURE(granted_after_ms);
-    World w;
+    SimulatedFleet w;
     DataServer& server =
         w.Serve([](lynxgrade::Peer& p, const std::string&) { p.Say(Row("1", "primary", "1000")); });
     server.report = "x1=1,x0=1";
     std::function<void()> held;
-    std::vector<consistency::Key> asked;
+    std::vector<consistency::SessionKey> asked;
     proxy::Proxy::Waits waits;
-    waits.safe = [&](GroupId group, consistency::Key key, std::function<void()> call) {
+    waits.safe = [&](GroupId group, consistency::SessionKey key, std::function<void()> call) {
       CHECK(group == GroupId(2));
       asked.push_back(key);
       held = std::move(call);
@@ -1134,10 +1147,10 @@
     };
     w.proxy.SetWaits(std::move(waits));
     w.List();
-    const Time begun = w.loop.Now();
+    const TimePoint begun = w.loop.Now();
     lynxgrade::Peer& client = w.Client({Ask("write", "k", 400)});
     w.Until([&] { return !asked.empty(); });
-    CHECK(asked[0] == consistency::KeyOf(GroupId(2), "k"));
+    CHECK(asked[0] == consistency::SessionKeyOf(GroupId(2), "k"));
     if (granted_after_ms > 0) {
       w.Until([&] { return w.loop.Now() - begun > kMs * granted_after_ms; });
       CHECK(client.Types().ends_with("Z"));  // of the start alone
@@ -1184,8 +1197,8 @@
   const auto owners = static_cast<std::size_t>(FromEnvironment("OWNERS", 0));
   const double times = FromEnvironment("TIMES", 1);
   for (const double poolers : ListFromEnvironment("SIZES", "16 64")) {
-    for (const Way way : {Way::kDirectory, Way::kEach}) {
-      if (way == Way::kEach && poolers > FromEnvironment("EACH_UP_TO", 16)) continue;
+    for (const Way way : {Way::kLeases, Way::kBroadcast}) {
+      if (way == Way::kBroadcast && poolers > FromEnvironment("EACH_UP_TO", 16)) continue;
       for (const double roam : ListFromEnvironment("ROAM", "1 10")) {
         Options options{way, 0, FromEnvironment("ASKS", 20)};
         options.owners = owners;
@@ -1196,8 +1209,8 @@
         Fleet fleet(size, options);
         // The group's reign began long ago, as it mostly has.
         for (const auto& node : fleet.nodes) {
-          const Position since = fleet.now - kSecond * 3600;
-          node->keeper.LearnReign(kGroup, kPrimary, since, since, fleet.now);
+          const LogPosition since = fleet.now - kSecond * 3600;
+          node->consistency_guard.LearnReign(kGroup, kPrimary, since, since, fleet.now);
         }
         const bool whole = fleet.UntilWhole(kSecond * 30);
         // News of the start goes round for long in a large fleet.
@@ -1244,7 +1257,7 @@
             "%.0f bytes a packet; writes %.1f/s, answer waits p50 %.0f p99 %.0f ms; reads %.1f/s, "
             "conservative %d of %d, stale %d, writes not in time %d; cpu %.4f with the network's, of an "
             "owner %.4f\n",
-            way == Way::kEach ? "each" : "directory", fleet.Poolers(), owners, roam, times, whole, quiet,
+            way == Way::kBroadcast ? "each" : "directory", fleet.Poolers(), owners, roam, times, whole, quiet,
             mean(false, seconds), most, mean(true, seconds),
             static_cast<double>(fleet.directory_bytes) * 2 / of_all,
             static_cast<double>(fleet.directory_entries) /
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -31,7 +31,7 @@
 }
 
 void Wait(net::Loop& loop, int ms) {
-  const Time from = loop.Precise();
+  const TimePoint from = loop.Precise();
   Until([&] { return loop.Precise() - from >= ms * kMs; }, loop);
 }
 
@@ -60,7 +60,7 @@
     pool.SetAddress(kServer, {"127.0.0.1", server.listener.port()});
   }
   void OnAttemptEnd(proxy::AttemptEnd end) override { ends.push_back(std::move(end)); }
-  void OnProbeEnd(const ProbeEvent& event) override { probed.push_back(event); }
+  void OnProbeEnd(const HealthCheckEvent& event) override { probed.push_back(event); }
   void Send(int limit_ms, Duration write_within = Duration::max()) {
     pool.Send(RequestId(++last), 0, kServer, work, {limit_ms * kMs, write_within});
   }
@@ -70,14 +70,14 @@
     Until([&] { return ends.size() == 1; }, loop);
     REQUIRE(ends.front().outcome == Outcome::kOk);
   }
-  static constexpr MemberId kServer{1};
+  static constexpr ServerId kServer{1};
   net::Loop loop;
   net::DescriptorBudget budget{200};
   upstream::Pool pool;
   DataServer server;
   std::shared_ptr<const proxy::Work> work = std::make_shared<TellsTime>();
   std::vector<proxy::AttemptEnd> ends;
-  std::vector<ProbeEvent> probed;
+  std::vector<HealthCheckEvent> probed;
   std::uint32_t last = 0;
 };
 
@@ -137,7 +137,7 @@
   Attempts a;
   a.server.greets = false;
   Slow slow(a.loop, 80);
-  const Time from = a.loop.Now();
+  const TimePoint from = a.loop.Now();
   a.Send(120);
   Until([&] { return a.server.peers.size() == 1 && a.server.peers[0]->started; }, a.loop);
   Wait(a.loop, static_cast<int>((from + 80 * kMs - a.loop.Precise()) / kMs));
@@ -204,7 +204,7 @@
   Attempts a;
   InAPass(a.loop, [&] {
     StandStill(50);
-    a.pool.Send(RequestId(1), 0, MemberId(9), a.work, {1000 * kMs, Duration::max()});
+    a.pool.Send(RequestId(1), 0, ServerId(9), a.work, {1000 * kMs, Duration::max()});
   });
   REQUIRE(a.ends.size() == 1);
   CHECK(a.ends[0].outcome == Outcome::kUnreachable);
@@ -227,14 +227,14 @@
 // ---- Reads that wait for word from the others ------------------------------------------------------------
 
 struct Sends final : proxy::Backends {
-  void Send(RequestId, AttemptNumber, MemberId, std::shared_ptr<const proxy::Work>,
+  void Send(RequestId, AttemptNumber, ServerId, std::shared_ptr<const proxy::Work>,
             proxy::SendTimes times) override {
     sent.push_back(times.limit);
   }
   void Cancel(RequestId, AttemptNumber) override {}
   void Drop(RequestId) override {}
-  void Probe(MemberId) override {}
-  void CloseIdle(MemberId) override {}
+  void Probe(ServerId) override {}
+  void CloseIdle(ServerId) override {}
   std::vector<Duration> sent;
 };
 
@@ -256,12 +256,12 @@
   }
   Reads() : proxy(loop, Unhurried(), 7, sends, Everywhere()) {
     // One reading: between two a gap of a microsecond may lie, which a read has to wait out at a replica.
-    const Time started = loop.Precise();
-    proxy.keeper().Started(started, started);
-    proxy.keeper().Covered(1, started);
+    const TimePoint started = loop.Precise();
+    proxy.consistency_guard().Started(started, started);
+    proxy.consistency_guard().Covered(1, started);
     proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++asked; }});
     ListEvent list{ListKind::kPersisted, {}};
-    list.entries.push_back({.member = MemberId(1), .group = GroupId(2)});
+    list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
     proxy.ListChanged(list);
   }
   void Read(int left_ms) {
@@ -285,27 +285,27 @@
   // In one pass: word from the other instance, which then answers a write, and a read of that session.
   InAPass(r.loop, [&] {
     StandStill(10);
-    r.proxy.keeper().Covered(1, r.loop.Precise());
+    r.proxy.consistency_guard().Covered(1, r.loop.Precise());
     StandStill(10);
     r.Read(1000);
   });
   CHECK(r.asked == 1);
   CHECK(r.sends.sent.empty());
-  r.proxy.keeper().Covered(1, r.loop.Precise());
+  r.proxy.consistency_guard().Covered(1, r.loop.Precise());
   r.proxy.Relearnt();
   CHECK(r.sends.sent.size() == 1);
 }
 
 TEST_CASE("a read that was held back keeps the deadline that it came with") {
   Reads r;
-  Time from{};
+  TimePoint from{};
   InAPass(r.loop, [&] {
     from = r.loop.Now();
     StandStill(20);
     r.Read(1000);
   });
   Wait(r.loop, 50);
-  r.proxy.keeper().Covered(1, r.loop.Precise());
+  r.proxy.consistency_guard().Covered(1, r.loop.Precise());
   r.proxy.Relearnt();
   REQUIRE(r.sends.sent.size() == 1);
   CHECK(r.loop.Now() + r.sends.sent[0] == from + 1000 * kMs);
@@ -314,7 +314,7 @@
 TEST_CASE("the time for which a read was held back does not make a client's first try look like a repeat") {
   Settings settings = Usual();
   Balancer balancer(settings, 7);
-  Time now{1000000 * kMs};
+  TimePoint now{1000000 * kMs};
   Actions actions;
   const auto feed = [&](const Event& event) {
     actions.clear();
@@ -322,7 +322,7 @@
     return std::ranges::any_of(actions, [](const Action& a) { return std::holds_alternative<Send>(a); });
   };
   ListEvent list{ListKind::kPersisted, {}};
-  list.entries.push_back({.member = MemberId(1), .group = GroupId(2)});
+  list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
   feed(list);
   std::uint32_t last = 0;
   const auto ask = [&](Duration left, Duration held) {
@@ -339,7 +339,7 @@
     now += 20 * kMs;
     OutcomeEvent end;
     end.id = RequestId(last);
-    end.member = MemberId(1);
+    end.server = ServerId(1);
     end.taken = 20 * kMs;
     end.request_done = true;
     feed(end);
@@ -362,11 +362,11 @@
     setup.join_within = join_within_ms * kMs;
   }
   ~Pair() { std::filesystem::remove_all(folder); }
-  std::unique_ptr<replication::Peers> Start(const std::string& name) {
-    keepers.push_back(std::make_unique<consistency::Keeper>(Usual(), Reads::Everywhere()));
+  std::unique_ptr<replication::UdpReplicationService> Start(const std::string& name) {
+    keepers.push_back(std::make_unique<consistency::SessionConsistencyGuard>(Usual(), Reads::Everywhere()));
     names.push_back(std::make_unique<std::string>(name));
-    auto peer = std::make_unique<replication::Peers>(
-        replication::Parts{loop, setup, *names.back(), false, *keepers.back(), [] {}});
+    auto peer = std::make_unique<replication::UdpReplicationService>(
+        replication::ReplicationContext{loop, setup, *names.back(), false, *keepers.back(), [] {}});
     const std::string fault = peer->Start();
     CAPTURE(fault);
     REQUIRE(fault.empty());
@@ -374,8 +374,8 @@
   }
   net::Loop loop;
   std::string folder;
-  PeersSetup setup;
-  std::vector<std::unique_ptr<consistency::Keeper>> keepers;
+  ReplicationSettings setup;
+  std::vector<std::unique_ptr<consistency::SessionConsistencyGuard>> keepers;
   std::vector<std::unique_ptr<std::string>> names;
 };
 
@@ -413,7 +413,7 @@
     "what comes while the loop is busy or stands still is known to have come no sooner than it looked") {
   net::Loop loop;
   Wait(loop, 5);
-  Time before{};
+  TimePoint before{};
   InAPass(loop, [&] {
     before = loop.Now();
     StandStill(100);
@@ -435,9 +435,9 @@
   even(random);
   const double chance = std::uniform_real_distribution<double>(0, 1)(random);
   REQUIRE(chance > 0.6);
-  World w;
+  SimulatedFleet w;
   Agent agent(w.loop);
-  discovery::RosterReader reader({});
+  discovery::EndpointListReader reader({});
   discovery::Watch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, kSeed,
                          {.shared = true, .instances = 300, .grace = 500 * kMs}, [](const auto&) {});
   watch.Start();
@@ -456,10 +456,10 @@
 }
 
 TEST_CASE("a call for the list has its whole time when it is made late in a long pass") {
-  World w;
+  SimulatedFleet w;
   Agent agent(w.loop);
   agent.line = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
-  discovery::RosterReader reader({});
+  discovery::EndpointListReader reader({});
   discovery::Watch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {}, [](const auto&) {});
   net::Timer before(w.loop);
   before.After(Duration{0}, [] { StandStill(300); });  // in the pass in which the call is made
@@ -471,25 +471,25 @@
 TEST_CASE("an answer does not go out before its write is safe because this process stood still") {
   Pair folder(0);  // for its folder
   const std::string state = folder.folder + "/state";
-  consistency::Keeper keeper(Usual(), Reads::Everywhere());
-  StateSetup setup;
+  consistency::SessionConsistencyGuard consistency_guard(Usual(), Reads::Everywhere());
+  DurabilitySettings setup;
   setup.folder = state;
   setup.snapshot_bytes = 4096;
   setup.stall = 250 * kMs;
   net::Loop& loop = folder.loop;
   bool given = false;
   {
-    durability::Store store(loop, setup, "n", keeper);
+    durability::WriteAheadLog store(loop, setup, "n", consistency_guard);
     REQUIRE(store.Open().empty());
     REQUIRE(store.Begin().empty());
     // The file of the next snapshot: the disk hangs from there on, until it is opened here.
     const std::string hangs = state + "/sessions-2.new";
     REQUIRE(mkfifo(hangs.c_str(), 0600) == 0);
     const auto write = [&] {
-      const consistency::Mark mark{loop.Now(), MemberId(1)};
-      const consistency::Key key = consistency::KeyOf(GroupId(1), "s");
-      keeper.Learn(std::nullopt, key, mark);
-      store.Wrote(key, mark);
+      const consistency::WriteWatermark watermark{loop.Now(), ServerId(1)};
+      const consistency::SessionKey key = consistency::SessionKeyOf(GroupId(1), "s");
+      consistency_guard.Learn(std::nullopt, key, watermark);
+      store.Wrote(key, watermark);
     };
     for (int i = 0; i < 500; ++i) write();
     Wait(loop, 300);  // the snapshot has begun
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -24,11 +24,11 @@
   return std::get<std::vector<SharedKey>>(keys);
 }
 
-proto::Packet APacket(std::uint64_t life = 9) {
+proto::Packet APacket(std::uint64_t incarnation_id = 9) {
   proto::Packet packet;
   packet.set_version(1);
   packet.mutable_sender()->set_name("n1");
-  packet.mutable_sender()->set_life(life);
+  packet.mutable_sender()->set_incarnation_id(incarnation_id);
   packet.mutable_ping()->set_nonce(5);
   return packet;
 }
@@ -53,11 +53,11 @@
 }
 
 TEST_CASE("envelope: each fault is told apart, and no changed byte gets through") {
-  Envelope sender(Keys("1 " + kOne)), receiver(Keys("1 " + kOne)), stranger(Keys("1 " + kTwo)),
+  DatagramAuthenticator sender(Keys("1 " + kOne)), receiver(Keys("1 " + kOne)), stranger(Keys("1 " + kTwo)),
       other(Keys("2 " + kOne));
   proto::Packet packet = APacket();
   const std::string datagram = sender.Seal(packet);
-  using Fault = Envelope::Fault;
+  using Fault = DatagramAuthenticator::Fault;
   CHECK(std::get<Fault>(stranger.Open(datagram)) == Fault::kTag);
   CHECK(std::get<Fault>(other.Open(datagram)) == Fault::kKey);
   CHECK(std::get<Fault>(receiver.Open("")) == Fault::kFormat);
@@ -75,7 +75,7 @@
 }
 
 TEST_CASE("envelope: late and swapped datagrams are taken once each, those from long ago not at all") {
-  Envelope sender(Keys("1 " + kOne)), receiver(Keys("1 " + kOne));
+  DatagramAuthenticator sender(Keys("1 " + kOne)), receiver(Keys("1 " + kOne));
   std::vector<std::string> sent;
   for (int i = 0; i < 6000; ++i) {
     proto::Packet packet = APacket();
@@ -83,15 +83,16 @@
   }
   CHECK(std::holds_alternative<proto::Packet>(receiver.Open(sent[5999])));
   CHECK(std::holds_alternative<proto::Packet>(receiver.Open(sent[3000])));
-  CHECK(std::holds_alternative<Envelope::Fault>(receiver.Open(sent[3000])));
-  CHECK(std::holds_alternative<Envelope::Fault>(receiver.Open(sent[100])));
+  CHECK(std::holds_alternative<DatagramAuthenticator::Fault>(receiver.Open(sent[3000])));
+  CHECK(std::holds_alternative<DatagramAuthenticator::Fault>(receiver.Open(sent[100])));
   proto::Packet next_life = APacket(10);
   next_life.set_counter(1);
-  CHECK(std::holds_alternative<proto::Packet>(receiver.Open(Envelope(Keys("1 " + kOne)).Seal(next_life))));
+  CHECK(std::holds_alternative<proto::Packet>(
+      receiver.Open(DatagramAuthenticator(Keys("1 " + kOne)).Seal(next_life))));
 }
 
 TEST_CASE("envelope: keys are rotated under way, and no datagram is lost by it") {
-  Envelope a(Keys("1 " + kOne)), b(Keys("1 " + kOne));
+  DatagramAuthenticator a(Keys("1 " + kOne)), b(Keys("1 " + kOne));
   int lost = 0;
   const auto both = [&] {
     for (int i = 0; i < 20; ++i) {
@@ -110,9 +111,9 @@
     both();
   }
   CHECK(lost == 0);
-  Envelope old(Keys("1 " + kOne));
+  DatagramAuthenticator old(Keys("1 " + kOne));
   proto::Packet packet = APacket(3);
-  CHECK(std::holds_alternative<Envelope::Fault>(b.Open(old.Seal(packet))));
+  CHECK(std::holds_alternative<DatagramAuthenticator::Fault>(b.Open(old.Seal(packet))));
 }
 
 constexpr GroupId kGroup{1};
@@ -136,25 +137,25 @@
 }
 
 struct Node {
-  Node(int number, std::uint64_t life, Time now, bool recovered, std::size_t kept, Duration clock,
-       const char* session, Duration idle = Exchange::Options{}.idle)
-      : clock(clock), keeper(SessionSettings(), Everywhere()) {
+  Node(int number, std::uint64_t incarnation_id, TimePoint now, bool recovered, std::size_t kept,
+       Duration clock, const char* session, Duration idle = Exchange::Options{}.idle)
+      : clock(clock), consistency_guard(SessionSettings(), Everywhere()) {
     // What it recovered: one session's write.
     if (session != nullptr)
-      keeper.Learn(std::nullopt, consistency::KeyOf(kGroup, session), {now, MemberId(7)});
+      consistency_guard.Learn(std::nullopt, consistency::SessionKeyOf(kGroup, session), {now, ServerId(7)});
     proto::Member self;
     self.set_name("n" + std::to_string(number));
-    self.set_life(life);
+    self.set_incarnation_id(incarnation_id);
     self.set_started_us(static_cast<std::uint64_t>((now + clock).time_since_epoch().count()));
     self.set_address("a" + std::to_string(number));
     Exchange::Options options;
     options.kept = kept;
     options.idle = idle;
     exchange = std::make_unique<Exchange>(options, self, std::vector<std::string>{"a0", "a1"}, recovered,
-                                          keeper, life);
+                                          consistency_guard, incarnation_id);
   }
   Duration clock;  // ahead of the true time
-  consistency::Keeper keeper;
+  consistency::SessionConsistencyGuard consistency_guard;
   std::unique_ptr<Exchange> exchange;
 };
 
@@ -167,7 +168,7 @@
   void Begin(int number, bool recovered = false, Duration clock = {}, const char* session = nullptr) {
     const auto at = static_cast<std::size_t>(number);
     if (nodes.size() <= at) nodes.resize(at + 1);
-    nodes[at] = std::make_unique<Node>(number, ++lives, now, recovered, kept, clock, session, idle);
+    nodes[at] = std::make_unique<Node>(number, ++incarnation_ids, now, recovered, kept, clock, session, idle);
   }
   void Send(std::size_t from, std::vector<membership::Out>& outs) {
     for (membership::Out& out : outs) {
@@ -183,7 +184,7 @@
     outs.clear();
   }
   void Pass(Duration time) {
-    const Time end = now + time;
+    const TimePoint end = now + time;
     std::vector<membership::Out> outs;
     for (; now < end; now += kTick) {
       while (!wire.empty() && wire.top().at <= now) {
@@ -202,23 +203,26 @@
         for (const auto& [name, upto] : nodes[i]->exchange->Covered()) {
           for (const auto& [by, key, at] : written) {
             if ("n" + std::to_string(by) != name || upto - nodes[i]->clock <= at) continue;
-            if (!nodes[i]->keeper.ledger().Find(key).mark) ++wrongly_covered;
+            if (!nodes[i]->consistency_guard.watermark_table().Find(key).watermark) ++wrongly_covered;
           }
         }
       }
     }
   }
-  consistency::Key Write(int by) {
-    const consistency::Key key = consistency::KeyOf(kGroup, "s" + std::to_string(++sessions));
+  consistency::SessionKey Write(int by) {
+    const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, "s" + std::to_string(++sessions));
     Node& node = *nodes[static_cast<std::size_t>(by)];
-    const consistency::Mark mark{now, MemberId(7)};
-    node.keeper.Learn(kGroup, key, mark);
-    node.exchange->Wrote(kGroup, key, mark);
+    const consistency::WriteWatermark watermark{now, ServerId(7)};
+    node.consistency_guard.Learn(kGroup, key, watermark);
+    node.exchange->Wrote(kGroup, key, watermark);
     written.emplace_back(by, key, now);
     return key;
   }
-  bool Knows(int number, consistency::Key key) const {
-    return nodes[static_cast<std::size_t>(number)]->keeper.ledger().Find(key).mark.has_value();
+  bool Knows(int number, consistency::SessionKey key) const {
+    return nodes[static_cast<std::size_t>(number)]
+        ->consistency_guard.watermark_table()
+        .Find(key)
+        .watermark.has_value();
   }
   proto::Member::State StateOf(int of, int at) const {
     const auto& peers = nodes[static_cast<std::size_t>(at)]->exchange->swim().peers();
@@ -228,20 +232,21 @@
   // How long the writes of others have not been known, to a read that comes now.
   Duration Behind(int at) const {
     const Node& node = *nodes[static_cast<std::size_t>(at)];
-    return now + node.clock - node.keeper.CoveredUpTo().value_or(now + node.clock);
+    return now + node.clock - node.consistency_guard.CoveredUpTo().value_or(now + node.clock);
   }
 
   // What a read of a session that is not known has to wait for, beside what is still on its way.
-  std::optional<Position> TargetOfUnknown(int at) {
-    consistency::Keeper& keeper = nodes[static_cast<std::size_t>(at)]->keeper;
+  std::optional<LogPosition> TargetOfUnknown(int at) {
+    consistency::SessionConsistencyGuard& consistency_guard =
+        nodes[static_cast<std::size_t>(at)]->consistency_guard;
     Event read = RequestEvent{.id = RequestId(1), .group = kGroup, .cls = 0, .session = "unknown"};
-    std::get<RequestEvent>(read).arrived = keeper.CoveredUpTo();
-    keeper.Before(now, read);
+    std::get<RequestEvent>(read).arrived = consistency_guard.CoveredUpTo();
+    consistency_guard.Before(now, read);
     return std::get<RequestEvent>(read).target;
   }
 
   struct Datagram {
-    Time at{};
+    TimePoint at{};
     std::uint64_t order = 0;
     std::size_t to = 0;
     std::string from;
@@ -254,12 +259,12 @@
   std::size_t kept;
   Duration idle;
   std::mt19937_64 random{4};
-  Time now{Duration(1'700'000'000'000'000)};
+  TimePoint now{Duration(1'700'000'000'000'000)};
   std::vector<std::unique_ptr<Node>> nodes;
   std::priority_queue<Datagram, std::vector<Datagram>, std::greater<>> wire;
   std::set<std::pair<std::size_t, std::size_t>> cut;
-  std::vector<std::tuple<int, consistency::Key, Time>> written;
-  std::uint64_t order = 0, lives = 100, sessions = 0, bytes = 0;
+  std::vector<std::tuple<int, consistency::SessionKey, TimePoint>> written;
+  std::uint64_t order = 0, incarnation_ids = 100, sessions = 0, bytes = 0;
   int wrongly_covered = 0;
 };
 
@@ -272,13 +277,13 @@
     CAPTURE(loss);
     Net net(4, loss);
     net.Pass(kSecond * 2);
-    std::vector<consistency::Key> keys;
+    std::vector<consistency::SessionKey> keys;
     for (int i = 0; i < 200; ++i) {
       keys.push_back(net.Write(i % 4));
       net.Pass(kTick);
     }
     net.Pass(kSecond * 2);
-    for (const consistency::Key key : keys) {
+    for (const consistency::SessionKey key : keys) {
       for (int at = 0; at < 4; ++at) CHECK(net.Knows(at, key));
     }
     CHECK(net.wrongly_covered == 0);
@@ -294,16 +299,16 @@
     net.bytes = 0;
     net.Pass(kSecond * 2);
     bytes[quiet] = net.bytes;
-    const consistency::Key key = net.Write(3);
+    const consistency::SessionKey key = net.Write(3);
     net.Pass(Exchange::Options{}.flush + kTick * 2);
     for (int at = 0; at < 8; ++at) CHECK(net.Knows(at, key));
     // A read that comes now asks, and has its answer at once.
-    const Time read = net.now;
+    const TimePoint read = net.now;
     std::vector<membership::Out> outs;
     net.nodes[0]->exchange->Solicit(net.now, outs);
     net.Send(0, outs);
     net.Pass(kTick * 5);
-    CHECK(*net.nodes[0]->keeper.CoveredUpTo() >= read);
+    CHECK(*net.nodes[0]->consistency_guard.CoveredUpTo() >= read);
     CHECK(net.wrongly_covered == 0);
   }
   MESSAGE("eight idle instances, bytes a second each: ", bytes[true] / 16, "; before ", bytes[false] / 16);
@@ -319,7 +324,7 @@
       net.bytes = 0;
       std::vector<double> took;
       for (int i = 0; i < 20; ++i) {
-        const Time at = net.now;
+        const TimePoint at = net.now;
         const std::string by = "n" + std::to_string(i % count);
         net.Write(i % count);
         std::set<int> waiting;
@@ -337,7 +342,7 @@
       }
       std::ranges::sort(took);
       const double seconds =
-          1e-6 * static_cast<double>((net.now - Time(Duration(1'700'000'003'000'000))).count());
+          1e-6 * static_cast<double>((net.now - TimePoint(Duration(1'700'000'003'000'000))).count());
       MESSAGE(count, " instances, ", loss, " % lost: covered after ", took[took.size() / 2], " ms, p99 ",
               took[took.size() * 99 / 100], " ms; ", static_cast<double>(net.bytes) / seconds / count,
               " bytes a second each");
@@ -381,7 +386,7 @@
     net.written.clear();
     net.Pass(kSecond * 2);
     CHECK(net.Behind(0) < kSecond);
-    CHECK(net.Knows(0, consistency::KeyOf(kGroup, "kept")) == recovered);
+    CHECK(net.Knows(0, consistency::SessionKeyOf(kGroup, "kept")) == recovered);
     CHECK(net.TargetOfUnknown(0).has_value() == !recovered);
   }
 }
@@ -409,14 +414,14 @@
   Net net(2, 0, 100);
   net.Pass(kSecond * 2);
   net.cut = {{0, 1}, {1, 0}};
-  std::vector<consistency::Key> keys;
+  std::vector<consistency::SessionKey> keys;
   for (int i = 0; i < 1000; ++i) keys.push_back(net.Write(0));
   net.Pass(kSecond);
   CHECK(net.Behind(1) >= kSecond - kTick * 20);
   net.cut.clear();
   net.Pass(kSecond * 6);
   CHECK(net.nodes[0]->exchange->counts().syncs >= 1);
-  for (const consistency::Key key : keys) CHECK(net.Knows(1, key));
+  for (const consistency::SessionKey key : keys) CHECK(net.Knows(1, key));
   CHECK(net.Behind(1) < kSecond);
   CHECK(net.wrongly_covered == 0);
 }
--- a/tests/routing/balancer_long_run_test.cpp
+++ b/tests/routing/balancer_long_run_test.cpp
@@ -11,7 +11,7 @@
 namespace lynxgrade {
 namespace {
 
-constexpr MemberId kFirst{1}, kSecond{2};
+constexpr ServerId kFirst{1}, kSecond{2};
 
 // One module with a clock of its own; attempts are answered after the time that is set for their member.
 struct Rig {
@@ -34,8 +34,8 @@
 
   void List(ListKind kind, Lifecycle first) {
     ListEvent event{kind, {}};
-    event.entries.push_back({.member = kFirst, .group = GroupId(1), .lifecycle = first});
-    event.entries.push_back({.member = kSecond, .group = GroupId(1)});
+    event.entries.push_back({.server = kFirst, .group = GroupId(1), .lifecycle = first});
+    event.entries.push_back({.server = kSecond, .group = GroupId(1)});
     Feed(event);
   }
 
@@ -45,21 +45,22 @@
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action))
         due.emplace(now + timer->delay, TimerEvent{timer->id});
-      if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      if (const auto* refuse = std::get_if<Reject>(&action)) {
         ++refused;
         shortest = std::min(shortest, refuse->stay_away);
       }
       if (const auto* probe = std::get_if<Probe>(&action)) {
         ++probes;
-        const Report report{.position = now - lag, .primary = false};
-        due.emplace(now + Duration(1000), ProbeEvent{probe->member, Outcome::kOk, Duration(1000), report});
+        const LoadReport report{.position = now - lag, .primary = false};
+        due.emplace(now + Duration(1000),
+                    HealthCheckEvent{probe->server, Outcome::kOk, Duration(1000), report});
       }
       if (const auto* send = std::get_if<Send>(&action)) {
-        ++sent[send->member];
+        ++sent[send->server];
         OutcomeEvent end;
         end.id = send->id;
-        end.member = send->member;
-        end.taken = takes[send->member];
+        end.server = send->server;
+        end.taken = takes[send->server];
         end.request_done = true;
         due.emplace(now + end.taken, end);
       }
@@ -67,7 +68,7 @@
   }
 
   void Run(Duration time) {
-    const Time until = now + time;
+    const TimePoint until = now + time;
     while (!due.empty() && due.begin()->first <= until) {
       const auto [when, event] = *due.begin();
       due.erase(due.begin());
@@ -90,11 +91,11 @@
     }
   }
 
-  Time now{Duration(1000000000)};
+  TimePoint now{Duration(1000000000)};
   Balancer balancer;
-  std::multimap<Time, Event> due;
-  std::map<MemberId, Duration> takes{{kFirst, Duration(30000)}, {kSecond, Duration(30000)}};
-  std::map<MemberId, int> sent;
+  std::multimap<TimePoint, Event> due;
+  std::map<ServerId, Duration> takes{{kFirst, Duration(30000)}, {kSecond, Duration(30000)}};
+  std::map<ServerId, int> sent;
   int refused = 0;
   int probes = 0;
   Duration lag{0};  // of both members, as probes tell it
@@ -142,10 +143,10 @@
 TEST_CASE("a pooler that asks a group seldom refuses soon after the group is crowded, and not for long") {
   Rig rig;
   ListEvent six{ListKind::kPartial, {}};
-  for (std::uint32_t i = 3; i <= 6; ++i) six.entries.push_back({.member = MemberId(i), .group = GroupId(1)});
+  for (std::uint32_t i = 3; i <= 6; ++i) six.entries.push_back({.server = ServerId(i), .group = GroupId(1)});
   rig.Feed(six);
   const auto all_take = [&](Duration time) {
-    for (std::uint32_t i = 1; i <= 6; ++i) rig.takes[MemberId(i)] = time;
+    for (std::uint32_t i = 1; i <= 6; ++i) rig.takes[ServerId(i)] = time;
   };
   all_take(Duration(60000));
   rig.Ask(60, Duration(1000000));
@@ -181,7 +182,7 @@
       }(),
       7);
   rig.Feed(ListEvent{ListKind::kPersisted,
-                     {{.member = kFirst, .group = GroupId(1), .lifecycle = Lifecycle::kDraining}}});
+                     {{.server = kFirst, .group = GroupId(1), .lifecycle = Lifecycle::kDraining}}});
   RequestEvent ask;
   ask.id = RequestId(1);
   ask.group = GroupId(1);
@@ -286,8 +287,8 @@
     s.classes[0].repeat_window = c.window;
     s.classes[0].aim = Duration(1200000);
     Balancer balancer(s, 3);
-    Time now{Duration(1000000000)};
-    std::multimap<Time, TimerId> due;
+    TimePoint now{Duration(1000000000)};
+    std::multimap<TimePoint, TimerId> due;
     std::vector<Send> sends;
     const auto feed = [&](const Event& event) {
       Actions actions;
@@ -298,20 +299,20 @@
       }
     };
     feed(ListEvent{ListKind::kPersisted,
-                   {{.member = kFirst, .group = GroupId(1), .zone = 0},
-                    {.member = kSecond, .group = GroupId(1), .zone = c.other}}});
+                   {{.server = kFirst, .group = GroupId(1), .zone = 0},
+                    {.server = kSecond, .group = GroupId(1), .zone = c.other}}});
     RequestEvent ask;
     ask.id = RequestId(1);
     ask.group = GroupId(1);
     ask.time_left = Duration(1200000);
     feed(ask);
     REQUIRE(sends.size() == 1);
-    const MemberId ran = sends[0].member, other = ran == kFirst ? kSecond : kFirst;
-    const Time sent = now;
+    const ServerId ran = sends[0].server, other = ran == kFirst ? kSecond : kFirst;
+    const TimePoint sent = now;
     now += Duration(300000);
-    feed(OutcomeEvent{.id = RequestId(1), .member = ran, .outcome = Outcome::kBroken, .taken = now - sent});
+    feed(OutcomeEvent{.id = RequestId(1), .server = ran, .outcome = Outcome::kBroken, .taken = now - sent});
     // Another write shows that the other member is the primary now.
-    feed(ProbeEvent{other, Outcome::kOk, Duration(1000), Report{.position = now, .primary = true}});
+    feed(HealthCheckEvent{other, Outcome::kOk, Duration(1000), LoadReport{.position = now, .primary = true}});
     while (!due.empty() && due.begin()->first < sent + Duration(1150000)) {
       const auto [when, id] = *due.begin();
       due.erase(due.begin());
@@ -320,7 +321,7 @@
     }
     std::size_t there = 0;
     for (std::size_t i = 1; i < sends.size(); ++i) {
-      there += sends[i].member == other;
+      there += sends[i].server == other;
       // It says until when the repeat may be written: within the window of the first.
       CHECK(sends[i].write_within <= c.window - Duration(300000));
       CHECK(sends[i].write_within > Duration(0));
--- a/tests/routing/balancer_test.cpp
+++ b/tests/routing/balancer_test.cpp
@@ -55,22 +55,22 @@
 class Proxy {
  public:
   explicit Proxy(Settings settings = Usual(), std::uint64_t seed = 1)
-      : keeper_(settings, {}), balancer_(std::move(settings), seed) {}
+      : consistency_guard_(settings, {}), balancer_(std::move(settings), seed) {}
 
   Actions Give(Event event) {
     Actions actions;
-    keeper_.Before(now_, event);
+    consistency_guard_.Before(now_, event);
     balancer_.Handle(now_, event, actions);
-    keeper_.After(actions);
+    consistency_guard_.After(actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers_.emplace(now_ + timer->delay, timer->id);
       if (const auto* send = std::get_if<Send>(&action)) {
         sends.push_back(*send);
-        attempts_[send->id].push_back(send->member);
+        attempts_[send->id].push_back(send->server);
       }
       if (std::holds_alternative<Probe>(action)) probes.push_back(std::get<Probe>(action));
       if (std::holds_alternative<Watch>(action)) ++watches;
-      if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      if (const auto* refuse = std::get_if<Reject>(&action)) {
         refused.push_back(refuse->id);
         advice = refuse->stay_away;
       }
@@ -80,7 +80,7 @@
   }
 
   void Pass(Duration time) {
-    const Time end = now_ + time;
+    const TimePoint end = now_ + time;
     while (!timers_.empty() && timers_.begin()->first <= end) {
       now_ = std::max(now_, timers_.begin()->first);
       const TimerId id = timers_.begin()->second;
@@ -109,13 +109,13 @@
   }
 
   // Ends the newest attempt of a request.
-  void End(RequestId id, Outcome outcome, Note note = {}, Duration taken = 10_ms) {
+  void End(RequestId id, Outcome outcome, ResponseMetadata note = {}, Duration taken = 10_ms) {
     if (SendsOf(id) == 0) return;
     const auto& made = attempts_[id];
     OutcomeEvent event;
     event.id = id;
     event.attempt = static_cast<AttemptNumber>(made.size() - 1);
-    event.member = made.back();
+    event.server = made.back();
     event.outcome = outcome;
     event.taken = taken;
     event.request_done = outcome == Outcome::kOk;
@@ -123,11 +123,11 @@
     Give(event);
   }
 
-  void Told(MemberId member, Position position, bool primary) {
-    Report report;
+  void Told(ServerId server, LogPosition position, bool primary) {
+    LoadReport report;
     report.position = position;
     report.primary = primary;
-    Give(ProbeEvent{member, Outcome::kOk, 1_ms, report});
+    Give(HealthCheckEvent{server, Outcome::kOk, 1_ms, report});
   }
 
   std::size_t SendsOf(RequestId id) const {
@@ -138,8 +138,8 @@
     return static_cast<std::size_t>(std::count(refused.begin(), refused.end(), id) +
                                     std::count(failed.begin(), failed.end(), id));
   }
-  MemberId LastTo(RequestId id) const { return attempts_.at(id).back(); }
-  Time now() const { return now_; }
+  ServerId LastTo(RequestId id) const { return attempts_.at(id).back(); }
+  TimePoint now() const { return now_; }
 
   std::vector<Send> sends;
   std::vector<Probe> probes;
@@ -148,24 +148,24 @@
   int watches = 0;
 
  private:
-  consistency::Keeper keeper_;  // hosts the module as the programs do
+  consistency::SessionConsistencyGuard consistency_guard_;  // hosts the module as the programs do
   Balancer balancer_;
-  Time now_{Duration(100000000)};
-  std::multimap<Time, TimerId> timers_;
-  std::map<RequestId, std::vector<MemberId>> attempts_;
+  TimePoint now_{Duration(100000000)};
+  std::multimap<TimePoint, TimerId> timers_;
+  std::map<RequestId, std::vector<ServerId>> attempts_;
   std::uint32_t last_ = 0;
 };
 
-const MemberId kPrimary{1}, kA{2}, kB{3};
+const ServerId kPrimary{1}, kA{2}, kB{3};
 
 std::vector<ListEntry> Three() {
-  return {{.member = kPrimary, .group = kGroup, .primary = true},
-          {.member = kA, .group = kGroup},
-          {.member = kB, .group = kGroup}};
+  return {{.server = kPrimary, .group = kGroup, .primary = true},
+          {.server = kA, .group = kGroup},
+          {.server = kB, .group = kGroup}};
 }
 
-ListEntry Entry(MemberId id, Lifecycle lifecycle) {
-  ListEntry entry{.member = id, .group = kGroup};
+ListEntry Entry(ServerId id, Lifecycle lifecycle) {
+  ListEntry entry{.server = id, .group = kGroup};
   entry.lifecycle = lifecycle;
   return entry;
 }
@@ -180,11 +180,11 @@
 TEST(OrdinaryPath, OtherReadsGoToReplicas) {
   Proxy p;
   p.List(Three());
-  std::set<MemberId> used;
+  std::set<ServerId> used;
   for (int i = 0; i < 40; ++i) {
     for (ClassIndex cls : {kAny, kBounded, kSession}) used.insert(p.LastTo(p.Ask(cls)));
   }
-  EXPECT_EQ(used, (std::set<MemberId>{kA, kB}));
+  EXPECT_EQ(used, (std::set<ServerId>{kA, kB}));
 }
 
 TEST(OrdinaryPath, ReadsGoToAReplicaThatHasReachedTheirOwnTarget) {
@@ -218,7 +218,7 @@
   Proxy p;
   p.List(Three());
   const RequestId id = p.Ask(kUnsafeWrite);
-  std::set<MemberId> asked;
+  std::set<ServerId> asked;
   for (int i = 0; i < 3; ++i) {
     ASSERT_EQ(p.SendsOf(id), i + 1u);
     asked.insert(p.LastTo(id));
@@ -239,7 +239,7 @@
   Settings s = Usual();
   s.may_probe = false;
   s.list_role = ListRole::kNone;
-  std::set<MemberId> first;
+  std::set<ServerId> first;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Proxy p(s, seed);
     p.List(Three());
@@ -350,7 +350,7 @@
   p.List({Entry(kA, Lifecycle::kDeleted), Entry(kB, Lifecycle::kDeleted)}, ListKind::kPartial);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(p.LastTo(p.Ask(kAny)), kB);
   p.List({Entry(kA, Lifecycle::kServing)}, ListKind::kPartial);
-  std::set<MemberId> used;
+  std::set<ServerId> used;
   for (int i = 0; i < 20; ++i) used.insert(p.LastTo(p.Ask(kAny)));
   EXPECT_TRUE(used.contains(kA));
 }
@@ -461,7 +461,7 @@
     p.End(id, Outcome::kUnreachable, {}, 0_ms);
     p.Pass(300_ms);
     ASSERT_EQ(p.SendsOf(id), 2u) << "the primary neither rests long nor counts as cold";
-    OutcomeEvent end{.id = id, .attempt = 1, .member = kPrimary, .taken = 10_ms, .request_done = true};
+    OutcomeEvent end{.id = id, .attempt = 1, .server = kPrimary, .taken = 10_ms, .request_done = true};
     for (const Action& a : p.Give(end)) closed += std::holds_alternative<CloseIdle>(a);
   }
   EXPECT_EQ(closed, 5) << "connections are given back after use";
@@ -472,7 +472,7 @@
   p.List(Three());
   for (int i = 0; i < 4; ++i) {
     p.End(p.Ask(kUnsafeWrite), Outcome::kUnreachable, {}, 0_ms);
-    p.Give(ProbeEvent{kPrimary, Outcome::kUnreachable, 1_ms, std::nullopt});
+    p.Give(HealthCheckEvent{kPrimary, Outcome::kUnreachable, 1_ms, std::nullopt});
     p.Pass(3000_ms);
   }
   p.sends.clear();
@@ -495,7 +495,7 @@
       p.End(id, Outcome::kUnreachable, {}, 0_ms);
     }
     if (p.SendsOf(id) == 0 || p.LastTo(id) == kA) continue;
-    OutcomeEvent end{.id = id, .member = p.LastTo(id), .taken = 10_ms, .request_done = true};
+    OutcomeEvent end{.id = id, .server = p.LastTo(id), .taken = 10_ms, .request_done = true};
     end.attempt = static_cast<AttemptNumber>(p.SendsOf(id) - 1);
     for (const Action& a : p.Give(end)) closed += std::holds_alternative<CloseIdle>(a);
     p.Pass(10_ms);
@@ -511,9 +511,9 @@
   p.List(Three());
   const auto waits = [&] {
     const RequestId id = p.Ask(kUnsafeWrite);
-    p.End(id, Outcome::kMiss, Note{std::nullopt, false});  // the primary is gone: held
-    p.End(id, Outcome::kMiss, Note{std::nullopt, false});
-    const Time from = p.now();
+    p.End(id, Outcome::kMiss, ResponseMetadata{std::nullopt, false});  // the primary is gone: held
+    p.End(id, Outcome::kMiss, ResponseMetadata{std::nullopt, false});
+    const TimePoint from = p.now();
     while (p.AnswersTo(id) == 0 && p.now() - from < 2000_ms) p.Pass(10_ms);
     return p.now() - from;
   };
@@ -521,7 +521,7 @@
   for (int i = 0; i < 60; ++i) {
     const RequestId id = p.Ask(kAny);
     p.Pass(100_ms);
-    p.Give(GoneEvent{id});
+    p.Give(ClientDisconnectedEvent{id});
     p.End(id, Outcome::kCancelled);
   }
   EXPECT_LT(waits(), 300_ms);
@@ -539,7 +539,7 @@
     const bool hit = p.LastTo(id) == kA;
     if (hit) {
       p.Pass(400_ms);
-      p.Give(GoneEvent{id});
+      p.Give(ClientDisconnectedEvent{id});
       p.End(id, Outcome::kCancelled, {}, 400_ms);
     } else {
       p.Pass(125_ms);
@@ -573,7 +573,7 @@
   entries[0].started = p.now();
   p.List({entries[0]}, ListKind::kPartial);
   const auto to_primary = [&] {
-    return std::count_if(p.sends.begin(), p.sends.end(), [](const Send& s) { return s.member == kPrimary; });
+    return std::count_if(p.sends.begin(), p.sends.end(), [](const Send& s) { return s.server == kPrimary; });
   };
   const auto before = to_primary();
   for (int i = 0; i < 200; ++i) p.Ask(kUnsafeWrite);
@@ -657,7 +657,7 @@
   Proxy p(s);
   p.List(Three());  // no position is ever heard
   const RequestId id = p.Ask(kBounded);
-  const MemberId first = p.LastTo(id);
+  const ServerId first = p.LastTo(id);
   p.End(id, Outcome::kMiss, {std::nullopt, false});
   ASSERT_EQ(p.SendsOf(id), 2u);
   EXPECT_NE(p.LastTo(id), first);
@@ -688,9 +688,9 @@
   Proxy p;
   p.List(Three());
   for (int i = 0; i < 6; ++i) p.Ask(kAny);
-  std::map<RequestId, MemberId> held;
+  std::map<RequestId, ServerId> held;
   for (const Send& send : p.sends) {
-    if (send.member == kA)
+    if (send.server == kA)
       held[send.id] = kA;
     else
       p.End(send.id, Outcome::kOk, {}, 50_ms);
@@ -780,15 +780,15 @@
   const RequestId lonely = p.Ask(kAny);
   p.Pass(2500_ms);
   EXPECT_EQ(p.AnswersTo(lonely), 1u);
-  p.List({{.member = kA, .group = kGroup}}, ListKind::kComplete);
+  p.List({{.server = kA, .group = kGroup}}, ListKind::kComplete);
   EXPECT_EQ(p.SendsOf(p.Ask(kAny)), 1u);
   const RequestId id = p.Ask(kAny);
-  p.Give(GoneEvent{id});
-  p.Give(GoneEvent{id});
+  p.Give(ClientDisconnectedEvent{id});
+  p.Give(ClientDisconnectedEvent{id});
   p.End(id, Outcome::kOk);
   p.Give(TimerEvent{TimerId(12345)});
   p.Give(PeerEvent{1, "hello"});
-  p.Give(ProbeEvent{MemberId(99), Outcome::kError, 1_ms, std::nullopt});
+  p.Give(HealthCheckEvent{ServerId(99), Outcome::kError, 1_ms, std::nullopt});
   p.Pass(3000_ms);
   EXPECT_EQ(p.AnswersTo(id), 0u);
 }
@@ -802,7 +802,7 @@
 }
 
 TEST(Determinism, TheSameEventsGiveTheSameSends) {
-  std::vector<MemberId> first, second;
+  std::vector<ServerId> first, second;
   for (auto* out : {&first, &second}) {
     Proxy p(Usual(), 77);
     p.List(Three());
--- a/tests/routing/embed_example.cpp
+++ b/tests/routing/embed_example.cpp
@@ -13,15 +13,15 @@
   Balancer balancer(settings, 42);
 
   Actions actions;
-  const Time now{Duration(1000000)};
-  balancer.Handle(now, ListEvent{ListKind::kPersisted, {{.member = MemberId(7), .group = GroupId(1)}}},
+  const TimePoint now{Duration(1000000)};
+  balancer.Handle(now, ListEvent{ListKind::kPersisted, {{.server = ServerId(7), .group = GroupId(1)}}},
                   actions);
   balancer.Handle(now, RequestEvent{.id = RequestId(1), .group = GroupId(1), .time_left = Duration(1000000)},
                   actions);
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
       std::printf("send request %u to member %u\n", static_cast<unsigned>(send->id),
-                  static_cast<unsigned>(send->member));
+                  static_cast<unsigned>(send->server));
       return 0;
     }
   }
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -40,7 +40,7 @@
 TEST(Decode, Framing) {
   Codec codec;
   Line line = codec.Decode(R"({"op":"tick","sim_time_us":8412250,"serial":12,"extra":0})");
-  EXPECT_EQ(std::get<BatchStart>(line).now, Time(Duration(8412250)));
+  EXPECT_EQ(std::get<BatchStart>(line).now, TimePoint(Duration(8412250)));
   EXPECT_EQ(std::get<BatchStart>(line).serial, 12);
   line = codec.Decode(R"({"op":"eob"})");
   EXPECT_TRUE(std::holds_alternative<BatchEnd>(line));
@@ -85,7 +85,7 @@
   ASSERT_EQ(page.entries.size(), 2u);
   EXPECT_EQ(page.entries[0].lifecycle, Lifecycle::kDraining);
   EXPECT_TRUE(page.entries[0].primary);
-  EXPECT_EQ(page.entries[0].started, Time(Duration(6)));
+  EXPECT_EQ(page.entries[0].started, TimePoint(Duration(6)));
   EXPECT_FALSE(page.entries[1].started);
   line = codec.Decode(R"({"op":"directory_update","who":3,"how":"Partial","epoch":4,"page":2})");
   EXPECT_EQ(std::get<ListNews>(line).kind, ListKind::kPartial);
@@ -106,14 +106,14 @@
   EXPECT_EQ(outcome.outcome, Outcome::kMiss);
   EXPECT_FALSE(outcome.request_done);
   EXPECT_EQ(outcome.note.primary, false);
-  EXPECT_EQ(outcome.note.position, Position(Duration(1000000 + 6371000)));
-  EXPECT_EQ(outcome.report->position, Position(Duration(3500000)));
+  EXPECT_EQ(outcome.note.position, LogPosition(Duration(1000000 + 6371000)));
+  EXPECT_EQ(outcome.report->position, LogPosition(Duration(3500000)));
   EXPECT_EQ(outcome.report->primary, true);
   EXPECT_EQ(outcome.report->queued, 4.0);
-  EXPECT_EQ(Get<ProbeEvent>(codec, R"({"op":"pong","who":3,"member":5,"code":"success"})").outcome,
+  EXPECT_EQ(Get<HealthCheckEvent>(codec, R"({"op":"pong","who":3,"member":5,"code":"success"})").outcome,
             Outcome::kOk);
   EXPECT_EQ(Get<TimerEvent>(codec, R"({"op":"fired","who":3,"ctx":77})").id, TimerId(77));
-  EXPECT_EQ(Get<GoneEvent>(codec, R"({"op":"gone","who":3,"req":8})").id, RequestId(8));
+  EXPECT_EQ(Get<ClientDisconnectedEvent>(codec, R"({"op":"gone","who":3,"req":8})").id, RequestId(8));
   EXPECT_EQ(Get<PeerEvent>(codec, R"({"op":"memo","who":3,"by":1,"msg":"x"})").message, "x");
   EXPECT_EQ(Get<StreamEvent>(codec, R"({"op":"head_received","who":3,"req":8,"shot":0,"member":5})").attempt,
             0u);
@@ -154,22 +154,22 @@
     Codec::EncodeAction(3, action, out);
     return out;
   };
-  EXPECT_EQ(text(Send{RequestId(7), MemberId(5), Duration(80)}),
+  EXPECT_EQ(text(Send{RequestId(7), ServerId(5), Duration(80)}),
             "{\"op\":\"pass_on\",\"who\":3,\"req\":7,\"member\":5,\"limit_us\":80}\n");
-  EXPECT_EQ(text(Refuse{RequestId(7), Duration(0)}), "{\"op\":\"refuse\",\"who\":3,\"req\":7}\n");
-  EXPECT_EQ(text(Refuse{RequestId(7), Duration(9)}),
+  EXPECT_EQ(text(Reject{RequestId(7), Duration(0)}), "{\"op\":\"refuse\",\"who\":3,\"req\":7}\n");
+  EXPECT_EQ(text(Reject{RequestId(7), Duration(9)}),
             "{\"op\":\"refuse\",\"who\":3,\"req\":7,\"hold_off_us\":9}\n");
   EXPECT_EQ(text(Fail{RequestId(7)}), "{\"op\":\"report_failure\",\"who\":3,\"req\":7}\n");
   EXPECT_EQ(text(Cancel{RequestId(7), 2}), "{\"op\":\"retract\",\"who\":3,\"req\":7,\"shot\":2}\n");
   EXPECT_EQ(text(SetTimer{TimerId(77), Duration(5)}),
             "{\"op\":\"notify_me\",\"who\":3,\"sleep_for_us\":5,\"ctx\":77}\n");
-  EXPECT_EQ(text(Probe{MemberId(5)}), "{\"op\":\"inspect\",\"who\":3,\"member\":5}\n");
+  EXPECT_EQ(text(Probe{ServerId(5)}), "{\"op\":\"inspect\",\"who\":3,\"member\":5}\n");
   EXPECT_EQ(text(Watch{true}), "{\"op\":\"subscribe\",\"who\":3,\"on\":true}\n");
   EXPECT_EQ(text(FetchList{}), "{\"op\":\"read_list\",\"who\":3}\n");
   EXPECT_EQ(text(TellPeers{std::nullopt, "a\"b"}),
             "{\"op\":\"broadcast_to\",\"who\":3,\"addressee\":\"*\",\"msg\":\"a\\\"b\"}\n");
   EXPECT_EQ(text(TellPeers{4, "x"}), "{\"op\":\"broadcast_to\",\"who\":3,\"addressee\":4,\"msg\":\"x\"}\n");
-  EXPECT_EQ(text(CloseIdle{MemberId(5)}), "{\"op\":\"close_idle\",\"who\":3,\"member\":5}\n");
+  EXPECT_EQ(text(CloseIdle{ServerId(5)}), "{\"op\":\"close_idle\",\"who\":3,\"member\":5}\n");
   EXPECT_EQ(text(Log{"hi"}), "{\"op\":\"debug\",\"who\":3,\"what\":\"hi\"}\n");
 }
 
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -164,8 +164,8 @@
   return s;
 }
 
-struct World {
-  explicit World(std::size_t descriptors = 200, const Settings& settings = Usual())
+struct SimulatedFleet {
+  explicit SimulatedFleet(std::size_t descriptors = 200, const Settings& settings = Usual())
       : budget(descriptors),
         pool(loop, {}, budget, [this] { return front.ShedIdle(); }),
         proxy(loop, settings, 7, pool),
@@ -181,10 +181,10 @@
   void List(ListKind kind = ListKind::kPersisted, Lifecycle first = Lifecycle::kServing) {
     ListEvent event{kind, {}};
     for (std::size_t i = 0; i < servers.size(); ++i) {
-      const auto id = static_cast<MemberId>(i + 1);
+      const auto id = static_cast<ServerId>(i + 1);
       pool.SetAddress(id, {"127.0.0.1", servers[i]->listener.port()});
       event.entries.push_back(
-          {.member = id, .group = GroupId(2), .lifecycle = i == 0 ? first : Lifecycle::kServing});
+          {.server = id, .group = GroupId(2), .lifecycle = i == 0 ? first : Lifecycle::kServing});
     }
     proxy.ListChanged(event);
     front.SetReady();
@@ -311,7 +311,7 @@
 };
 
 // What BackendKeyData gave a client, as the body of a CancelRequest.
-inline std::string KeyOf(const Peer& client) {
+inline std::string SessionKeyOf(const Peer& client) {
   std::string rest = client.bytes;
   for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kWhole; rest.erase(0, f.size))
     if (f.type == 'K') return std::string(f.body);
@@ -370,7 +370,7 @@
 
 // The program itself, on a port that was free a moment ago.
 struct Program {
-  explicit Program(World& world) : world(world) {
+  explicit Program(SimulatedFleet& world) : world(world) {
     gchar* made = g_dir_make_tmp("lynxgrade-XXXXXX", nullptr);
     folder = made;
     g_free(made);
@@ -389,7 +389,7 @@
   void Configure(const std::string& text) {
     g_file_set_contents((folder + "/config.json").c_str(), text.c_str(), -1, nullptr);
   }
-  std::string Config(const std::string& discovery, const std::string& known) const {
+  std::string PlatformConfig(const std::string& discovery, const std::string& known) const {
     return R"({"name":"n","listen":"127.0.0.1:)" + std::to_string(port) + R"(","discovery":")" + discovery +
            R"(","seed":"1f","known":)" + known + R"(,"settings":{"customers":[{"name":"acme"}],"classes":[)" +
            R"({"name":"any","deadline_us":4000000,"objective_us":400000,"effect":"idempotent"}],)" +
@@ -404,7 +404,7 @@
         [](GObject*, GAsyncResult*, gpointer over) { *static_cast<bool*>(over) = true; }, &over);
   }
   Peer& Client(const Texts& queries) { return world.Client(queries, port); }
-  World& world;
+  SimulatedFleet& world;
   std::string folder;
   std::uint16_t port = 0;
   net::ObjectPtr<GSubprocess> process;
