--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -19,7 +19,7 @@
 
 const Machine kLarge{20000, 20000, 10000};
 
-Time At(std::int64_t ms) { return Time(Duration(1'000'000'000'000 + ms * 1000)); }
+TimePoint At(std::int64_t ms) { return TimePoint(Duration(1'000'000'000'000 + ms * 1000)); }
 
 TEST_CASE("sizes and scripts that cannot be played are refused with a sentence") {
   ScaleOptions options;
@@ -30,7 +30,7 @@
     return WhyNotPlayed(wrong, kLarge);
   };
   CHECK(refused([](auto& o) { o.script = "flood"; }).find("there is no script \"flood\": quiet, ") == 0);
-  CHECK(refused([](auto& o) { o.marks = "some"; }).find("marks") == 0);
+  CHECK(refused([](auto& o) { o.watermarks = "some"; }).find("marks") == 0);
   CHECK(refused([](auto& o) { o.scope = "all"; }).find("the sessions' scope") == 0);
   CHECK(refused([](auto& o) { o.scope = "instance"; }).find("--real 0") != std::string::npos);
   CHECK(refused([](auto& o) { o.poolers = 2; }) ==
@@ -44,7 +44,7 @@
   CHECK(refused([](auto& o) { o.real = 4, o.poolers = 4; }) ==
         "of the poolers at least one has to be hollow");
   CHECK(refused([](auto& o) { o.hosts = 39, o.poolers = 40; }).find("there are more processes") == 0);
-  CHECK(refused([](auto& o) { o.marks = "none"; }).find("--real 0") != std::string::npos);
+  CHECK(refused([](auto& o) { o.watermarks = "none"; }).find("--real 0") != std::string::npos);
   CHECK(refused([](auto& o) { o.own_reads_share = 1.5; }).find("--own-reads-share 1.5") == 0);
   CHECK(refused([](auto& o) { o.own_reads_share = 0.96; }).find("more than all statements") !=
         std::string::npos);
@@ -55,7 +55,7 @@
   CHECK(refused([](auto& o) { o.owners = 7; }).find("--marks directory") != std::string::npos);
   CHECK(refused([](auto& o) { o.bytes_per_s = 12000; }).find("--marks directory") != std::string::npos);
   CHECK(refused([](auto& o) {
-          o.marks = "directory";
+          o.watermarks = "directory";
           o.owners = 34;
         }).find("there are more processes") == 0);
 }
@@ -75,12 +75,12 @@
 TEST_CASE("a machine with too few cores for the size is named before anything is started") {
   ScaleOptions options;
   options.real = 0;
-  options.marks = "directory";
+  options.watermarks = "directory";
   const Machine eight{20000, 20000, 8};
   options.poolers = 205;
   CHECK(WhyNotPlayed(options, eight) == "");
   // Each to each grows with the square of the size.
-  options.marks = "each";
+  options.watermarks = "each";
   options.poolers = 100;
   CHECK(WhyNotPlayed(options, eight) == "");
   options.poolers = 820;
@@ -90,14 +90,14 @@
   // Each part of the work asks for its own.
   const auto cores = [&](auto change) {
     ScaleOptions other;
-    other.marks = "directory";
+    other.watermarks = "directory";
     change(other);
     return CoresFor(other);
   };
   const double least = cores([](auto&) {});
   CHECK(least > 0);
   CHECK(cores([](auto& o) { o.poolers = 80; }) > 2 * least);
-  CHECK(cores([](auto& o) { o.marks = "each"; }) > least);
+  CHECK(cores([](auto& o) { o.watermarks = "each"; }) > least);
   const double load = cores([](auto& o) { o.script = "load"; });
   CHECK(load > least);
   CHECK(cores([](auto& o) { o.script = "load", o.databases = 730; }) > load);
@@ -111,7 +111,7 @@
   options.real = 2;
   options.alone = 4;
   options.owners = 7;
-  options.marks = "directory";
+  options.watermarks = "directory";
   CHECK(WhyNotPlayed(options, kLarge) == "");
   std::set<int> zones;
   for (int i = 0; i < options.poolers; ++i) {
@@ -200,7 +200,7 @@
   options.poolers = 205;
   options.real = 0;
   options.owners = 7;
-  options.marks = "directory";
+  options.watermarks = "directory";
   const auto steps = [&](const char* script) {
     options.script = script;
     return StepsOf(options, 244);
@@ -243,7 +243,7 @@
   CHECK(seconds() == 3);
   options.script = "load";
   CHECK(seconds() == 13);
-  options.marks = "directory";
+  options.watermarks = "directory";
   options.poolers = 205;
   CHECK(seconds() == doctest::Approx(13 + 205 * 3 * 7.693 / 60).epsilon(0.01));
   options.poolers = 820;
@@ -302,7 +302,7 @@
   CHECK(!databases.Commit(primary, At(500)));
   CHECK(databases.Commit(primary, At(499)));  // it was told ahead
   CHECK(databases.Holds(replica, At(900)).position < At(500));
-  databases.Reign(0, 1, At(2000));
+  databases.Promote(0, 1, At(2000));
   CHECK(!databases.Commit(replica, At(1999)));
   const Held next = *databases.Commit(replica, At(2000));
   CHECK(next.reign == 1);
@@ -326,22 +326,22 @@
   spec.udp = {4001, 4002, 4003};
   spec.discovery = 4000;
   spec.seed = 7;
-  const auto config = ReadConfig(ScaleConfigOf(spec, 1, 5000));
-  REQUIRE(std::holds_alternative<Config>(config));
-  CHECK(std::get<Config>(config).settings.peers_total == 3);
-  const auto setup = ReadSetup(ScaleSettingsOf(spec, 1, {0, 1, 2}, 0));
-  REQUIRE(std::holds_alternative<Setup>(setup));
-  CHECK(std::get<Setup>(setup).peers.seeds.size() == 2);
-  CHECK(std::get<Setup>(setup).peers.listen->port == 4002);
-  CHECK(!std::get<Setup>(setup).peers.owner);
-  spec.marks = "directory";
+  const auto config = ParsePlatformConfig(ScaleConfigOf(spec, 1, 5000));
+  REQUIRE(std::holds_alternative<PlatformConfig>(config));
+  CHECK(std::get<PlatformConfig>(config).settings.peers_total == 3);
+  const auto setup = ParseProgramSettings(ScaleSettingsOf(spec, 1, {0, 1, 2}, 0));
+  REQUIRE(std::holds_alternative<ProgramSettings>(setup));
+  CHECK(std::get<ProgramSettings>(setup).peers.seeds.size() == 2);
+  CHECK(std::get<ProgramSettings>(setup).peers.listen->port == 4002);
+  CHECK(!std::get<ProgramSettings>(setup).peers.owner);
+  spec.watermarks = "directory";
   spec.owners = 1;
   spec.bytes_per_s = 12000;
   for (const int pooler : {0, 1}) {
-    const auto read = ReadSetup(ScaleSettingsOf(spec, pooler, {0, 1, 2}, 0));
-    REQUIRE(std::holds_alternative<Setup>(read));
-    CHECK(std::get<Setup>(read).peers.owner == (pooler == 0));
-    CHECK(std::get<Setup>(read).peers.bytes_per_s == 12000);
+    const auto read = ParseProgramSettings(ScaleSettingsOf(spec, pooler, {0, 1, 2}, 0));
+    REQUIRE(std::holds_alternative<ProgramSettings>(read));
+    CHECK(std::get<ProgramSettings>(read).peers.owner == (pooler == 0));
+    CHECK(std::get<ProgramSettings>(read).peers.bytes_per_s == 12000);
   }
 }
 
@@ -349,18 +349,18 @@
 
 // Takes all that is sent and answers when it is told to.
 struct Silent final : proxy::Backends {
-  void Send(RequestId request, AttemptNumber attempt, MemberId member, std::shared_ptr<const proxy::Work>,
+  void Send(RequestId request, AttemptNumber attempt, ServerId member, std::shared_ptr<const proxy::Work>,
             proxy::SendTimes) override {
     sent.push_back({request, attempt, member});
   }
   void Cancel(RequestId, AttemptNumber) override {}
   void Drop(RequestId) override {}
-  void Probe(MemberId) override {}
-  void CloseIdle(MemberId) override {}
+  void Probe(ServerId) override {}
+  void CloseIdle(ServerId) override {}
   struct Sent {
     RequestId request;
     AttemptNumber attempt;
-    MemberId member;
+    ServerId member;
   };
   std::vector<Sent> sent;
 };
@@ -383,14 +383,14 @@
     spec.poolers = 1;
     spec.udp = {1};
     spec.discovery = 1;  // nobody answers there
-    auto read = ReadConfig(ScaleConfigOf(spec, 0, 1));
-    config = std::move(std::get<Config>(read));
+    auto read = ParsePlatformConfig(ScaleConfigOf(spec, 0, 1));
+    config = std::move(std::get<PlatformConfig>(read));
     config.known =
         R"({"rev":3,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:9","az":"a","pod_group":1,)"
         R"("state":"Ready","capacity_hint":1.0}]})";
     Instance::Host host;
-    host.address = [this](MemberId, const net::Address& address) { ports.push_back(address.port); };
-    host.forget = [](MemberId) {};
+    host.address = [this](ServerId, const net::Address& address) { ports.push_back(address.port); };
+    host.forget = [](ServerId) {};
     instance = std::make_unique<Instance>(loop, config, setup, backends, host);
   }
   void Ask(Duration time, ClassIndex cls = kHistoryRead) {
@@ -408,8 +408,8 @@
     loop.Run();
   }
   net::Loop loop;
-  Config config;
-  Setup setup;
+  PlatformConfig config;
+  ProgramSettings setup;
   Silent backends;
   Told client;
   RequestId id{};
@@ -428,7 +428,7 @@
   proxy::AttemptEnd end;
   end.request = seam.backends.sent[0].request;
   end.attempt = seam.backends.sent[0].attempt;
-  end.member = seam.backends.sent[0].member;
+  end.server = seam.backends.sent[0].member;
   end.outcome = Outcome::kOk;
   end.answer.emplace();
   static_cast<proxy::BackendEvents&>(seam.instance->proxy()).OnAttemptEnd(end);
@@ -452,14 +452,14 @@
   Seam seam;
   REQUIRE(seam.instance->Start() == "");
   proxy::Proxy::Waits waits;
-  waits.safe = [](GroupId, consistency::Key, std::function<void()>) { return true; };  // it never is
+  waits.safe = [](GroupId, consistency::SessionKey, std::function<void()>) { return true; };  // it never is
   seam.instance->proxy().SetWaits(std::move(waits));
   seam.Ask(Duration(400000), kMatchWrite);
   REQUIRE(seam.backends.sent.size() == 1);
   proxy::AttemptEnd end;
   end.request = seam.backends.sent[0].request;
   end.attempt = seam.backends.sent[0].attempt;
-  end.member = seam.backends.sent[0].member;
+  end.server = seam.backends.sent[0].member;
   end.outcome = Outcome::kOk;
   end.note.primary = true;
   end.note.position = seam.loop.Now();
@@ -481,20 +481,20 @@
     spec.udp = {FreePort(true), FreePort(true)};
     spec.discovery = 1;  // nobody answers there
     for (std::size_t i = 0; i < 2; ++i) {
-      auto read = ReadConfig(ScaleConfigOf(spec, static_cast<int>(i), 1));
-      config[i] = std::move(std::get<Config>(read));
-      auto settings = ReadSetup(ScaleSettingsOf(spec, static_cast<int>(i), {0, 1}, 0));
-      setup[i] = std::move(std::get<Setup>(settings));
+      auto read = ParsePlatformConfig(ScaleConfigOf(spec, static_cast<int>(i), 1));
+      config[i] = std::move(std::get<PlatformConfig>(read));
+      auto settings = ParseProgramSettings(ScaleSettingsOf(spec, static_cast<int>(i), {0, 1}, 0));
+      setup[i] = std::move(std::get<ProgramSettings>(settings));
       Instance::Host host;
-      host.address = [](MemberId, const net::Address&) {};
-      host.forget = [](MemberId) {};
-      host.make_peers = [this, members_only](replication::Parts parts) {
+      host.address = [](ServerId, const net::Address&) {};
+      host.forget = [](ServerId) {};
+      host.make_peers = [this, members_only](replication::ReplicationContext parts) {
         parts.passes = [this](const std::string& address) {
           asked.insert(address);
           return !cut;
         };
         parts.members_only = members_only;
-        return replication::Load(std::move(parts));
+        return replication::LoadReplicationModule(std::move(parts));
       };
       instance[i] = std::make_unique<Instance>(loop, config[i], setup[i], backends, host);
       const std::string fault = instance[i]->Start();
@@ -512,14 +512,14 @@
     return holds();
   }
   const replication::Traffic& Of(std::size_t i) const { return instance[i]->peers()->traffic(); }
-  static constexpr auto kMembers = static_cast<std::size_t>(replication::Kind::kMembership);
-  static constexpr auto kMarks = static_cast<std::size_t>(replication::Kind::kMarks);
+  static constexpr auto kMembers = static_cast<std::size_t>(replication::TrafficKind::kMembership);
+  static constexpr auto kMarks = static_cast<std::size_t>(replication::TrafficKind::kMarks);
 
   net::Loop loop;
   Folder folder;
   ScaleSpec spec;
-  std::array<Config, 2> config;
-  std::array<Setup, 2> setup;
+  std::array<PlatformConfig, 2> config;
+  std::array<ProgramSettings, 2> setup;
   Silent backends;
   bool cut = false;
   std::set<std::string> asked;
