--- /dev/null
+++ b/tests/replication/former_version_packets_test.cpp
@@ -0,0 +1,189 @@
+// Packets encoded by the version 04cc240: the same fields make the same bytes, and a signed datagram is
+// accepted.
+#include <doctest/doctest.h>
+
+#include <fstream>
+#include <map>
+#include <string>
+#include <variant>
+
+#include "replication/datagram_authenticator.h"
+#include "replication/packet.pb.h"
+
+namespace lynxgrade::replication {
+namespace {
+
+std::string FromHex(const std::string& hex) {
+  std::string bytes;
+  for (std::size_t i = 0; i < hex.size(); i += 2) {
+    bytes += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
+  }
+  return bytes;
+}
+
+std::string ReadFixture(const std::string& name) {
+  std::ifstream file(std::string(REPLICATION_FIXTURES) + "/packets.hex");
+  REQUIRE(file);
+  std::map<std::string, std::string> packets;
+  for (std::string key, hex; file >> key >> hex;) packets[key] = FromHex(hex);
+  REQUIRE(packets.contains(name));
+  return packets[name];
+}
+
+void FillMember(proto::Member& member, unsigned number) {
+  member.set_name("n" + std::to_string(number));
+  member.set_incarnation_id(0x1000 + number);
+  member.set_started_us(1'700'000'000'000'000 + number);
+  member.set_address("127.0.0.1:700" + std::to_string(number));
+  member.set_incarnation(3 + number);
+  member.set_state(static_cast<proto::Member::State>(number % 4));
+  member.set_accuser(0x2000 + number);
+  member.set_speaks(2);
+  member.set_owns(number == 1);
+  member.set_understands(6);
+}
+
+proto::Packet PacketWithSender() {
+  proto::Packet packet;
+  packet.set_version(1);
+  FillMember(*packet.mutable_sender(), 1);
+  packet.set_counter(7);
+  return packet;
+}
+
+void FillWatermark(proto::WriteWatermark& watermark, std::uint64_t key, std::int64_t group,
+                   std::int64_t position_us, std::uint32_t server) {
+  watermark.set_key(key);
+  watermark.set_group(group);
+  watermark.set_position_us(position_us);
+  watermark.set_by(server);
+}
+
+TEST_CASE("a ping with gossip has the bytes of the former version") {
+  proto::Packet packet = PacketWithSender();
+  packet.mutable_ping()->set_nonce(11);
+  packet.set_view(0xABCD);
+  packet.set_stands(true);
+  packet.set_block_ages("x");
+  for (const unsigned number : {2u, 3u, 4u}) FillMember(*packet.add_rumours(), number);
+  CHECK(packet.SerializeAsString() == ReadFixture("ping"));
+}
+
+TEST_CASE("an indirect ping, its acknowledgement and its Nack have the bytes of the former version") {
+  proto::Packet request = PacketWithSender();
+  request.mutable_ping_for()->set_address("127.0.0.1:7009");
+  request.mutable_ping_for()->set_nonce(12);
+  CHECK(request.SerializeAsString() == ReadFixture("ping_for"));
+  proto::Packet ack = PacketWithSender();
+  ack.mutable_ack()->set_nonce(13);
+  ack.set_view(5);
+  ack.set_stands(true);
+  ack.set_ages(std::string("\x00\x01\xff", 3));
+  CHECK(ack.SerializeAsString() == ReadFixture("ack"));
+  proto::Packet nack = PacketWithSender();
+  nack.mutable_nack()->set_nonce(14);
+  CHECK(nack.SerializeAsString() == ReadFixture("nack"));
+}
+
+TEST_CASE("a delta of watermarks has the bytes of the former version") {
+  proto::Packet packet = PacketWithSender();
+  proto::Delta& delta = *packet.mutable_delta();
+  delta.set_first(21);
+  delta.set_upto(23);
+  delta.set_stamp_us(24);
+  delta.set_echo_incarnation_id(25);
+  delta.set_echo_stamp_us(26);
+  delta.set_have_incarnation_id(27);
+  delta.set_have(28);
+  delta.set_solicit(true);
+  delta.set_recovered(true);
+  FillWatermark(*delta.add_watermarks(), 0x31, -32, 33, 34);
+  CHECK(packet.SerializeAsString() == ReadFixture("delta"));
+}
+
+TEST_CASE("a chunk of a snapshot transfer and its acknowledgement have the bytes of the former version") {
+  proto::Packet packet = PacketWithSender();
+  proto::Chunk& chunk = *packet.mutable_chunk();
+  chunk.set_sync(41);
+  chunk.set_from(42);
+  chunk.set_to(43);
+  chunk.set_whole(44);
+  chunk.set_upto(45);
+  chunk.set_forgotten_us(46);
+  FillWatermark(*chunk.add_watermarks(), 0x47, 48, -49, 50);
+  CHECK(packet.SerializeAsString() == ReadFixture("chunk"));
+  proto::Packet ack = PacketWithSender();
+  ack.mutable_chunk_ack()->set_sync(51);
+  ack.mutable_chunk_ack()->set_next(52);
+  CHECK(ack.SerializeAsString() == ReadFixture("chunk_ack"));
+}
+
+TEST_CASE("a primary timeline has the bytes of the former version") {
+  proto::Packet packet = PacketWithSender();
+  proto::TimelineRecord& timeline = *packet.add_timelines();
+  timeline.set_group(-61);
+  timeline.set_primary(62);
+  timeline.set_since_us(63);
+  timeline.set_held_us(64);
+  timeline.set_confirmed_us(65);
+  CHECK(packet.SerializeAsString() == ReadFixture("reigns"));
+}
+
+TEST_CASE("a membership digest has the bytes of the former version") {
+  proto::Packet packet = PacketWithSender();
+  proto::Roll& digest = *packet.mutable_roll();
+  digest.set_from(71);
+  digest.set_to(72);
+  proto::Roll::Entry& entry = *digest.add_entries();
+  entry.set_incarnation_id(73);
+  entry.set_incarnation(74);
+  entry.set_state(proto::Member::DEAD);
+  CHECK(packet.SerializeAsString() == ReadFixture("roll"));
+}
+
+TEST_CASE("lease messages of each kind have the bytes of the former version") {
+  proto::Packet packet;
+  packet.set_version(1);
+  packet.mutable_sender()->set_incarnation_id(0x81);
+  packet.set_counter(82);
+  proto::LeaseBatch& batch = *packet.mutable_directory();
+  batch.set_view_for_incarnation_id(83);
+  batch.set_relay_to("127.0.0.1:7084");
+  batch.set_origin_incarnation_id(85);
+  batch.set_reigns_wanted(true);
+  batch.set_by_way(true);
+  for (unsigned kind = 0; kind < 4; ++kind) {
+    proto::LeaseBatch::Entry& entry = *batch.add_entries();
+    entry.set_kind(static_cast<proto::LeaseBatch::Kind>(kind));
+    entry.set_key(90 + kind);
+    entry.set_group(91 + kind);
+    entry.set_id(92 + kind);
+    entry.set_serial(93 + kind);
+    entry.set_floor_age_ms(94 + kind);
+    entry.set_mark_ms(95 + kind);
+    entry.set_mark_by(96 + kind);
+    entry.set_forgotten_ms(97 + kind);
+    entry.set_origin(98 + kind);
+    entry.set_to(99 + kind);
+  }
+  CHECK(packet.SerializeAsString() == ReadFixture("directory"));
+  CHECK(proto::LeaseBatch::ACQUIRE == 0);
+  CHECK(proto::LeaseBatch::GRANT == 1);
+  CHECK(proto::LeaseBatch::REVOKE == 2);
+  CHECK(proto::LeaseBatch::RELEASE == 3);
+}
+
+TEST_CASE("a datagram signed by the former version is accepted, and signed alike") {
+  const auto keys = std::get<std::vector<SharedKey>>(ReadKeys("7 " + std::string(64, 'a')));
+  DatagramAuthenticator receiver(keys), sender(keys);
+  const std::string datagram = ReadFixture("datagram");
+  const auto opened = receiver.Open(datagram);
+  REQUIRE(std::holds_alternative<proto::Packet>(opened));
+  CHECK(std::get<proto::Packet>(opened).ping().nonce() == 11);
+  proto::Packet packet = PacketWithSender();
+  packet.mutable_ping()->set_nonce(11);
+  CHECK(sender.Seal(packet) == datagram);
+}
+
+}  // namespace
+}  // namespace lynxgrade::replication
