--- /dev/null
+++ b/src/replication/lease_transport.cpp
@@ -0,0 +1,206 @@
+#include "replication/lease_transport.h"
+
+#include <set>
+#include <tuple>
+#include <utility>
+
+#include "replication/packet_codec.h"
+#include "replication/packet_limits.h"
+
+namespace lynxgrade::replication {
+namespace {
+
+// A message that was sent so often without an answer is sent through another peer as well: the link may be
+// cut.
+constexpr int kDirectAttempts = 3;
+// An incarnation whose packet came through another peer is answered through it for so long.
+constexpr Duration kDetourLifetime{2000000};
+
+lease::SessionLeaseClient::Options ClientOptions(lease::SessionLeaseClient::Options options,
+                                                 const membership::Swim& swim, std::size_t fleet_size) {
+  options.self = swim.self().incarnation_id();
+  options.proof = swim.proof();
+  options.alone = fleet_size == 1;
+  return options;
+}
+
+lease::LeaseMessageRelay::Options RelayOptions(const lease::SessionLeaseClient::Options& options,
+                                               const membership::Swim& swim) {
+  lease::LeaseMessageRelay::Options relay;
+  relay.self = swim.self().incarnation_id();
+  relay.coalesce = options.coalesce;
+  return relay;
+}
+
+TimePoint StartOf(const proto::Member& member) {
+  return PositionFromMicroseconds(static_cast<std::int64_t>(member.started_us()));
+}
+
+}  // namespace
+
+consistency::SessionWatermarkTable::Known LeaseTransport::GuardWatermarks::Newest(
+    consistency::SessionKey key) const {
+  return consistency_guard_.watermark_table().Find(key);
+}
+
+void LeaseTransport::GuardWatermarks::Learn(consistency::SessionKey key,
+                                            const consistency::WriteWatermark& watermark) {
+  consistency_guard_.Learn(std::nullopt, key, watermark);
+}
+
+LeaseTransport::LeaseTransport(lease::SessionLeaseClient::Options options,
+                               const LeaseView::Options& view_options, const membership::Swim& swim,
+                               PeerLinks& links, consistency::SessionConsistencyGuard& consistency_guard,
+                               ReplicationCounts& counts)
+    : links_(links),
+      consistency_guard_(consistency_guard),
+      counts_(counts),
+      watermarks_(consistency_guard),
+      client_(ClientOptions(options, swim, view_options.fleet_size), watermarks_, StartOf(swim.self())),
+      relay_(RelayOptions(options, swim)),
+      view_(view_options, swim, links, client_, relay_),
+      timelines_(consistency_guard),
+      bootstrap_(links, consistency_guard) {}
+
+void LeaseTransport::Tick(TimePoint now, Outbox& outbox) {
+  view_.Update(now, LeaseView::Completeness::kSkip);
+  lease::LeaseOutbox messages;
+  client_.Tick(now, messages);
+  SendMessages(now, messages, outbox);
+  Legs due;
+  relay_.Due(now, due);
+  SendLegs(now, due, outbox);
+  bootstrap_.Tick(now, outbox);
+}
+
+std::optional<LogPosition> LeaseTransport::CompleteThrough(TimePoint now, consistency::SessionKey key) {
+  view_.Update(now, LeaseView::Completeness::kCheck);
+  return client_.Exact(now, key);
+}
+
+bool LeaseTransport::MayAnswerWrite(TimePoint now, consistency::SessionKey key) {
+  view_.Update(now, LeaseView::Completeness::kSkip);
+  return client_.MayAnswer(now, key);
+}
+
+bool LeaseTransport::MayServe(TimePoint now) {
+  view_.Update(now, LeaseView::Completeness::kSkip);
+  return client_.Declared() || !client_.Bound(now);
+}
+
+bool LeaseTransport::Acquire(TimePoint now, GroupId group, consistency::SessionKey key,
+                             lease::SessionLeaseClient::Use use, Outbox& outbox) {
+  view_.Update(now, LeaseView::Completeness::kCheck);
+  lease::LeaseOutbox messages;
+  const bool expected = client_.Want(now, group, key, use, messages);
+  SendMessages(now, messages, outbox);
+  return expected;
+}
+
+void LeaseTransport::Forward(const proto::Packet& packet, Outbox& outbox) const {
+  const proto::LeaseBatch& batch = packet.directory();
+  membership::Out forwarded = LeasePacketTo(batch.relay_to(), links_.self_incarnation_id());
+  proto::LeaseBatch& forwarded_batch = *forwarded.packet.mutable_directory();
+  forwarded_batch = batch;
+  forwarded_batch.clear_relay_to();
+  forwarded_batch.set_origin_incarnation_id(packet.sender().incarnation_id());
+  *forwarded.packet.mutable_timelines() = packet.timelines();
+  outbox.push_back(std::move(forwarded));
+}
+
+void LeaseTransport::HandlePacket(TimePoint now, const std::string& sender_address,
+                                  const proto::Packet& packet, Outbox& outbox) {
+  const proto::LeaseBatch& batch = packet.directory();
+  if (!batch.relay_to().empty()) return Forward(packet, outbox);
+  lease::IncarnationId origin = packet.sender().incarnation_id();
+  if (batch.origin_incarnation_id() != 0) {
+    origin = batch.origin_incarnation_id();
+    std::erase_if(detours_, [now](const auto& detour) { return detour.second.until < now; });
+    detours_[origin] = {sender_address, now + kDetourLifetime};
+  }
+  view_.Update(now, LeaseView::Completeness::kCheck);
+  LearnTimelines(packet, consistency_guard_);
+  const std::uint64_t view = BindViewTo(links_.self_incarnation_id(), batch.view_for_incarnation_id());
+  lease::LeaseOutbox responses;
+  Legs legs;
+  for (const proto::LeaseBatch::Entry& entry : batch.entries()) {
+    if (!IsKnownKind(entry.kind())) continue;
+    Leg leg;
+    leg.message = LeaseMessageFrom(entry, view);
+    leg.by_way = batch.by_way();
+    leg.origin = entry.origin();
+    leg.pass_to = entry.to();
+    const lease::IncarnationId author = relay_.Take(now, origin, leg, legs);
+    if (author != 0) client_.Take(now, author, leg.message, responses);
+  }
+  SendLegs(now, legs, outbox);
+  SendMessages(now, responses, outbox);
+  if (batch.reigns_wanted()) bootstrap_.SendAll(sender_address, outbox);
+}
+
+void LeaseTransport::SendMessages(TimePoint now, const lease::LeaseOutbox& messages, Outbox& outbox) {
+  Legs legs;
+  for (const lease::OutgoingLeaseMessage& message : messages) relay_.Post(now, message, legs);
+  SendLegs(now, legs, outbox);
+}
+
+void LeaseTransport::SendLegs(TimePoint now, const Legs& legs, Outbox& outbox) {
+  using Destination =
+      std::tuple<lease::IncarnationId, std::uint64_t, bool>;  // receiver, view, whether relayed
+  std::map<Destination, std::vector<const Leg*>> batches;
+  std::set<lease::IncarnationId> unanswered;
+  for (const Leg& leg : legs) {
+    batches[{leg.to, leg.message.view, leg.by_way}].push_back(&leg);
+    if (leg.tries >= kDirectAttempts) unanswered.insert(leg.to);
+  }
+  for (const auto& [destination, batch] : batches) {
+    const lease::IncarnationId receiver = std::get<0>(destination);
+    const std::string* address = links_.incarnations().AddressOf(receiver);
+    if (address == nullptr) continue;  // the client repeats its request, or the lease expires
+    for (std::size_t next = 0; next < batch.size();) {
+      membership::Out packet = Pack(now, *address, batch, next);
+      Send(now, receiver, unanswered.contains(receiver), std::move(packet), outbox);
+    }
+  }
+}
+
+// One packet for the receiver of `legs`, from number `next` on, which it moves forward.
+membership::Out LeaseTransport::Pack(TimePoint now, const std::string& address,
+                                     const std::vector<const Leg*>& legs, std::size_t& next) const {
+  const Leg& first = *legs[next];
+  membership::Out packed = LeasePacketTo(address, links_.self_incarnation_id());
+  proto::LeaseBatch& batch = *packed.packet.mutable_directory();
+  batch.set_view_for_incarnation_id(BindViewTo(first.to, first.message.view));
+  batch.set_by_way(first.by_way);
+  for (; next < legs.size() && static_cast<std::size_t>(batch.entries_size()) < kLeaseMessagesPerPacket;
+       ++next) {
+    const Leg& leg = *legs[next];
+    proto::LeaseBatch::Entry& entry = *batch.add_entries();
+    entry.set_origin(leg.origin);
+    entry.set_to(leg.pass_to);
+    EncodeLeaseMessage(leg.message, entry);
+    if (leg.message.watermark) timelines_.AppendIfRecent(now, leg.message.group, packed.packet);
+  }
+  return packed;
+}
+
+void LeaseTransport::Send(TimePoint now, lease::IncarnationId receiver, bool unanswered,
+                          membership::Out packet, Outbox& outbox) {
+  ++counts_.packets_sent;
+  ++counts_.lease_packets_sent;
+  if (const std::string detour = DetourTo(now, receiver, unanswered); !detour.empty()) {
+    membership::Out relayed = packet;
+    relayed.packet.mutable_directory()->set_relay_to(std::exchange(relayed.address, detour));
+    outbox.push_back(std::move(relayed));
+  }
+  outbox.push_back(std::move(packet));
+}
+
+// The address of a peer that is to forward a copy; empty: none is needed, or there is none.
+std::string LeaseTransport::DetourTo(TimePoint now, lease::IncarnationId receiver, bool unanswered) {
+  const auto known = detours_.find(receiver);
+  if (known != detours_.end() && now <= known->second.until) return known->second.address;
+  return unanswered ? links_.NextLeasePeer(receiver) : std::string();
+}
+
+}  // namespace lynxgrade::replication
--- /dev/null
+++ b/src/replication/outbox.h
@@ -0,0 +1,14 @@
+// The packets that an instance is about to send, with the address of each receiver.
+#pragma once
+
+#include <vector>
+
+#include "membership/swim.h"
+
+namespace lynxgrade::replication {
+
+// In the order in which they are to be sent. The caller of the engine owns it, sends what it holds and clears
+// it.
+using Outbox = std::vector<membership::Out>;
+
+}  // namespace lynxgrade::replication
--- /dev/null
+++ b/src/replication/packet_codec.cpp
@@ -0,0 +1,134 @@
+#include "replication/packet_codec.h"
+
+#include <algorithm>
+#include <optional>
+
+namespace lynxgrade::replication {
+namespace {
+
+// An age above one day is sent as one day: a younger age makes the receiver assume a later position, which is
+// safe.
+constexpr std::uint64_t kLargestAgeMs = 86'400'000;
+// The largest position whose microseconds still fit into a LogPosition.
+constexpr std::uint64_t kLargestPositionMs = 9'000'000'000'000'000;
+constexpr std::int64_t kMicrosecondsPerMillisecond = 1000;
+
+// Rounded up; a position before 1970 becomes zero, which means none.
+std::uint64_t MillisecondsRoundedUp(LogPosition position) {
+  const std::int64_t rounded = MicrosecondsOf(position) + kMicrosecondsPerMillisecond - 1;
+  return static_cast<std::uint64_t>(std::max<std::int64_t>(0, rounded) / kMicrosecondsPerMillisecond);
+}
+
+LogPosition PositionFromMilliseconds(std::uint64_t milliseconds) {
+  const std::uint64_t clamped = std::min(milliseconds, kLargestPositionMs);
+  return PositionFromMicroseconds(static_cast<std::int64_t>(clamped) * kMicrosecondsPerMillisecond);
+}
+
+// Zero stands for a server that is not known.
+std::uint32_t EncodeServer(std::optional<ServerId> server) {
+  return server ? static_cast<std::uint32_t>(*server) : 0;
+}
+
+std::optional<ServerId> ServerFrom(std::uint32_t encoded) {
+  if (encoded == 0) return std::nullopt;
+  return ServerId(encoded);
+}
+
+// The finalizer of splitmix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number Generators", 2014).
+std::uint64_t MixBits(std::uint64_t value) {
+  value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9ull;
+  value = (value ^ (value >> 27)) * 0x94D049BB133111EBull;
+  return value ^ (value >> 31);
+}
+
+}  // namespace
+
+std::int64_t MicrosecondsOf(LogPosition position) { return position.time_since_epoch().count(); }
+
+LogPosition PositionFromMicroseconds(std::int64_t microseconds) {
+  return LogPosition(Duration(microseconds));
+}
+
+consistency::WriteWatermark WatermarkFrom(const proto::WriteWatermark& encoded) {
+  return {PositionFromMicroseconds(encoded.position_us()), ServerFrom(encoded.by())};
+}
+
+void EncodeWatermark(consistency::SessionKey key, const consistency::WriteWatermark& watermark,
+                     proto::WriteWatermark& encoded) {
+  encoded.set_key(static_cast<std::uint64_t>(key));
+  encoded.set_position_us(MicrosecondsOf(watermark.position));
+  encoded.set_by(EncodeServer(watermark.by));
+}
+
+void EncodeTimeline(GroupId group, const consistency::PrimaryTimeline& timeline,
+                    proto::TimelineRecord& encoded) {
+  encoded.set_group(static_cast<std::int64_t>(group));
+  encoded.set_primary(static_cast<std::uint32_t>(*timeline.primary()));
+  encoded.set_since_us(MicrosecondsOf(timeline.since()));
+  encoded.set_held_us(MicrosecondsOf(timeline.held()));
+  encoded.set_confirmed_us(MicrosecondsOf(timeline.confirmed()));
+}
+
+void LearnTimelines(const proto::Packet& packet, consistency::SessionConsistencyGuard& consistency_guard) {
+  for (const proto::TimelineRecord& timeline : packet.timelines()) {
+    consistency_guard.LearnReign(GroupId(timeline.group()), ServerId(timeline.primary()),
+                                 PositionFromMicroseconds(timeline.since_us()),
+                                 PositionFromMicroseconds(timeline.held_us()),
+                                 PositionFromMicroseconds(timeline.confirmed_us()));
+  }
+}
+
+membership::Out LeasePacketTo(const std::string& address, lease::IncarnationId sender) {
+  membership::Out outgoing{address, {}};
+  outgoing.packet.set_version(1);
+  outgoing.packet.mutable_sender()->set_incarnation_id(sender);
+  outgoing.packet.mutable_directory();
+  return outgoing;
+}
+
+std::uint64_t BindViewTo(lease::IncarnationId receiver, std::uint64_t view) {
+  return view ^ MixBits(receiver);
+}
+
+void EncodeLeaseMessage(const lease::LeaseMessage& message, proto::LeaseBatch::Entry& encoded) {
+  encoded.set_kind(static_cast<proto::LeaseBatch::Kind>(message.kind));
+  encoded.set_key(static_cast<std::uint64_t>(message.key));
+  encoded.set_group(static_cast<std::int64_t>(message.group));
+  encoded.set_id(message.id);
+  encoded.set_serial(message.serial);
+  if (message.floor_age) {
+    const auto age_ms = static_cast<std::uint64_t>(message.floor_age->count()) / kMicrosecondsPerMillisecond;
+    encoded.set_floor_age_ms(std::min(age_ms, kLargestAgeMs));
+  }
+  if (message.watermark) {
+    encoded.set_mark_ms(MillisecondsRoundedUp(message.watermark->position));
+    encoded.set_mark_by(EncodeServer(message.watermark->by));
+  }
+  if (message.forgotten) encoded.set_forgotten_ms(MillisecondsRoundedUp(*message.forgotten));
+}
+
+lease::LeaseMessage LeaseMessageFrom(const proto::LeaseBatch::Entry& encoded, std::uint64_t view) {
+  lease::LeaseMessage message;
+  message.kind = static_cast<lease::LeaseMessage::Kind>(encoded.kind());
+  message.view = view;
+  message.key = consistency::SessionKey(encoded.key());
+  message.group = GroupId(encoded.group());
+  message.id = encoded.id();
+  message.serial = encoded.serial();
+  if (encoded.has_floor_age_ms()) {
+    const std::uint64_t age_ms = std::min(std::uint64_t{encoded.floor_age_ms()}, kLargestAgeMs);
+    message.floor_age = Duration(static_cast<std::int64_t>(age_ms) * kMicrosecondsPerMillisecond);
+  }
+  if (encoded.mark_ms() != 0) {
+    message.watermark = consistency::WriteWatermark{PositionFromMilliseconds(encoded.mark_ms()),
+                                                    ServerFrom(encoded.mark_by())};
+  }
+  if (encoded.forgotten_ms() != 0) message.forgotten = PositionFromMilliseconds(encoded.forgotten_ms());
+  return message;
+}
+
+bool IsKnownKind(proto::LeaseBatch::Kind kind) {
+  return kind >= proto::LeaseBatch::ACQUIRE && kind <= proto::LeaseBatch::RELEASE;
+}
+
+}  // namespace lynxgrade::replication
--- /dev/null
+++ b/src/replication/replication_engine.cpp
@@ -0,0 +1,121 @@
+#include "replication/replication_engine.h"
+
+#include <utility>
+
+#include "replication/packet_codec.h"
+
+namespace lynxgrade::replication {
+namespace {
+
+// A dead peer gets a delta once in so many probe periods.
+constexpr int kDeadPeerProbePeriods = 5;
+
+membership::Swim::Options SwimOptions(const ReplicationEngine::Options& options) {
+  membership::Swim::Options swim = options.swim;
+  if (options.leases) swim.speaks = kLeaseProtocolVersion;
+  swim.owns = swim.owns && options.leases;  // only who uses leases can manage them
+  return swim;
+}
+
+WatermarkReplicator::Options WatermarkOptions(const ReplicationEngine::Options& options,
+                                              ReplicationEngine::Recovery recovery) {
+  return {.flush_interval = options.flush_interval,
+          .idle_interval = options.idle_interval,
+          .dead_peer_interval = options.swim.period * kDeadPeerProbePeriods,
+          .retained_watermarks = options.retained_watermarks,
+          .packets_per_s = options.packets_per_s,
+          .recovery = recovery};
+}
+
+}  // namespace
+
+ReplicationEngine::ReplicationEngine(const Options& options, proto::Member self,
+                                     std::vector<std::string> seeds, Recovery recovery,
+                                     consistency::SessionConsistencyGuard& consistency_guard,
+                                     std::uint64_t seed)
+    : options_(options),
+      swim_(SwimOptions(options), std::move(self), std::move(seeds), seed),
+      links_(swim_, consistency_guard, options.leases ? LeaseMode::kEnabled : LeaseMode::kDisabled, seed),
+      sender_(swim_, counts_),
+      watermarks_(WatermarkOptions(options, recovery), swim_, links_, sender_, consistency_guard, counts_),
+      consistency_guard_(consistency_guard) {
+  if (!options.leases) return;
+  const LeaseView::Options view{.fleet_size = options.swim.size, .proven = options.swim.proven};
+  leases_ =
+      std::make_unique<LeaseTransport>(*options.leases, view, swim_, links_, consistency_guard, counts_);
+}
+
+void ReplicationEngine::RecordWrite(GroupId group, consistency::SessionKey key,
+                                    const consistency::WriteWatermark& watermark) {
+  if (leases_ != nullptr && !links_.HasWatermarkReceivers()) return watermarks_.RecordUnretained();
+  watermarks_.Record({group, key, watermark});
+}
+
+void ReplicationEngine::Tick(TimePoint now, Outbox& outbox) {
+  swim_.Tick(now, outbox);
+  links_.FollowMembership(now);
+  if (leases_ != nullptr) leases_->Tick(now, outbox);
+  if (options_.membership_only || !links_.HasWatermarkReceivers()) return;
+  watermarks_.Tick(now, outbox);
+}
+
+bool ReplicationEngine::PollPeers(TimePoint now, Outbox& outbox) {
+  return options_.membership_only || watermarks_.PollPeers(now, outbox);
+}
+
+void ReplicationEngine::HandlePacket(TimePoint now, const std::string& sender_address,
+                                     const proto::Packet& packet, Outbox& outbox) {
+  using Completeness = LeaseView::Completeness;
+  if (packet.has_directory() && leases_ != nullptr)
+    leases_->HandlePacket(now, sender_address, packet, outbox);
+  if (packet.sender().name().empty()) return;
+  // The client has to see an acknowledgement that expired before this one came, or the view would seem to
+  // have been complete without a break.
+  const bool acknowledges = packet.has_ack() || packet.has_nack();
+  if (leases_ != nullptr && acknowledges) leases_->view().Update(now, Completeness::kCheck);
+  swim_.Take(now, sender_address, packet, outbox);
+  links_.FollowMembership(now);
+  if (leases_ != nullptr) {
+    if (acknowledges) leases_->view().Invalidate();
+    leases_->view().Update(now, acknowledges ? Completeness::kCheck : Completeness::kSkip);
+  }
+  PeerLink* link = links_.LinkOfSender(now, packet.sender());
+  if (link == nullptr) return;
+  LearnTimelines(packet, consistency_guard_);
+  watermarks_.HandlePacket(now, sender_address, packet, *link, outbox);
+}
+
+std::optional<LogPosition> ReplicationEngine::CompleteThrough(TimePoint now, consistency::SessionKey key) {
+  if (leases_ == nullptr) return std::nullopt;
+  return leases_->CompleteThrough(now, key);
+}
+
+bool ReplicationEngine::MayAnswerWrite(TimePoint now, consistency::SessionKey key) {
+  return leases_ == nullptr || leases_->MayAnswerWrite(now, key);
+}
+
+bool ReplicationEngine::AcquireLease(TimePoint now, GroupId group, consistency::SessionKey key,
+                                     lease::SessionLeaseClient::Use use, Outbox& outbox) {
+  return leases_ != nullptr && leases_->Acquire(now, group, key, use, outbox);
+}
+
+bool ReplicationEngine::MayServe(TimePoint now) { return leases_ == nullptr || leases_->MayServe(now); }
+
+void ReplicationEngine::ChargeBandwidth(TimePoint now, std::size_t bytes) {
+  if (leases_ != nullptr) leases_->ChargeBandwidth(now, bytes);
+}
+
+const lease::SessionLeaseClient* ReplicationEngine::lease_client() const {
+  return leases_ == nullptr ? nullptr : &leases_->client();
+}
+
+const lease::LeaseMessageRelay* ReplicationEngine::lease_relay() const {
+  return leases_ == nullptr ? nullptr : &leases_->relay();
+}
+
+void ReplicationEngine::OnLog(const std::function<void(std::string)>& log) {
+  links_.OnLog(log);
+  watermarks_.OnLog(log);
+}
+
+}  // namespace lynxgrade::replication
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -78,7 +78,7 @@
       complaints_(loop_) {}
 
 UdpReplicationService::~UdpReplicationService() {
-  if (exchange_ != nullptr && exchange_->directory() != nullptr) consistency_guard_.SetHolding(nullptr);
+  if (engine_ != nullptr && engine_->lease_client() != nullptr) consistency_guard_.SetHolding(nullptr);
   if (socket_ != nullptr) loop_.poller().Remove(g_socket_get_fd(socket_.get()));
 }
 
@@ -108,13 +108,13 @@
   self.set_address(setup_.advertise ? TextOf(*setup_.advertise) : TextOf(bound.get()));
   std::vector<std::string> seeds;
   for (const net::Address& seed : setup_.seeds) seeds.push_back(TextOf(seed));
-  Exchange::Options options;
-  options.flush = setup_.flush;
-  options.members_only = members_only_;
+  ReplicationEngine::Options options;
+  options.flush_interval = setup_.flush;
+  options.membership_only = members_only_;
   options.swim.period = setup_.probe;
   options.swim.size = 1 + setup_.seeds.size();  // the settings name all others
   if (setup_.watermarks != ReplicationMode::kBroadcast) {
-    lease::SessionLeaseClient::Options& directory = options.directory.emplace();
+    lease::SessionLeaseClient::Options& directory = options.leases.emplace();
     directory.owner.recall = consistency_guard_.recall();
     directory.owner.entries = directory.holds =
         std::max(kLeastEntries, consistency_guard_.watermark_table().buckets() * 4);
@@ -135,10 +135,12 @@
     options.swim.proven = false;
     spdlog::warn("peers: members are plain: two parts may both hold themselves for the larger");
   }
-  exchange_ = std::make_unique<Exchange>(options, std::move(self), std::move(seeds), recovered_,
-                                         consistency_guard_, incarnation_id);
-  exchange_->OnLog([](const std::string& text) { spdlog::info("peers: {}", text); });
-  if (exchange_->directory() != nullptr) consistency_guard_.SetHolding(this);
+  engine_ = std::make_unique<ReplicationEngine>(
+      options, std::move(self), std::move(seeds),
+      recovered_ ? ReplicationEngine::Recovery::kComplete : ReplicationEngine::Recovery::kIncomplete,
+      consistency_guard_, incarnation_id);
+  engine_->OnLog([](const std::string& text) { spdlog::info("peers: {}", text); });
+  if (engine_->lease_client() != nullptr) consistency_guard_.SetHolding(this);
   loop_.poller().Add(g_socket_get_fd(socket_.get()), EPOLLIN, *this);
   // Not the pass, or the moment at which the loop was made: reading the state may have taken seconds since,
   // and the others would be given so much less to count this instance.
@@ -160,15 +162,15 @@
 
 bool UdpReplicationService::Ready() const {
   // What a former life may have promised is over soon, whoever is there.
-  if (!exchange_->MayServe(loop_.Precise())) return false;
-  if (exchange_->Joined() && exchange_->swim().unheard_seeds().empty()) return true;
+  if (!engine_->MayServe(loop_.Precise())) return false;
+  if (engine_->CountedByAllPeers() && engine_->swim().unheard_seeds().empty()) return true;
   return loop_.Now() - started_ >= setup_.join_within;
 }
 
 void UdpReplicationService::Tick() {
   {
     const Timed timed(*this);
-    exchange_->Tick(loop_.Precise(), out_);
+    engine_->Tick(loop_.Precise(), out_);
     Flush();
     TellPart();
     TellConflict();
@@ -181,7 +183,7 @@
   // A walk over all members: not on each tick.
   if (loop_.Now() - part_told_ < kTellPartEvery) return;
   part_told_ = loop_.Now();
-  const membership::QuorumTracker::Value value = exchange_->QuorumStateAt(loop_.Precise());
+  const membership::QuorumTracker::Value value = engine_->QuorumStateAt(loop_.Precise());
   if (value.part == part_) return;
   part_ = value.part;
   spdlog::info("peers: {}: {} of {} instances in reach, view {:016x}", membership::NameOf(part_), Reached(),
@@ -189,14 +191,14 @@
 }
 
 std::size_t UdpReplicationService::Reached() const {
-  const auto alive = std::ranges::count_if(exchange_->swim().peers(), [](const auto& item) {
+  const auto alive = std::ranges::count_if(engine_->swim().peers(), [](const auto& item) {
     return item.second.member.state() == proto::Member::ALIVE;
   });
   return 1 + static_cast<std::size_t>(alive);
 }
 
 void UdpReplicationService::TellConflict() {
-  const std::uint64_t conflicts = exchange_->swim().conflicts();
+  const std::uint64_t conflicts = engine_->swim().conflicts();
   std::uint64_t left_out = 0;
   if (conflicts == conflicts_ || !complaints_.Allows(left_out)) return;
   conflicts_ = conflicts;
@@ -207,7 +209,7 @@
 
 std::string UdpReplicationService::Describe() const {
   const TimePoint now = loop_.Precise();
-  const membership::Swim& swim = exchange_->swim();
+  const membership::Swim& swim = engine_->swim();
   membership::QuorumTracker quorum_tracker =
       swim.quorum_tracker();  // a look does not change what is said of it
   const membership::QuorumTracker::Value value = quorum_tracker.At(now);
@@ -228,10 +230,10 @@
                          {"unheard", swim.unheard_seeds()},
                          {"peers", nlohmann::json::array()}};
   if (value.until) json["proven_s"] = seconds(*value.until - now);
-  if (const lease::SessionLeaseClient* directory = exchange_->directory()) {
+  if (const lease::SessionLeaseClient* directory = engine_->lease_client()) {
     const auto& counts = directory->counts();
     const auto& granted = directory->owner().counts();
-    const auto& courier = exchange_->courier()->counts();
+    const auto& courier = engine_->lease_relay()->counts();
     json["directory"] = {{"owner", setup_.owner},       {"owners_set_aside", swim.owners().size()},
                          {"holds", directory->holds()}, {"entries", directory->owner().size()},
                          {"asks", counts.asks},         {"grants", counts.grants},
@@ -266,22 +268,23 @@
 }
 
 std::optional<LogPosition> UdpReplicationService::Exact(consistency::SessionKey key) {
-  return exchange_->Exact(loop_.Precise(), key);
+  return engine_->CompleteThrough(loop_.Precise(), key);
 }
 
 bool UdpReplicationService::Want(GroupId group, consistency::SessionKey key, bool write) {
   using Use = lease::SessionLeaseClient::Use;
   const Timed timed(*this);
-  const bool expected = exchange_->Want(loop_.Precise(), group, key, write ? Use::kWrite : Use::kRead, out_);
+  const bool expected =
+      engine_->AcquireLease(loop_.Precise(), group, key, write ? Use::kWrite : Use::kRead, out_);
   Flush();
   return expected;
 }
 
 bool UdpReplicationService::WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) {
-  if (exchange_->MayAnswer(loop_.Precise(), key)) return false;
+  if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
   Want(group, key, true);
   // Its owner may be this instance itself.
-  if (exchange_->MayAnswer(loop_.Precise(), key)) return false;
+  if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
   unheld_.push_back({group, key, std::move(call), loop_.Precise() + kMostWait});
   return true;
 }
@@ -291,7 +294,7 @@
   const TimePoint now = loop_.Precise();
   for (Unheld& one : std::exchange(unheld_, {})) {
     if (now >= one.until) continue;
-    if (exchange_->MayAnswer(loop_.Precise(), one.key)) {
+    if (engine_->MayAnswerWrite(loop_.Precise(), one.key)) {
       one.call();
       continue;
     }
@@ -307,20 +310,20 @@
 
 // Word that was asked for before a read came does not cover it: it is asked for again as soon as may be.
 void UdpReplicationService::Solicit() {
-  if (exchange_->directory() != nullptr) return;  // what there is to ask has been asked
+  if (engine_->lease_client() != nullptr) return;  // what there is to ask has been asked
   if (ask_again_.armed()) return;
   const Timed timed(*this);
   const TimePoint now = loop_.Precise();
-  if (!exchange_->Solicit(now, out_)) {
-    return ask_again_.Set(now + Exchange::kSolicitEvery, [this] { Solicit(); });
+  if (!engine_->PollPeers(now, out_)) {
+    return ask_again_.Set(now + ReplicationEngine::kMinPollInterval, [this] { Solicit(); });
   }
   Flush();
 }
 
 void UdpReplicationService::Leave() {
-  exchange_->Solicit(loop_.Precise() + Duration(1000000),
+  engine_->PollPeers(loop_.Precise() + Duration(1000000),
                      out_);  // the last marks go out whenever the last flush was
-  exchange_->Leave(loop_.Precise(), out_);
+  engine_->Leave(loop_.Precise(), out_);
   Flush();
 }
 
@@ -332,7 +335,7 @@
     if (passes_ && !passes_(out.address)) continue;
     const std::string datagram = envelope_->Seal(out.packet);
     Note(traffic_.out, out.packet, datagram.size());
-    exchange_->Spent(loop_.Precise(), datagram.size() + Traffic::kHeads);
+    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeads);
     // A datagram that cannot be sent now is a lost one.
     g_socket_send_to(socket_.get(), target.get(), datagram.data(), datagram.size(), nullptr, nullptr);
   }
@@ -365,10 +368,10 @@
   auto opened = envelope_->Open(datagram);
   if (const auto* packet = std::get_if<proto::Packet>(&opened)) {
     Note(traffic_.in, *packet, datagram.size());
-    exchange_->Spent(loop_.Precise(), datagram.size() + Traffic::kHeads);
+    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeads);
     // Not the time at which this pass began: the ages of words are told up to the moment of the answer, and
     // the process may have stood still in between.
-    return exchange_->Take(loop_.Precise(), from, *packet, out_);
+    return engine_->HandlePacket(loop_.Precise(), from, *packet, out_);
   }
   ++dropped_;
   std::uint64_t left_out = 0;
--- a/src/replication/udp_replication_service.h
+++ b/src/replication/udp_replication_service.h
@@ -13,7 +13,7 @@
 #include "net/log_limit.h"
 #include "net/loop.h"
 #include "replication/datagram_authenticator.h"
-#include "replication/exchange.h"
+#include "replication/replication_engine.h"
 #include "replication/replication_service.h"
 #include "settings/program_settings.h"
 
@@ -32,7 +32,7 @@
   void ReloadKeys() override;
   void Wrote(GroupId group, consistency::SessionKey key,
              const consistency::WriteWatermark& watermark) override {
-    exchange_->Wrote(group, key, watermark);
+    engine_->RecordWrite(group, key, watermark);
   }
   bool WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) override;
   void Solicit() override;
@@ -42,7 +42,7 @@
   const Traffic& traffic() const override { return traffic_; }
   Duration spent() const override { return Duration(spent_ns_ / 1000); }
   void Leave() override;
-  const Exchange& exchange() const { return *exchange_; }
+  const ReplicationEngine& engine() const { return *engine_; }
   std::uint64_t dropped() const { return dropped_; }
 
  private:
@@ -100,8 +100,8 @@
   Traffic traffic_;
   net::ObjectPtr<GSocket> socket_;
   std::unique_ptr<DatagramAuthenticator> envelope_;
-  std::unique_ptr<Exchange> exchange_;
-  std::vector<membership::Out> out_;
+  std::unique_ptr<ReplicationEngine> engine_;
+  Outbox out_;
   std::vector<Unheld> unheld_;
   net::Timer tick_;
   net::Timer ask_again_;
--- /dev/null
+++ b/src/replication/watermark_replicator.cpp
@@ -0,0 +1,189 @@
+#include "replication/watermark_replicator.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "replication/packet_codec.h"
+#include "replication/packet_limits.h"
+
+namespace lynxgrade::replication {
+namespace {
+
+constexpr int kDeltasPerFlush = 16;  // to one peer
+// Without an acknowledgement for so long watermarks are sent again.
+constexpr Duration kRetransmitTimeout{30000};
+
+}  // namespace
+
+WatermarkReplicator::WatermarkReplicator(const Options& options, const membership::Swim& swim,
+                                         PeerLinks& links, PacketSender& sender,
+                                         consistency::SessionConsistencyGuard& consistency_guard,
+                                         ReplicationCounts& counts)
+    : options_(options),
+      swim_(swim),
+      links_(links),
+      sender_(sender),
+      consistency_guard_(consistency_guard),
+      counts_(counts),
+      log_(options.retained_watermarks, consistency_guard.watermark_table().size() > 0
+                                            ? WatermarkLog::History::kRecovered
+                                            : WatermarkLog::History::kEmpty),
+      snapshots_(sender, consistency_guard, counts),
+      timelines_(consistency_guard) {}
+
+bool WatermarkReplicator::HasNews(const PeerLink& link) const {
+  const WatermarkProgress& progress = link.watermarks;
+  return progress.acknowledged < log_.last_sequence() || progress.owes_ack ||
+         !progress.counts_this_instance || !progress.was_replicated || timelines_.HasNews(link.timelines);
+}
+
+Duration WatermarkReplicator::FlushInterval(const PeerLink& link, proto::Member::State state) const {
+  // A dead peer may have been cut off, and is to learn what it missed.
+  if (state == proto::Member::DEAD) return options_.dead_peer_interval;
+  const double spread_s = static_cast<double>(links_.links().size()) / options_.packets_per_s;
+  const Duration interval =
+      std::max(options_.flush_interval, Duration(static_cast<std::int64_t>(spread_s * 1e6)));
+  return HasNews(link) ? interval : std::max(interval, options_.idle_interval);
+}
+
+void WatermarkReplicator::Tick(TimePoint now, Outbox& outbox) {
+  PeerLinks::Links& links = links_.links();
+  if (links.empty()) return;
+  // Gossip goes out with the first packets of a flush: each tick begins at another peer, so that it reaches
+  // all.
+  auto next = links.begin();
+  std::advance(next, static_cast<std::ptrdiff_t>(links_.NextInRotation(links.size())));
+  for (std::size_t visited = 0; visited < links.size(); ++visited, ++next) {
+    if (next == links.end()) next = links.begin();
+    auto& [name, link] = *next;
+    const proto::Member* receiver = links_.WatermarkReceiver(name);
+    if (receiver == nullptr) continue;
+    if (now - link.watermarks.flushed < FlushInterval(link, receiver->state())) continue;
+    Flush(now, name, DeltaPurpose::kUpdate, link, outbox);
+  }
+}
+
+bool WatermarkReplicator::PollPeers(TimePoint now, Outbox& outbox) {
+  if (now - last_poll_ < kMinPollInterval) return false;
+  last_poll_ = now;
+  for (auto& [name, link] : links_.links()) {
+    const proto::Member* receiver = links_.WatermarkReceiver(name);
+    if (receiver == nullptr || receiver->state() > proto::Member::SUSPECT) continue;
+    Flush(now, name, DeltaPurpose::kPoll, link, outbox);
+  }
+  return true;
+}
+
+void WatermarkReplicator::Flush(TimePoint now, const std::string& name, DeltaPurpose purpose, PeerLink& link,
+                                Outbox& outbox) {
+  const std::string& address = swim_.peers().at(name).member.address();
+  WatermarkProgress& progress = link.watermarks;
+  progress.flushed = now;
+  progress.owes_ack = false;
+  if (progress.acknowledged + 1 < log_.first_sequence()) {
+    snapshots_.SendChunks(name, address, log_.last_sequence(), link.snapshot, outbox);
+  } else {
+    SnapshotTransfer::Cancel(link.snapshot);
+  }
+  const bool timed_out =
+      progress.sent > progress.acknowledged && now - progress.progressed >= kRetransmitTimeout;
+  if (timed_out) progress.sent = progress.acknowledged;
+  progress.sent = std::max(progress.sent, progress.acknowledged);
+  if (progress.sent == progress.acknowledged) progress.progressed = now;
+  SendDeltas(now, address, purpose, link, outbox);
+}
+
+void WatermarkReplicator::SendDeltas(TimePoint now, const std::string& address, DeltaPurpose purpose,
+                                     PeerLink& link, Outbox& outbox) {
+  WatermarkProgress& progress = link.watermarks;
+  const SequenceNumber last_sequence = log_.last_sequence();
+  SequenceNumber next = std::max(progress.sent + 1, log_.first_sequence());
+  for (int sent = 0; sent < kDeltasPerFlush; ++sent) {
+    proto::Packet packet;
+    proto::Delta& delta = *packet.mutable_delta();
+    delta.set_first(next);
+    while (next <= last_sequence &&
+           static_cast<std::size_t>(delta.watermarks_size()) < kWatermarksPerPacket) {
+      const WatermarkLog::Entry& entry = log_.At(next);
+      proto::WriteWatermark& watermark = *delta.add_watermarks();
+      EncodeWatermark(entry.key, entry.watermark, watermark);
+      watermark.set_group(static_cast<std::int64_t>(entry.group));
+      ++next;
+      ++counts_.watermarks_sent;
+    }
+    delta.set_upto(last_sequence);
+    delta.set_stamp_us(static_cast<std::uint64_t>(MicrosecondsOf(now)));
+    delta.set_echo_incarnation_id(link.incarnation_id);
+    delta.set_echo_stamp_us(progress.newest_timestamp);
+    delta.set_have_incarnation_id(link.incarnation_id);
+    delta.set_have(progress.received);
+    delta.set_solicit(purpose == DeltaPurpose::kPoll);
+    delta.set_recovered(options_.recovery == Recovery::kComplete);
+    if (sent == 0) timelines_.AppendTo(now, link.timelines, packet);
+    sender_.Send(address, std::move(packet), outbox);
+    if (next > last_sequence) break;
+  }
+  progress.sent = std::max(progress.sent, next - 1);
+}
+
+void WatermarkReplicator::HandlePacket(TimePoint now, const std::string& sender_address,
+                                       const proto::Packet& packet, PeerLink& link, Outbox& outbox) {
+  const std::string& name = packet.sender().name();
+  WatermarkProgress& progress = link.watermarks;
+  if (packet.has_chunk()) {
+    const auto received = snapshots_.HandleChunk(sender_address, packet.chunk(), link.snapshot, outbox);
+    if (received) progress.received = std::max(progress.received, *received);
+  }
+  if (packet.has_chunk_ack()) {
+    if (const auto acknowledged = snapshots_.HandleAck(packet.chunk_ack(), link.snapshot)) {
+      progress.acknowledged = std::max(progress.acknowledged, *acknowledged);
+      progress.sent = std::max(progress.sent, progress.acknowledged);
+    }
+  }
+  if (!packet.has_delta()) return;
+  HandleDelta(now, name, packet.delta(), link);
+  if (packet.delta().solicit()) Flush(now, name, DeltaPurpose::kUpdate, link, outbox);
+}
+
+void WatermarkReplicator::HandleAcknowledgement(TimePoint now, const proto::Delta& delta,
+                                                WatermarkProgress& progress) {
+  if (delta.have_incarnation_id() != swim_.self().incarnation_id()) return;
+  progress.counts_this_instance = true;
+  const SequenceNumber acknowledged = std::min(delta.have(), log_.last_sequence());
+  if (acknowledged <= progress.acknowledged) return;
+  progress.acknowledged = acknowledged;
+  progress.progressed = now;
+}
+
+// In sequence, or not at all: what is missing is sent again.
+void WatermarkReplicator::LearnWatermarks(const proto::Delta& delta, WatermarkProgress& progress) {
+  if (delta.first() > progress.received + 1) return;
+  SequenceNumber sequence = delta.first();
+  for (const proto::WriteWatermark& watermark : delta.watermarks()) {
+    if (sequence++ <= progress.received) continue;
+    ++progress.received;
+    progress.owes_ack = true;
+    ++counts_.watermarks_received;
+    consistency_guard_.Learn(GroupId(watermark.group()), consistency::SessionKey(watermark.key()),
+                             WatermarkFrom(watermark));
+  }
+}
+
+void WatermarkReplicator::HandleDelta(TimePoint now, const std::string& name, const proto::Delta& delta,
+                                      PeerLink& link) {
+  WatermarkProgress& progress = link.watermarks;
+  progress.newest_timestamp = std::max(progress.newest_timestamp, delta.stamp_us());
+  HandleAcknowledgement(now, delta, progress);
+  LearnWatermarks(delta, progress);
+  const bool echoes_this_incarnation =
+      delta.echo_incarnation_id() == swim_.self().incarnation_id() && delta.echo_stamp_us() != 0;
+  if (!echoes_this_incarnation || progress.received < delta.upto()) return;
+  const TimePoint echoed = PositionFromMicroseconds(static_cast<std::int64_t>(delta.echo_stamp_us()));
+  progress.replicated_through = std::max(progress.replicated_through, std::min(now, echoed));
+  progress.was_replicated = true;
+  links_.MarkReplicated(name, link);
+  if (delta.recovered()) links_.MarkRecovered(name);
+}
+
+}  // namespace lynxgrade::replication
--- a/testbed/membership_run.cpp
+++ b/testbed/membership_run.cpp
@@ -43,7 +43,7 @@
 
 std::vector<Said> ReadLog(const std::string& path) {
   static const std::regex line_of(
-      R"((\S+ \S+)\.(\d+) I peers: (?:peer n(\d+) is held dead|(.+): \d+ of \d+ instances in reach, )"
+      R"((\S+ \S+)\.(\d+) I peers: (?:peer n(\d+) declared dead|(.+): \d+ of \d+ instances in reach, )"
       R"(view (\w+)))");
   std::vector<Said> said;
   std::ifstream file(path);
--- a/tests/capacity/capacity_test.cpp
+++ b/tests/capacity/capacity_test.cpp
@@ -21,7 +21,7 @@
 #include "lease/session_lease_client.h"
 #include "net/descriptor_budget.h"
 #include "pg/message.h"
-#include "replication/exchange.h"
+#include "replication/replication_engine.h"
 #include "settings/program_settings.h"
 
 namespace lynxgrade::capacity {
@@ -700,10 +700,10 @@
 }
 
 TEST_CASE("model: the bounds that rows rest on are the program's") {
-  const replication::Exchange::Options exchange;
-  CHECK(exchange.packets_per_s == kPacketsPerS);
-  CHECK(exchange.idle == Duration(static_cast<std::int64_t>(kIdleFlushMs * 1000)));
-  CHECK(static_cast<double>(exchange.kept) == kMarksKept);
+  const replication::ReplicationEngine::Options engine;
+  CHECK(engine.packets_per_s == kPacketsPerS);
+  CHECK(engine.idle_interval == Duration(static_cast<std::int64_t>(kIdleFlushMs * 1000)));
+  CHECK(static_cast<double>(engine.retained_watermarks) == kMarksKept);
   const auto setup = ParseProgramSettings("");
   REQUIRE(std::holds_alternative<ProgramSettings>(setup));
   const ProgramSettings& set = std::get<ProgramSettings>(setup);
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -18,7 +18,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "replication/exchange.h"
+#include "replication/replication_engine.h"
 #include "settings/program_settings.h"
 #include "support/simulated_fleet.h"
 
@@ -65,7 +65,7 @@
   std::uint64_t incarnation_id;
   Way way;
   consistency::SessionConsistencyGuard consistency_guard;
-  std::unique_ptr<Exchange> exchange;
+  std::unique_ptr<ReplicationEngine> engine;
   std::uint32_t last = 0;
   bool wrote = false;
 };
@@ -108,12 +108,12 @@
   // Of an older version: it chooses among all that go by the directory.
   bool Old(std::size_t at) const { return options.mixed && !Aside(at) && random_old[at]; }
 
-  void Send(std::size_t from, std::vector<membership::Out>& outs) {
+  void Send(std::size_t from, Outbox& outs) {
     for (membership::Out& out : outs) {
       const auto to = static_cast<std::size_t>(std::atoi(out.address.c_str() + 1));
       const std::size_t bytes = out.packet.ByteSizeLong() + 4 + kHeads;  // its counter is set as it is sealed
       bytes_out[from] += bytes;
-      nodes[from]->exchange->Spent(now, bytes);
+      nodes[from]->engine->ChargeBandwidth(now, bytes);
       ++packets;
       if (out.packet.has_directory()) {
         directory_bytes += bytes;
@@ -132,10 +132,10 @@
 
   // Whether its pooler takes requests.
   bool Ready(std::size_t at) {
-    Exchange& exchange = *nodes[at]->exchange;
-    if (!exchange.MayServe(now)) return false;
+    ReplicationEngine& engine = *nodes[at]->engine;
+    if (!engine.MayServe(now)) return false;
     if (ready_from[at] == TimePoint{}) ready_from[at] = now + kSecond * 3;
-    return now >= ready_from[at] || (exchange.Joined() && exchange.swim().unheard_seeds().empty());
+    return now >= ready_from[at] || (engine.CountedByAllPeers() && engine.swim().unheard_seeds().empty());
   }
 
   void Write_(std::size_t at, int session) {
@@ -155,8 +155,8 @@
     event.arrived = now;
     const bool hold = node.consistency_guard.WorthHolding(event, now);
     if (hold && node.way == Way::kBroadcast) {
-      std::vector<membership::Out> outs;
-      node.exchange->Solicit(now, outs);
+      Outbox outs;
+      node.engine->PollPeers(now, outs);
       Send(at, outs);
     }
     ++reads_begun;
@@ -182,7 +182,7 @@
         Event event = outcome;
         node.consistency_guard.Before(now, event);
       }
-      if (node.exchange->MayAnswer(now, key)) {
+      if (node.engine->MayAnswerWrite(now, key)) {
         answered[write.session].push_back({*write.position, now});
         waited_ms.push_back(1e-3 * static_cast<double>((now - write.done).count()));
       } else if (now - write.begun < kSecond * 5) {
@@ -220,7 +220,7 @@
 
   void Pass(Duration time) {
     const TimePoint end = now + time;
-    std::vector<membership::Out> outs;
+    Outbox outs;
     for (; now < end; now += kTick) {
       while (!wire.empty() && wire.top().at <= now) {
         const Datagram came = wire.top();
@@ -233,9 +233,9 @@
         }
         const std::size_t bytes = came.packet.ByteSizeLong() + 4 + kHeads;
         bytes_in[came.to] += bytes;
-        nodes[came.to]->exchange->Spent(now, bytes);
+        nodes[came.to]->engine->ChargeBandwidth(now, bytes);
         const std::clock_t before = Aside(came.to) ? std::clock() : 0;
-        nodes[came.to]->exchange->Take(now, came.from, came.packet, outs);
+        nodes[came.to]->engine->HandlePacket(now, came.from, came.packet, outs);
         if (Aside(came.to)) spent[came.to] += std::clock() - before;
         Send(came.to, outs);
       }
@@ -243,7 +243,7 @@
       for (std::size_t i = 0; i < size; ++i) {
         if (now < stopped[i]) continue;
         const std::clock_t before = Aside(i) ? std::clock() : 0;
-        nodes[i]->exchange->Tick(now, outs);
+        nodes[i]->engine->Tick(now, outs);
         if (Aside(i)) spent[i] += std::clock() - before;
         Send(i, outs);
       }
@@ -253,7 +253,7 @@
 
   bool Whole() const {
     return std::ranges::all_of(nodes, [this](const auto& node) {
-      membership::QuorumTracker quorum_tracker = node->exchange->swim().quorum_tracker();
+      membership::QuorumTracker quorum_tracker = node->engine->swim().quorum_tracker();
       return quorum_tracker.At(now).part == membership::QuorumState::kComplete;
     });
   }
@@ -373,15 +373,15 @@
   self.set_incarnation_id(incarnation_id * 0x9E3779B97F4A7C15ull | 1);
   self.set_started_us(static_cast<std::uint64_t>(fleet.now.time_since_epoch().count()));
   self.set_address("a" + std::to_string(number));
-  Exchange::Options options;
-  options.flush = kMs * 10;
+  ReplicationEngine::Options options;
+  options.flush_interval = kMs * 10;
   options.swim.size = fleet.size;
   options.swim.owns = fleet.Aside(number);
   options.swim.owners_named = fleet.options.owners_named;
   if (fleet.Old(number)) options.swim.understands = 0;
   if (fleet.old_owner == number) options.swim.understands = membership::Swim::kUnderstandsOwners;
   if (way != Way::kBroadcast) {
-    lease::SessionLeaseClient::Options& directory = options.directory.emplace();
+    lease::SessionLeaseClient::Options& directory = options.leases.emplace();
     directory.reads_per_s = fleet.options.reads_per_s;
     directory.bytes_per_s = fleet.options.bytes_per_s;
     directory.coalesce = fleet.options.coalesce;
@@ -389,21 +389,22 @@
   }
   std::vector<std::string> seeds;
   for (std::size_t i = 0; i < fleet.size; ++i) seeds.push_back("a" + std::to_string(i));
-  exchange = std::make_unique<Exchange>(options, self, seeds, false, consistency_guard, incarnation_id);
+  engine = std::make_unique<ReplicationEngine>(options, self, seeds, ReplicationEngine::Recovery::kIncomplete,
+                                               consistency_guard, incarnation_id);
   if (way != Way::kBroadcast) consistency_guard.SetHolding(this);
   consistency_guard.OnWrite(
       [this](GroupId group, consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
-        exchange->Wrote(group, key, watermark);
+        engine->RecordWrite(group, key, watermark);
       });
 }
 
 std::optional<LogPosition> Node::Exact(consistency::SessionKey key) {
-  return exchange->Exact(fleet.now, key);
+  return engine->CompleteThrough(fleet.now, key);
 }
 
 bool Node::Want(GroupId group, consistency::SessionKey key, bool write) {
-  std::vector<membership::Out> outs;
-  const bool expected = exchange->Want(
+  Outbox outs;
+  const bool expected = engine->AcquireLease(
       fleet.now, group, key,
       write ? lease::SessionLeaseClient::Use::kWrite : lease::SessionLeaseClient::Use::kRead, outs);
   fleet.Send(number, outs);
@@ -498,7 +499,7 @@
   CHECK(fleet.reads_done > 200);
   CHECK(fleet.conservative * 50 < fleet.reads_done);
   const auto grants = [&](std::size_t at) {
-    return fleet.nodes[at]->exchange->directory()->owner().counts().grants;
+    return fleet.nodes[at]->engine->lease_client()->owner().counts().grants;
   };
   for (std::size_t at = 0; at < fleet.size; ++at) {
     CAPTURE(at);
@@ -568,7 +569,7 @@
   CHECK(fleet.writes_failed == 0);
   CHECK(fleet.conservative * 20 < fleet.reads_done);
   const auto grants = [&](std::size_t at) {
-    return fleet.nodes[at]->exchange->directory()->owner().counts().grants;
+    return fleet.nodes[at]->engine->lease_client()->owner().counts().grants;
   };
   for (std::size_t at = 0; at < fleet.size; ++at) CHECK(grants(at) > 20);
   // With the last one replaced those set aside are the only ones.
@@ -621,7 +622,7 @@
     double sum = 0;
     std::uint64_t waited = 0, passed_on = 0;
     for (std::size_t at = 0; at < fleet.size; ++at) {
-      const lease::LeaseMessageRelay& courier = *fleet.nodes[at]->exchange->courier();
+      const lease::LeaseMessageRelay& courier = *fleet.nodes[at]->engine->lease_relay();
       waited += courier.counts().waited;
       passed_on += courier.counts().passed_on;
       CHECK((courier.counts().passed_on > 0) == (fleet.Aside(at) && coalesce > Duration{0}));
@@ -659,7 +660,7 @@
     }
     Crowd(fleet);
     fleet.Pass(kSecond * 6);
-    for (const auto& node : fleet.nodes) CHECK(node->exchange->courier()->counts().waited == 0);
+    for (const auto& node : fleet.nodes) CHECK(node->engine->lease_relay()->counts().waited == 0);
     CHECK(fleet.stale == 0);
     CHECK(fleet.writes_failed == 0);
     if (!short_of_bytes) continue;
@@ -670,7 +671,7 @@
     Crowd(fleet);
     fleet.Pass(kSecond * 6);
     for (std::size_t at = 0; at < 6; ++at) {
-      CHECK(fleet.nodes[at]->exchange->courier()->counts().waited > 100);
+      CHECK(fleet.nodes[at]->engine->lease_relay()->counts().waited > 100);
     }
     CHECK(fleet.stale == 0);
     CHECK(fleet.writes_failed == 0);
@@ -682,7 +683,7 @@
   Crowd(fleet);
   fleet.Pass(kSecond);
   const auto passed_on = [&](std::size_t at) {
-    return fleet.nodes[at]->exchange->courier()->counts().passed_on;
+    return fleet.nodes[at]->engine->lease_relay()->counts().passed_on;
   };
   const std::size_t most = std::ranges::max(std::vector<std::size_t>{6, 7, 8}, {}, passed_on);
   MESSAGE("passed on: ", passed_on(6), ", ", passed_on(7), ", ", passed_on(8));
@@ -723,7 +724,7 @@
     conservative += fleet.conservative;
     answered += static_cast<int>(fleet.waited_ms.size());
     failed += fleet.writes_failed;
-    for (const auto& node : fleet.nodes) waited += node->exchange->courier()->counts().waited;
+    for (const auto& node : fleet.nodes) waited += node->engine->lease_relay()->counts().waited;
   }
   MESSAGE(done, " reads, ", conservative, " on a conservative target; ", answered, " writes answered, ",
           failed, " not in time; ", waited, " messages waited");
@@ -755,7 +756,7 @@
     proto::Packet packet;
     packet.set_version(1);
     *packet.mutable_sender() = of;
-    std::vector<membership::Out> outs;
+    Outbox outs;
     swim.Take(TimePoint{kSecond}, "a9", packet, outs);
     swim.Tick(TimePoint{kSecond * 2}, outs);
     proto::Packet passed;
@@ -851,7 +852,7 @@
   fleet.Pass(kSecond);
   fleet.cut = {{0, 1}, {1, 0}};
   fleet.Pass(kSecond * 2);
-  const auto& quorum_tracker = fleet.nodes[0]->exchange->swim().quorum_tracker();
+  const auto& quorum_tracker = fleet.nodes[0]->engine->swim().quorum_tracker();
   const std::uint64_t view = quorum_tracker.view();
   fleet.Load(kSecond * 10, 10, 30);
   fleet.Pass(kSecond * 5);
@@ -867,25 +868,25 @@
 TEST_CASE("directory: one whose name another took later answers no writes until that one is over") {
   Fleet fleet(2, {});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
-  Exchange& exchange = *fleet.nodes[0]->exchange;
+  ReplicationEngine& engine = *fleet.nodes[0]->engine;
   const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, "s1");
   fleet.nodes[0]->Want(kGroup, key, true);
   fleet.Pass(kSecond);
-  REQUIRE(exchange.MayAnswer(fleet.now, key));
+  REQUIRE(engine.MayAnswerWrite(fleet.now, key));
   proto::Packet packet;
-  *packet.mutable_sender() = fleet.nodes[1]->exchange->swim().self();
+  *packet.mutable_sender() = fleet.nodes[1]->engine->swim().self();
   proto::Member& later = *packet.add_rumours();
-  later = exchange.swim().self();
+  later = engine.swim().self();
   later.set_incarnation_id(4711);
   later.set_started_us(later.started_us() + 1);
-  std::vector<membership::Out> outs;
-  exchange.Take(fleet.now, "a1", packet, outs);
-  CHECK_FALSE(exchange.MayAnswer(fleet.now, key));
+  Outbox outs;
+  engine.HandlePacket(fleet.now, "a1", packet, outs);
+  CHECK_FALSE(engine.MayAnswerWrite(fleet.now, key));
   // Also once it is bound to nothing: the other is in the view by which they all read.
-  CHECK_FALSE(exchange.MayAnswer(fleet.now + kSecond * 3600, key));
+  CHECK_FALSE(engine.MayAnswerWrite(fleet.now + kSecond * 3600, key));
   packet.mutable_rumours(0)->set_state(proto::Member::DEAD);
-  exchange.Take(fleet.now, "a1", packet, outs);
-  CHECK(exchange.MayAnswer(fleet.now, key));
+  engine.HandlePacket(fleet.now, "a1", packet, outs);
+  CHECK(engine.MayAnswerWrite(fleet.now, key));
 }
 
 TEST_CASE("directory: asks for reads are capped, and what is not asked for is conservative") {
@@ -897,7 +898,7 @@
     fleet.Pass(kTick);
   }
   fleet.Pass(kSecond);
-  const auto& counts = fleet.nodes[0]->exchange->directory()->counts();
+  const auto& counts = fleet.nodes[0]->engine->lease_client()->counts();
   CHECK(counts.capped > 50);
   CHECK(fleet.conservative >= static_cast<int>(counts.capped));
   CHECK(fleet.stale == 0);
@@ -924,7 +925,7 @@
       const double rate = static_cast<double>(fleet.bytes_out[at] + fleet.bytes_in[at]) / 10;
       most = std::max(most, rate);
       sum += rate / static_cast<double>(fleet.Poolers());
-      over += fleet.nodes[at]->exchange->directory()->counts().over_budget;
+      over += fleet.nodes[at]->engine->lease_client()->counts().over_budget;
     }
     fleet.Pass(kSecond * 6);
     MESSAGE("budget ", budget, ": ", sum, " bytes a second, at most ", most, "; ", fleet.conservative, " of ",
@@ -959,11 +960,11 @@
     node.consistency_guard.Learn(kGroup, key, {fleet.now, kPrimary});
     node.Want(kGroup, key, true);
     fleet.Pass(kSecond);
-    REQUIRE(node.exchange->MayAnswer(fleet.now, key));
+    REQUIRE(node.engine->MayAnswerWrite(fleet.now, key));
     other.Want(kOther, key, true);
     fleet.Pass(kSecond);
-    REQUIRE(other.exchange->MayAnswer(fleet.now, key));
-    CHECK_FALSE(node.exchange->MayAnswer(fleet.now, key));
+    REQUIRE(other.engine->MayAnswerWrite(fleet.now, key));
+    CHECK_FALSE(node.engine->MayAnswerWrite(fleet.now, key));
     REQUIRE(other.consistency_guard.watermark_table().Find(key).watermark);
     const auto& timelines = other.consistency_guard.timelines();
     CHECK((!timelines.contains(kOther) || !timelines.at(kOther).primary()));
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -397,16 +397,16 @@
   pair.setup.seeds = {*pair.setup.listen};
   pair.setup.listen = net::Address{"127.0.0.1", 0};
   const auto two = pair.Start("two");
-  Until([&] { return one->exchange().Covered().size() == 1; }, pair.loop);
+  Until([&] { return one->engine().ReplicatedThrough().size() == 1; }, pair.loop);
   Wait(pair.loop, 50);
-  const auto packets = one->exchange().counts().packets_out;
+  const auto packets = one->engine().counts().packets_sent;
   InAPass(pair.loop, [&] {
     one->Solicit();
     one->Solicit();  // for a read that came after the first
   });
-  CHECK(one->exchange().counts().packets_out == packets + 1);
+  CHECK(one->engine().counts().packets_sent == packets + 1);
   Wait(pair.loop, 50);
-  CHECK(one->exchange().counts().packets_out == packets + 2);
+  CHECK(one->engine().counts().packets_sent == packets + 2);
 }
 
 TEST_CASE(
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "replication/datagram_authenticator.h"
-#include "replication/exchange.h"
+#include "replication/replication_engine.h"
 
 namespace lynxgrade::replication {
 namespace {
@@ -138,7 +138,7 @@
 
 struct Node {
   Node(int number, std::uint64_t incarnation_id, TimePoint now, bool recovered, std::size_t kept,
-       Duration clock, const char* session, Duration idle = Exchange::Options{}.idle)
+       Duration clock, const char* session, Duration idle = ReplicationEngine::Options{}.idle_interval)
       : clock(clock), consistency_guard(SessionSettings(), Everywhere()) {
     // What it recovered: one session's write.
     if (session != nullptr)
@@ -148,20 +148,23 @@
     self.set_incarnation_id(incarnation_id);
     self.set_started_us(static_cast<std::uint64_t>((now + clock).time_since_epoch().count()));
     self.set_address("a" + std::to_string(number));
-    Exchange::Options options;
-    options.kept = kept;
-    options.idle = idle;
-    exchange = std::make_unique<Exchange>(options, self, std::vector<std::string>{"a0", "a1"}, recovered,
-                                          consistency_guard, incarnation_id);
+    ReplicationEngine::Options options;
+    options.retained_watermarks = kept;
+    options.idle_interval = idle;
+    engine = std::make_unique<ReplicationEngine>(
+        options, self, std::vector<std::string>{"a0", "a1"},
+        recovered ? ReplicationEngine::Recovery::kComplete : ReplicationEngine::Recovery::kIncomplete,
+        consistency_guard, incarnation_id);
   }
   Duration clock;  // ahead of the true time
   consistency::SessionConsistencyGuard consistency_guard;
-  std::unique_ptr<Exchange> exchange;
+  std::unique_ptr<ReplicationEngine> engine;
 };
 
 // Instances on a network that loses, doubles and delays, in virtual time.
 struct Net {
-  explicit Net(int count, int loss = 0, std::size_t kept = 65536, Duration idle = Exchange::Options{}.idle)
+  explicit Net(int count, int loss = 0, std::size_t kept = 65536,
+               Duration idle = ReplicationEngine::Options{}.idle_interval)
       : loss(loss), kept(kept), idle(idle) {
     for (int i = 0; i < count; ++i) Begin(i);
   }
@@ -170,7 +173,7 @@
     if (nodes.size() <= at) nodes.resize(at + 1);
     nodes[at] = std::make_unique<Node>(number, ++incarnation_ids, now, recovered, kept, clock, session, idle);
   }
-  void Send(std::size_t from, std::vector<membership::Out>& outs) {
+  void Send(std::size_t from, Outbox& outs) {
     for (membership::Out& out : outs) {
       const auto to = static_cast<std::size_t>(std::atoi(out.address.c_str() + 1));
       bytes += out.packet.ByteSizeLong() + kHeads;
@@ -185,22 +188,22 @@
   }
   void Pass(Duration time) {
     const TimePoint end = now + time;
-    std::vector<membership::Out> outs;
+    Outbox outs;
     for (; now < end; now += kTick) {
       while (!wire.empty() && wire.top().at <= now) {
         const Datagram came = wire.top();
         wire.pop();
         Node* node = nodes[came.to].get();
         if (node == nullptr) continue;
-        node->exchange->Take(now + node->clock, came.from, came.packet, outs);
+        node->engine->HandlePacket(now + node->clock, came.from, came.packet, outs);
         Send(came.to, outs);
       }
       for (std::size_t i = 0; i < nodes.size(); ++i) {
         if (nodes[i] == nullptr) continue;
-        nodes[i]->exchange->Tick(now + nodes[i]->clock, outs);
+        nodes[i]->engine->Tick(now + nodes[i]->clock, outs);
         Send(i, outs);
         // What counts as covered must be held: the one property that staleness hangs on.
-        for (const auto& [name, upto] : nodes[i]->exchange->Covered()) {
+        for (const auto& [name, upto] : nodes[i]->engine->ReplicatedThrough()) {
           for (const auto& [by, key, at] : written) {
             if ("n" + std::to_string(by) != name || upto - nodes[i]->clock <= at) continue;
             if (!nodes[i]->consistency_guard.watermark_table().Find(key).watermark) ++wrongly_covered;
@@ -214,7 +217,7 @@
     Node& node = *nodes[static_cast<std::size_t>(by)];
     const consistency::WriteWatermark watermark{now, ServerId(7)};
     node.consistency_guard.Learn(kGroup, key, watermark);
-    node.exchange->Wrote(kGroup, key, watermark);
+    node.engine->RecordWrite(kGroup, key, watermark);
     written.emplace_back(by, key, now);
     return key;
   }
@@ -225,7 +228,7 @@
         .watermark.has_value();
   }
   proto::Member::State StateOf(int of, int at) const {
-    const auto& peers = nodes[static_cast<std::size_t>(at)]->exchange->swim().peers();
+    const auto& peers = nodes[static_cast<std::size_t>(at)]->engine->swim().peers();
     const auto it = peers.find("n" + std::to_string(of));
     return it == peers.end() ? proto::Member::LEFT : it->second.member.state();
   }
@@ -294,18 +297,18 @@
 TEST_CASE("exchange: peers with nothing to say are quiet, and a write goes out as soon as ever") {
   std::map<bool, std::uint64_t> bytes;
   for (const bool quiet : {false, true}) {
-    Net net(8, 0, 65536, quiet ? Exchange::Options{}.idle : Duration{0});
+    Net net(8, 0, 65536, quiet ? ReplicationEngine::Options{}.idle_interval : Duration{0});
     net.Pass(kSecond * 8);
     net.bytes = 0;
     net.Pass(kSecond * 2);
     bytes[quiet] = net.bytes;
     const consistency::SessionKey key = net.Write(3);
-    net.Pass(Exchange::Options{}.flush + kTick * 2);
+    net.Pass(ReplicationEngine::Options{}.flush_interval + kTick * 2);
     for (int at = 0; at < 8; ++at) CHECK(net.Knows(at, key));
     // A read that comes now asks, and has its answer at once.
     const TimePoint read = net.now;
-    std::vector<membership::Out> outs;
-    net.nodes[0]->exchange->Solicit(net.now, outs);
+    Outbox outs;
+    net.nodes[0]->engine->PollPeers(net.now, outs);
     net.Send(0, outs);
     net.Pass(kTick * 5);
     CHECK(*net.nodes[0]->consistency_guard.CoveredUpTo() >= read);
@@ -333,7 +336,7 @@
         while (!waiting.empty()) {
           net.Pass(kTick);
           std::erase_if(waiting, [&](int of) {
-            const auto covered = net.nodes[static_cast<std::size_t>(of)]->exchange->Covered();
+            const auto covered = net.nodes[static_cast<std::size_t>(of)]->engine->ReplicatedThrough();
             if (!covered.contains(by) || covered.at(by) <= at) return false;
             took.push_back(1e-3 * static_cast<double>((net.now - at).count()));
             return true;
@@ -420,7 +423,7 @@
   CHECK(net.Behind(1) >= kSecond - kTick * 20);
   net.cut.clear();
   net.Pass(kSecond * 6);
-  CHECK(net.nodes[0]->exchange->counts().syncs >= 1);
+  CHECK(net.nodes[0]->engine->counts().snapshots_started >= 1);
   for (const consistency::SessionKey key : keys) CHECK(net.Knows(1, key));
   CHECK(net.Behind(1) < kSecond);
   CHECK(net.wrongly_covered == 0);
@@ -431,17 +434,17 @@
   net.Pass(kSecond * 2);
   // A second process under the name of 2, at an address of its own.
   net.nodes.push_back(std::make_unique<Node>(2, 999, net.now, false, 65536, Duration{0}, nullptr));
-  std::vector<membership::Out> outs;
+  Outbox outs;
   const auto speak = [&](std::size_t at) {
     Node& node = *net.nodes[at];
-    node.exchange->Solicit(net.now, outs);
+    node.engine->PollPeers(net.now, outs);
     net.Send(at, outs);
   };
   for (int i = 0; i < 100; ++i) {
     speak(3);
     net.Pass(kTick);
   }
-  CHECK(net.nodes[0]->exchange->swim().conflicts() + net.nodes[2]->exchange->swim().conflicts() > 0);
+  CHECK(net.nodes[0]->engine->swim().conflicts() + net.nodes[2]->engine->swim().conflicts() > 0);
   CHECK(net.TargetOfUnknown(0));
 }
 
@@ -456,9 +459,9 @@
   net.nodes[7].reset();
   net.Pass(kSecond * 10);
   for (int at = 0; at < 7; ++at) CHECK(net.StateOf(7, at) == proto::Member::DEAD);
-  std::vector<membership::Out> outs;
+  Outbox outs;
   for (int i = 0; i < 5; ++i) {
-    net.nodes[6]->exchange->Leave(net.now, outs);
+    net.nodes[6]->engine->Leave(net.now, outs);
     net.Send(6, outs);
   }
   net.Pass(kTick * 2);
