--- a/src/durability/record_format.cpp
+++ b/src/durability/record_format.cpp
@@ -2,107 +2,239 @@
 
 #include <xxhash.h>
 
-#include <cstring>
+#include <algorithm>
+#include <cstddef>
 
 namespace lynxgrade::durability {
 namespace {
 
 constexpr std::string_view kMagic = "LYNXGRST";
-constexpr std::size_t kHeadBody = kHeadSize - 8;  // what its checksum covers
-constexpr std::size_t kRecordBody = kRecordSize - 8;
+constexpr std::size_t kChecksumSize = sizeof(std::uint64_t);
+constexpr std::size_t kHeaderBody = kHeaderSize - kChecksumSize;  // bytes covered by the checksum
+constexpr std::size_t kRecordBody = kRecordSize - kChecksumSize;
+constexpr std::size_t kTypeFieldSize = 4;  // one byte, padded with zeros
+constexpr std::uint64_t kIndexMultiplier = 0x9E3779B97F4A7C15ull;
+
+// The types as stored. Every type from kSnapshotEnd on carries the time up to which the log is complete.
+enum class RecordType : std::uint8_t {
+  kWatermark = 1,
+  kTimeline = 2,
+  kConservativePosition = 3,
+  kSnapshotEnd = 4,
+  kCompleteThrough = 5,
+  kCleanShutdown = 6,
+  kContinuedIn = 7,
+};
+
+// The fields of a record in their stored order. Those that a type has no use for are zero.
+struct StoredRecord {
+  std::uint8_t type = 0;
+  std::uint32_t server = 0;   // kWatermark (zero: not known), kTimeline
+  std::uint64_t subject = 0;  // kWatermark: session; kTimeline: group; kContinuedIn: generation
+  TimePoint time{};           // kTimeline: since
+  TimePoint replicated_until{};
+  TimePoint confirmed{};
+};
 
-// Little-endian, whatever the machine.
 template <typename Value>
-void Put(std::string& out, Value value) {
+void AppendLittleEndian(std::string& out, Value value) {
   for (std::size_t i = 0; i < sizeof value; ++i) {
     out += static_cast<char>(static_cast<std::uint64_t>(value) >> (8 * i));
   }
 }
 
-template <typename Value>
-Value Get(std::string_view bytes, std::size_t& at) {
-  std::uint64_t value = 0;
-  for (std::size_t i = 0; i < sizeof(Value); ++i) {
-    value |= std::uint64_t{static_cast<unsigned char>(bytes[at + i])} << (8 * i);
+void AppendTime(std::string& out, TimePoint time) {
+  AppendLittleEndian(out, std::int64_t{time.time_since_epoch().count()});
+}
+
+// Reads integers one after another; the caller has checked that the bytes suffice.
+class LittleEndianReader {
+ public:
+  explicit LittleEndianReader(std::string_view bytes) : bytes_(bytes) {}
+
+  template <typename Value>
+  Value Read() {
+    std::uint64_t value = 0;
+    for (std::size_t i = 0; i < sizeof(Value); ++i) {
+      value |= std::uint64_t{static_cast<unsigned char>(bytes_[i])} << (8 * i);
+    }
+    Skip(sizeof(Value));
+    return static_cast<Value>(value);
+  }
+  TimePoint ReadTime() { return TimePoint(Duration(Read<std::int64_t>())); }
+  void Skip(std::size_t count) { bytes_.remove_prefix(count); }
+
+ private:
+  std::string_view bytes_;
+};
+
+// Ties a record to its file and its position there.
+std::uint64_t ChecksumSeed(const FileHeader& header, std::uint64_t index) {
+  return header.instance_hash ^ (header.generation << 32) ^ index * kIndexMultiplier;
+}
+
+std::uint64_t RecordChecksum(std::string_view body, const FileHeader& header, std::uint64_t index) {
+  return XXH3_64bits_withSeed(body.data(), body.size(), ChecksumSeed(header, index));
+}
+
+StoredRecord Store(RecordType type, TimePoint time) {
+  StoredRecord stored;
+  stored.type = static_cast<std::uint8_t>(type);
+  stored.time = time;
+  return stored;
+}
+
+StoredRecord ToStored(const WatermarkRecord& record) {
+  StoredRecord stored = Store(RecordType::kWatermark, record.watermark.position);
+  stored.server = record.watermark.by ? static_cast<std::uint32_t>(*record.watermark.by) : 0;
+  stored.subject = static_cast<std::uint64_t>(record.session);
+  return stored;
+}
+
+StoredRecord ToStored(const TimelineRecord& record) {
+  StoredRecord stored = Store(RecordType::kTimeline, record.since);
+  stored.server = static_cast<std::uint32_t>(record.primary);
+  stored.subject = static_cast<std::uint64_t>(record.group);
+  stored.replicated_until = record.replicated_until;
+  stored.confirmed = record.confirmed;
+  return stored;
+}
+
+StoredRecord ToStored(const ConservativePositionRecord& record) {
+  return Store(RecordType::kConservativePosition, record.position);
+}
+
+StoredRecord ToStored(const SnapshotEndRecord& record) {
+  return Store(RecordType::kSnapshotEnd, record.time);
+}
+
+StoredRecord ToStored(const CompleteThroughRecord& record) {
+  return Store(RecordType::kCompleteThrough, record.time);
+}
+
+StoredRecord ToStored(const CleanShutdownRecord& record) {
+  return Store(RecordType::kCleanShutdown, record.time);
+}
+
+StoredRecord ToStored(const ContinuedInRecord& record) {
+  StoredRecord stored = Store(RecordType::kContinuedIn, record.time);
+  stored.subject = record.generation;
+  return stored;
+}
+
+StoredRecord ToStored(const UnknownRecord& record) {
+  return Store(static_cast<RecordType>(record.type), record.time);
+}
+
+Record FromStored(const StoredRecord& stored) {
+  switch (static_cast<RecordType>(stored.type)) {
+    case RecordType::kWatermark: {
+      const auto server = stored.server == 0 ? std::nullopt : std::optional(ServerId(stored.server));
+      return WatermarkRecord{consistency::SessionKey(stored.subject), {stored.time, server}};
+    }
+    case RecordType::kTimeline:
+      return TimelineRecord{GroupId(static_cast<std::int64_t>(stored.subject)), ServerId(stored.server),
+                            stored.time, stored.replicated_until, stored.confirmed};
+    case RecordType::kConservativePosition:
+      return ConservativePositionRecord{stored.time};
+    case RecordType::kSnapshotEnd:
+      return SnapshotEndRecord{stored.time};
+    case RecordType::kCompleteThrough:
+      return CompleteThroughRecord{stored.time};
+    case RecordType::kCleanShutdown:
+      return CleanShutdownRecord{stored.time};
+    case RecordType::kContinuedIn:
+      return ContinuedInRecord{stored.subject, stored.time};
   }
-  at += sizeof(Value);
-  return static_cast<Value>(value);
+  return UnknownRecord{stored.type, stored.time};
+}
+
+StoredRecord DecodeStored(std::string_view body) {
+  LittleEndianReader reader(body);
+  StoredRecord stored;
+  stored.type = reader.Read<std::uint8_t>();
+  reader.Skip(kTypeFieldSize - sizeof stored.type);
+  stored.server = reader.Read<std::uint32_t>();
+  stored.subject = reader.Read<std::uint64_t>();
+  stored.time = reader.ReadTime();
+  stored.replicated_until = reader.ReadTime();
+  stored.confirmed = reader.ReadTime();
+  return stored;
 }
 
-// A record that stands in another place or file than it was written for is not sound.
-std::uint64_t SeedOf(const Head& head, std::uint64_t index) {
-  return head.instance ^ (head.generation << 32) ^ index * 0x9E3779B97F4A7C15ull;
+void AddRecord(FileContents& contents, const StoredRecord& stored) {
+  const auto type = static_cast<RecordType>(stored.type);
+  if (type == RecordType::kSnapshotEnd) contents.snapshot_complete = true;
+  if (type >= RecordType::kSnapshotEnd) contents.complete_through = stored.time;
+  contents.clean_shutdown = type == RecordType::kCleanShutdown;
+  contents.continued_in = type == RecordType::kContinuedIn ? std::optional(stored.subject) : std::nullopt;
+  contents.records.push_back(FromStored(stored));
 }
 
 }  // namespace
 
-void AppendHead(std::string& out, const Head& head) {
+std::uint64_t StableHash(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
+
+void AppendHeader(std::string& out, const FileHeader& header) {
   std::string body(kMagic);
-  Put(body, kVersion);
-  Put(body, std::uint32_t{kRecordSize});
-  Put(body, head.instance);
-  Put(body, head.boot);
-  Put(body, head.generation);
-  Put(body, head.begun.time_since_epoch().count());
-  body.resize(kHeadBody, '\0');
+  AppendLittleEndian(body, kFormatVersion);
+  AppendLittleEndian(body, std::uint32_t{kRecordSize});
+  AppendLittleEndian(body, header.instance_hash);
+  AppendLittleEndian(body, header.boot_id_hash);
+  AppendLittleEndian(body, header.generation);
+  AppendTime(body, header.created);
+  body.resize(kHeaderBody, '\0');
   out += body;
-  Put(out, std::uint64_t{XXH3_64bits(body.data(), body.size())});
+  AppendLittleEndian(out, StableHash(body));
 }
 
-void AppendRecord(std::string& out, const Head& head, std::uint64_t index, const Record& record) {
+void AppendRecord(std::string& out, const FileHeader& header, std::uint64_t index, const Record& record) {
+  const StoredRecord stored = std::visit([](const auto& typed) { return ToStored(typed); }, record);
   std::string body;
-  Put(body, static_cast<std::uint8_t>(record.type));
-  body.resize(4, '\0');
-  Put(body, record.who);
-  Put(body, record.a);
-  Put(body, record.b);
-  Put(body, record.c);
-  Put(body, record.d);
+  AppendLittleEndian(body, stored.type);
+  body.resize(kTypeFieldSize, '\0');
+  AppendLittleEndian(body, stored.server);
+  AppendLittleEndian(body, stored.subject);
+  AppendTime(body, stored.time);
+  AppendTime(body, stored.replicated_until);
+  AppendTime(body, stored.confirmed);
   out += body;
-  Put(out, std::uint64_t{XXH3_64bits_withSeed(body.data(), body.size(), SeedOf(head, index))});
-}
-
-HeadFault ReadHead(std::string_view file, Head& head) {
-  if (file.size() < kHeadSize) return HeadFault::kShort;
-  if (!file.starts_with(kMagic)) return HeadFault::kForeign;
-  std::size_t at = kMagic.size();
-  const auto version = Get<std::uint32_t>(file, at);
-  std::size_t sum_at = kHeadBody;
-  const bool sound = Get<std::uint64_t>(file, sum_at) == XXH3_64bits(file.data(), kHeadBody);
-  if (!sound) return HeadFault::kDamaged;
-  if (version != kVersion || Get<std::uint32_t>(file, at) != kRecordSize) return HeadFault::kFuture;
-  head.instance = Get<std::uint64_t>(file, at);
-  head.boot = Get<std::uint64_t>(file, at);
-  head.generation = Get<std::uint64_t>(file, at);
-  head.begun = TimePoint(Duration(Get<std::int64_t>(file, at)));
-  return HeadFault::kNone;
-}
-
-Contents ReadRecords(std::string_view file, const Head& head) {
-  Contents contents;
-  std::string_view rest = file.substr(std::min(kHeadSize, file.size()));
+  AppendLittleEndian(out, RecordChecksum(body, header, index));
+}
+
+tl::expected<FileHeader, StateFileError> DecodeHeader(std::string_view file) {
+  if (file.size() < kHeaderSize) return tl::unexpected(StateFileError::kTooShort);
+  if (!file.starts_with(kMagic)) return tl::unexpected(StateFileError::kNotAStateFile);
+  const auto checksum = LittleEndianReader(file.substr(kHeaderBody)).Read<std::uint64_t>();
+  if (checksum != StableHash(file.substr(0, kHeaderBody))) {
+    return tl::unexpected(StateFileError::kHeaderDamaged);
+  }
+  LittleEndianReader reader(file.substr(kMagic.size()));
+  const auto version = reader.Read<std::uint32_t>();
+  const auto record_size = reader.Read<std::uint32_t>();
+  if (version != kFormatVersion || record_size != kRecordSize) {
+    return tl::unexpected(StateFileError::kUnknownVersion);
+  }
+  FileHeader header;
+  header.instance_hash = reader.Read<std::uint64_t>();
+  header.boot_id_hash = reader.Read<std::uint64_t>();
+  header.generation = reader.Read<std::uint64_t>();
+  header.created = reader.ReadTime();
+  return header;
+}
+
+FileContents DecodeRecords(std::string_view file, const FileHeader& header) {
+  FileContents contents;
+  std::string_view rest = file.substr(std::min(kHeaderSize, file.size()));
   for (std::uint64_t index = 0; rest.size() >= kRecordSize; ++index) {
-    std::size_t at = kRecordBody;
-    const auto sum = Get<std::uint64_t>(rest, at);
-    if (sum != XXH3_64bits_withSeed(rest.data(), kRecordBody, SeedOf(head, index))) break;
-    at = 0;
-    Record record;
-    record.type = static_cast<Type>(Get<std::uint8_t>(rest, at));
-    at = 4;
-    record.who = Get<std::uint32_t>(rest, at);
-    record.a = Get<std::uint64_t>(rest, at);
-    record.b = Get<std::int64_t>(rest, at);
-    record.c = Get<std::int64_t>(rest, at);
-    record.d = Get<std::int64_t>(rest, at);
-    if (record.type == Type::kWhole) contents.whole = true;
-    if (record.type >= Type::kWhole) contents.clock = TimePoint(Duration(record.b));
-    contents.stopped = record.type == Type::kStopped;
-    contents.moved = record.type == Type::kMoved ? std::optional(record.a) : std::nullopt;
-    contents.records.push_back(record);
+    const std::string_view body = rest.substr(0, kRecordBody);
+    const auto checksum = LittleEndianReader(rest.substr(kRecordBody)).Read<std::uint64_t>();
+    if (checksum != RecordChecksum(body, header, index)) break;
+    AddRecord(contents, DecodeStored(body));
     rest.remove_prefix(kRecordSize);
   }
-  contents.torn = !rest.empty() && rest.size() < kRecordSize;
-  contents.damaged = rest.size() >= kRecordSize ? rest.size() : 0;
+  contents.last_record_torn = !rest.empty() && rest.size() < kRecordSize;
+  contents.damaged_bytes = rest.size() >= kRecordSize ? rest.size() : 0;
   return contents;
 }
 
--- a/src/durability/record_format.h
+++ b/src/durability/record_format.h
@@ -1,67 +1,124 @@
-// The form of the durable state: a head and records of one size, each with a checksum over itself and its
-// place.
+// Binary format of the durable state: a header and records of fixed size, each with a checksum that also
+// covers the record's position in its file.
 //
-// Pure bytes: no files, no clock. A file holds a snapshot (reigns, marks, then one record that ends it) and
-// after it what came since. Reading stops at the first record that is not sound: what lies before it is used,
-// and says up to when it is complete.
+// Encodes and decodes bytes only: no files, no clock. All integers are little-endian; times and log positions
+// are microseconds since 1970. A file holds a snapshot (timelines, watermarks, then SnapshotEndRecord) and
+// after it the records appended since. Decoding stops at the first record whose checksum does not match.
 #pragma once
 
 #include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
+#include <variant>
 #include <vector>
 
 #include "consistency/session_watermark_table.h"
 
 namespace lynxgrade::durability {
 
-inline constexpr std::uint32_t kVersion = 1;
-inline constexpr std::size_t kHeadSize = 64;
-inline constexpr std::size_t kRecordSize = 48;
+inline constexpr std::uint32_t kFormatVersion = 1;
+inline constexpr std::size_t kHeaderSize = 64;  // bytes
+inline constexpr std::size_t kRecordSize = 48;  // bytes
 
-struct Head {
-  std::uint64_t instance = 0;  // hash of the name whose state it is
-  std::uint64_t boot = 0;  // hash of the machine's boot: after another one, what was not synced may be gone
-  std::uint64_t generation = 0;  // of the file
-  TimePoint begun{};
+struct FileHeader {
+  std::uint64_t instance_hash = 0;  // of the name of the instance that wrote the file
+  std::uint64_t boot_id_hash = 0;   // of the machine's boot in which it was written
+  std::uint64_t generation = 0;     // grows by one with each file of the instance
+  TimePoint created{};
 };
 
-enum class Type : std::uint8_t {
-  kMark = 1,       // a: key, b: position, who
-  kReign = 2,      // a: group, b: since, c: held, d: confirmed, who
-  kForgotten = 3,  // b: any session may have written up to here
-  kWhole = 4,      // the snapshot ends; b: time
-  kClock = 5,      // all that was answered before this time stands above; b: time
-  kStopped = 6,    // the program ended by its own will, and answered nothing after this; b: time
-  kMoved = 7,      // what comes next stands in the file of generation a, finished or not; b: time
+// The newest answered write of a session.
+struct WatermarkRecord {
+  consistency::SessionKey session{};
+  consistency::WriteWatermark watermark;
+  bool operator==(const WatermarkRecord&) const = default;
 };
 
-struct Record {
-  Type type = Type::kMark;
-  std::uint32_t who = 0;
-  std::uint64_t a = 0;
-  std::int64_t b = 0, c = 0, d = 0;  // microseconds since 1970
-  bool operator==(const Record&) const = default;
+// The present timeline of a group: its primary, and what is known of it.
+struct TimelineRecord {
+  GroupId group{};
+  ServerId primary{};
+  LogPosition since{};             // first position reported as primary
+  LogPosition replicated_until{};  // position up to which it was known to have replicated before that
+  LogPosition confirmed{};         // newest position reported as primary
+  bool operator==(const TimelineRecord&) const = default;
 };
 
-void AppendHead(std::string& out, const Head& head);
-// `index`: how many records stand before it in the file.
-void AppendRecord(std::string& out, const Head& head, std::uint64_t index, const Record& record);
-
-enum class HeadFault { kNone, kShort, kForeign, kFuture, kDamaged };
-// The head, or what is wrong with it: not one of this program, of a later version, or not sound.
-HeadFault ReadHead(std::string_view file, Head& head);
-
-struct Contents {
-  std::vector<Record> records;           // the sound ones, in order
-  bool whole = false;                    // the snapshot has its end
-  bool torn = false;                     // the file ends in the middle of a record
-  std::uint64_t damaged = 0;             // bytes after the last sound record that are not a torn one
-  std::optional<TimePoint> clock{};      // newest time up to which it is complete by its own word
-  bool stopped = false;                  // it ends with the word of an orderly stop
-  std::optional<std::uint64_t> moved{};  // it ends with the word of where it goes on
+// Sessions without a watermark may have written up to `position`.
+struct ConservativePositionRecord {
+  LogPosition position{};
+  bool operator==(const ConservativePositionRecord&) const = default;
 };
-Contents ReadRecords(std::string_view file, const Head& head);
+
+// The snapshot at the beginning of the file is complete.
+struct SnapshotEndRecord {
+  TimePoint time{};
+  bool operator==(const SnapshotEndRecord&) const = default;
+};
+
+// All writes answered before `time` precede this record.
+struct CompleteThroughRecord {
+  TimePoint time{};
+  bool operator==(const CompleteThroughRecord&) const = default;
+};
+
+// The instance shut down by itself and answered no write afterwards.
+struct CleanShutdownRecord {
+  TimePoint time{};
+  bool operator==(const CleanShutdownRecord&) const = default;
+};
+
+// Later records are in the file of `generation`, whether that file has been finished or not.
+struct ContinuedInRecord {
+  std::uint64_t generation = 0;
+  TimePoint time{};
+  bool operator==(const ContinuedInRecord&) const = default;
+};
+
+// A record with a valid checksum whose type this version does not know. Recovery skips it.
+struct UnknownRecord {
+  std::uint8_t type = 0;
+  TimePoint time{};
+  bool operator==(const UnknownRecord&) const = default;
+};
+
+using Record = std::variant<WatermarkRecord, TimelineRecord, ConservativePositionRecord, SnapshotEndRecord,
+                            CompleteThroughRecord, CleanShutdownRecord, ContinuedInRecord, UnknownRecord>;
+
+// Why a state file cannot be used.
+enum class StateFileError {
+  kUnreadable,       // it cannot be opened, or is larger than any state file
+  kTooShort,         // shorter than a header
+  kNotAStateFile,    // another program's
+  kUnknownVersion,   // of a later version of this program
+  kHeaderDamaged,    // the header's checksum does not match
+  kOtherInstance,    // written by an instance of another name
+  kSnapshotDamaged,  // no SnapshotEndRecord before the first invalid record
+};
+
+// A hash that is the same in every process: names of instances and boots are stored as it.
+std::uint64_t StableHash(std::string_view text);
+
+void AppendHeader(std::string& out, const FileHeader& header);
+// `index` is the number of records that precede this one in the file of `header`.
+void AppendRecord(std::string& out, const FileHeader& header, std::uint64_t index, const Record& record);
+
+// Decodes the header at the beginning of `file`. The errors are kTooShort, kNotAStateFile, kHeaderDamaged and
+// kUnknownVersion.
+tl::expected<FileHeader, StateFileError> DecodeHeader(std::string_view file);
+
+// The records of one file, up to the first one that is invalid.
+struct FileContents {
+  std::vector<Record> records;
+  bool snapshot_complete = false;
+  bool last_record_torn = false;                // the file ends within a record
+  std::uint64_t damaged_bytes = 0;              // from the first invalid record on
+  std::optional<TimePoint> complete_through{};  // newest time of a record that states one
+  bool clean_shutdown = false;                  // the last record is a CleanShutdownRecord
+  std::optional<std::uint64_t> continued_in{};  // generation, if the last record is a ContinuedInRecord
+};
+FileContents DecodeRecords(std::string_view file, const FileHeader& header);
 
 }  // namespace lynxgrade::durability
--- /dev/null
+++ b/src/durability/state_folder.h
@@ -0,0 +1,30 @@
+// Names of the files in a state folder. `sessions-N` is the finished file of generation N; `sessions-N.new`
+// is a file whose snapshot is still being written.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <system_error>
+#include <vector>
+
+namespace lynxgrade::durability {
+
+enum class StateFileStatus { kFinished, kUnfinished };
+
+struct StateFile {
+  std::string path;
+  std::uint64_t generation = 0;
+  StateFileStatus status = StateFileStatus::kFinished;
+};
+
+std::string StateFilePath(std::string_view folder, std::uint64_t generation, StateFileStatus status);
+
+struct StateFileList {
+  std::vector<StateFile> files;  // in no particular order
+  std::error_code error;         // set if reading the folder failed; `files` has those listed before
+};
+// Lists the state files of `folder`; files of other names are ignored.
+StateFileList ListStateFiles(const std::string& folder);
+
+}  // namespace lynxgrade::durability
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -51,18 +51,18 @@
   if (!setup_.state.folder.empty()) {
     store_ =
         std::make_unique<durability::WriteAheadLog>(loop_, setup_.state, config_.name, consistency_guard);
-    const std::string fault = store_->Open();
-    if (fault.empty()) {
-      const durability::Recovered& found = store_->recovered();
-      durability::Apply(found, consistency_guard);
+    tl::expected<void, StartError> started = store_->Open();
+    if (started) {
+      const durability::RecoveredState& found = store_->recovered();
+      durability::ApplyRecoveredState(found, consistency_guard);
       recovered = found.complete;
-      known_to = found.complete ? std::optional(now) : found.complete_to;
-      spdlog::info("state: {}{}", found.sentence,
-                   recovered ? "" : "; reads start on the conservative target");
+      known_to = found.complete ? std::optional(now) : found.complete_through;
+      spdlog::info("durability: {}{}", Describe(found.report),
+                   recovered ? "" : "; reads start at the conservative position");
+      started = store_->StartWriting();
     }
-    const std::string no_file = fault.empty() ? store_->Begin() : fault;
-    if (!no_file.empty()) {
-      spdlog::error("state: {}; serving without durable state", no_file);
+    if (!started) {
+      spdlog::error("durability: {}; serving without durable state", Describe(started.error()));
       store_.reset();
     }
   }
@@ -81,20 +81,20 @@
   waits.wrote = [this](GroupId group, consistency::SessionKey key,
                        const consistency::WriteWatermark& watermark) {
     if (peers_ != nullptr) peers_->Wrote(group, key, watermark);
-    if (store_ != nullptr) store_->Wrote(key, watermark);
+    if (store_ != nullptr) store_->AppendWatermark(key, watermark);
   };
   // The store first: whether a session is held is to be so when the answer goes out.
   if (store_ != nullptr || peers_ != nullptr) {
     waits.safe = [this](GroupId group, consistency::SessionKey key, std::function<void()> call) {
-      if (peers_ == nullptr) return store_->WhenSafe(std::move(call));
-      const bool waits_for_disk = store_ != nullptr && store_->WhenSafe([this, group, key, call] {
+      if (peers_ == nullptr) return store_->NotifyWhenDurable(std::move(call));
+      const bool waits_for_disk = store_ != nullptr && store_->NotifyWhenDurable([this, group, key, call] {
         if (!peers_->WhenHeld(group, key, call)) call();
       });
       return waits_for_disk || peers_->WhenHeld(group, key, std::move(call));
     };
   }
   if (store_ != nullptr) {
-    consistency_guard.OnReign([this] { store_->ReignsChanged(); });
+    consistency_guard.OnReign([this] { store_->AppendTimelines(); });
   }
   if (peers_ != nullptr) waits.ask_others = [this] { peers_->Solicit(); };
   proxy_.SetWaits(std::move(waits));
@@ -108,7 +108,7 @@
 
 void Instance::Leave() {
   if (peers_ != nullptr) peers_->Leave();
-  if (store_ != nullptr) store_->Stop();
+  if (store_ != nullptr) store_->RecordCleanShutdown();
 }
 
 std::vector<ListEntry> Instance::Entries(const discovery::EndpointListUpdate& change) {
--- a/src/settings/program_settings.cpp
+++ b/src/settings/program_settings.cpp
@@ -153,9 +153,9 @@
 void ReadState(const toml::table& root, const consistency::Options& sessions, DurabilitySettings& state) {
   Section section(root, "state");
   section.Text("folder", state.folder);
-  section.Word("commit", state.to_disk, {{"kernel", false}, {"disk", true}});
+  section.Word("commit", state.commit, {{"kernel", CommitMode::kKernel}, {"disk", CommitMode::kDisk}});
   section.Size("snapshot_mb", state.snapshot_bytes, 1, 4'096, 1u << 20);
-  section.TimePoint("stall_ms", state.stall, 10, 5'000, kMs);
+  section.TimePoint("stall_ms", state.wait_timeout, 10, 5'000, kMs);
   section.Close();
   if (!state.folder.empty() && sessions.scope != consistency::Scope::kEverywhere) {
     section.Reject("folder", "is of use only where sessions.scope is \"everywhere\"");
--- a/src/settings/program_settings.h
+++ b/src/settings/program_settings.h
@@ -14,12 +14,18 @@
 
 namespace lynxgrade {
 
-// The durable state of this instance; off where no folder is named.
+// What the answer of a write waits for.
+enum class CommitMode {
+  kKernel,  // its record has been given to the kernel: survives the process, not the machine
+  kDisk,    // its record has been synced to the disk
+};
+
+// The durable state of this instance.
 struct DurabilitySettings {
-  std::string folder;
-  bool to_disk = false;                   // an answered write waits for the disk, not only for the kernel
+  std::string folder;  // durability is off if empty
+  CommitMode commit = CommitMode::kKernel;
   std::size_t snapshot_bytes = 4u << 20;  // a log longer than this is rewritten as a snapshot
-  Duration stall{250000};                 // an answer waits no longer than this for a disk that hangs
+  Duration wait_timeout{250000};          // an answer waits no longer than this for a disk that hangs
 };
 
 // How the instances know of each other's writes.
--- a/tests/durability/durability_test.cpp
+++ b/tests/durability/durability_test.cpp
@@ -1,4 +1,4 @@
-// Durable state: what an earlier life left, sound or not, and what a start makes of it.
+// Recovery of what an earlier incarnation left, intact or damaged, and the write-ahead log on a real folder.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 
@@ -9,6 +9,8 @@
 #include <iterator>
 #include <string>
 
+#include "durability/record_format.h"
+#include "durability/recovery.h"
 #include "durability/write_ahead_log.h"
 #include "settings/program_settings.h"
 
@@ -16,18 +18,20 @@
 namespace {
 
 namespace fs = std::filesystem;
-constexpr std::uint64_t kBoot = 77;
-constexpr const char* kName = "n1";
+constexpr std::uint64_t kBootIdHash = 77;
+constexpr const char* kInstanceName = "n1";
 
-LogPosition At(std::int64_t ms) { return LogPosition(Duration(1'700'000'000'000'000 + ms * 1000)); }
+LogPosition TimeAt(std::int64_t ms) { return LogPosition(Duration(1'700'000'000'000'000 + ms * 1000)); }
 
-struct Folder {
-  Folder() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     std::string name = (fs::temp_directory_path() / "lynxgrade-state-XXXXXX").string();
     REQUIRE(mkdtemp(name.data()) != nullptr);
     path = name;
   }
-  ~Folder() { fs::remove_all(path); }
+  ~TemporaryFolder() { fs::remove_all(path); }
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
   void Put(const std::string& name, const std::string& bytes) const {
     std::ofstream(path + "/" + name, std::ios::binary) << bytes;
   }
@@ -52,216 +56,224 @@
 }
 
 std::uint64_t NameHash() {
-  // The head of a file that the store itself wrote says how a name is hashed.
-  static const std::uint64_t hash = [] {
-    Folder folder;
+  // The header of a file that the log itself wrote says how a name is hashed.
+  static const std::uint64_t kHash = [] {
+    TemporaryFolder folder;
     net::Loop loop;
     consistency::SessionConsistencyGuard consistency_guard(SessionSettings(), Everywhere());
-    DurabilitySettings setup;
-    setup.folder = folder.path;
-    WriteAheadLog store(loop, setup, kName, consistency_guard);
-    REQUIRE(store.Open().empty());
-    REQUIRE(store.Begin().empty());
-    Head head;
-    REQUIRE(ReadHead(folder.Get("sessions-1"), head) == HeadFault::kNone);
-    return head.instance;
+    DurabilitySettings settings;
+    settings.folder = folder.path;
+    WriteAheadLog log(loop, settings, kInstanceName, consistency_guard);
+    REQUIRE(log.Open());
+    REQUIRE(log.StartWriting());
+    const auto header = DecodeHeader(folder.Get("sessions-1"));
+    REQUIRE(header);
+    return header->instance_hash;
   }();
-  return hash;
+  return kHash;
 }
 
-// A file as a life leaves it: a snapshot of two marks and a reign, then two marks and a clock.
-std::string AFile(std::uint64_t boot = kBoot) {
-  const Head head{NameHash(), boot, 5, At(0)};
+WatermarkRecord Watermark(std::uint64_t session, std::int64_t ms) {
+  return {consistency::SessionKey(session), {TimeAt(ms), ServerId(1)}};
+}
+
+// A file as an incarnation leaves it: a snapshot of two watermarks and a timeline, then more records.
+std::string EncodedFile(std::uint64_t boot_id_hash = kBootIdHash) {
+  const FileHeader header{NameHash(), boot_id_hash, 5, TimeAt(0)};
   std::string file;
-  AppendHead(file, head);
-  const Record records[] = {{Type::kMark, 1, 11, At(10).time_since_epoch().count()},
-                            {Type::kMark, 1, 12, At(11).time_since_epoch().count()},
-                            {Type::kReign, 1, 2, At(1).time_since_epoch().count()},
-                            {Type::kWhole, 0, 0, At(12).time_since_epoch().count()},
-                            {Type::kMark, 1, 13, At(13).time_since_epoch().count()},
-                            {Type::kClock, 0, 0, At(14).time_since_epoch().count()},
-                            {Type::kMark, 1, 14, At(15).time_since_epoch().count()}};
+  AppendHeader(file, header);
+  const Record records[] = {Watermark(11, 10),
+                            Watermark(12, 11),
+                            TimelineRecord{GroupId(2), ServerId(1), TimeAt(1), {}, {}},
+                            SnapshotEndRecord{TimeAt(12)},
+                            Watermark(13, 13),
+                            CompleteThroughRecord{TimeAt(14)},
+                            Watermark(14, 15)};
   std::uint64_t index = 0;
-  for (const Record& record : records) AppendRecord(file, head, index++, record);
+  for (const Record& record : records) AppendRecord(file, header, index++, record);
   return file;
 }
 
-TEST_CASE("recovery: a log cut at every byte gives a prefix, and what is torn is never taken for complete") {
-  const std::string whole = AFile();
-  const std::size_t snapshot = kHeadSize + 4 * kRecordSize;
-  for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
+TEST_CASE(
+    "recovery: a log cut at any byte yields a prefix of its records, and is never complete with a torn one") {
+  const std::string file = EncodedFile();
+  const std::size_t snapshot = kHeaderSize + 4 * kRecordSize;
+  for (std::size_t cut = 0; cut <= file.size(); ++cut) {
     CAPTURE(cut);
-    Folder folder;
-    folder.Put("sessions-5", whole.substr(0, cut));
-    const Recovered found = Recover(folder.path, kName, kBoot, false);
-    CHECK(found.records.size() == (cut < snapshot ? 0 : (cut - kHeadSize) / kRecordSize));
-    const bool boundary = cut >= snapshot && (cut - kHeadSize) % kRecordSize == 0;
+    TemporaryFolder folder;
+    folder.Put("sessions-5", file.substr(0, cut));
+    const RecoveredState found = Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel);
+    CHECK(found.records.size() == (cut < snapshot ? 0 : (cut - kHeaderSize) / kRecordSize));
+    const bool boundary = cut >= snapshot && (cut - kHeaderSize) % kRecordSize == 0;
     CHECK(found.complete == boundary);
-    if (cut >= snapshot && cut < whole.size() - kRecordSize) CHECK(*found.complete_to == At(12));
-    if (cut < snapshot) CHECK_FALSE(found.complete_to);
-    CHECK_FALSE(found.sentence.empty());
+    if (cut >= snapshot && cut < file.size() - kRecordSize) CHECK(*found.complete_through == TimeAt(12));
+    if (cut < snapshot) CHECK_FALSE(found.complete_through);
+    CHECK_FALSE(Describe(found.report).empty());
   }
 }
 
-TEST_CASE("recovery: a bit flipped anywhere costs what follows it, and is told") {
-  const std::string whole = AFile();
-  for (std::size_t at = 0; at < whole.size(); ++at) {
+TEST_CASE("recovery: a flipped bit loses the records that follow it, and the state is not complete") {
+  const std::string file = EncodedFile();
+  for (std::size_t at = 0; at < file.size(); ++at) {
     CAPTURE(at);
-    std::string bytes = whole;
+    std::string bytes = file;
     bytes[at] = static_cast<char>(bytes[at] ^ 16);
-    Folder folder;
+    TemporaryFolder folder;
     folder.Put("sessions-5", bytes);
-    const Recovered found = Recover(folder.path, kName, kBoot, true);
+    const RecoveredState found = Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kDisk);
     CHECK_FALSE(found.complete);
-    for (const Record& record : found.records) CHECK(record.type >= Type::kMark);
+    for (const Record& record : found.records) CHECK_FALSE(std::holds_alternative<UnknownRecord>(record));
     CHECK(found.records.size() < 7);
   }
 }
 
-TEST_CASE("recovery: each fault of the folder is one sentence, and none of them state") {
-  std::string future = AFile();
-  future[8] = 9;  // its checksum is not of that version, so it counts as damaged; a true one is below
+TEST_CASE("recovery: each fault of the folder is described in one sentence and yields no records") {
+  std::string future = EncodedFile();
+  future[8] = 9;  // the checksum does not match, so it counts as damaged
   struct Case {
     const char* name;
     std::string bytes, says;
   };
-  std::string foreign_magic = AFile();
+  std::string foreign_magic = EncodedFile();
   foreign_magic[0] = 'X';
-  for (const Case& c :
-       {Case{"sessions-5", foreign_magic, "not state of this program"},
-        Case{"sessions-5", future, "damaged head"}, Case{"sessions-5", "", "too short"},
-        Case{"other", AFile(), "holds no state"}, Case{"sessions-5.new", AFile(), "holds no state"}}) {
+  for (const Case& c : {Case{"sessions-5", foreign_magic, "not state of this program"},
+                        Case{"sessions-5", future, "damaged header"}, Case{"sessions-5", "", "too short"},
+                        Case{"other", EncodedFile(), "holds no state"},
+                        Case{"sessions-5.new", EncodedFile(), "holds no state"}}) {
     CAPTURE(c.says);
-    Folder folder;
+    TemporaryFolder folder;
     folder.Put(c.name, c.bytes);
-    const Recovered found = Recover(folder.path, kName, kBoot, false);
-    CHECK(found.sentence.find(c.says) != std::string::npos);
-    CHECK(found.sentence.find('\n') == std::string::npos);
+    const RecoveredState found = Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel);
+    CHECK(Describe(found.report).find(c.says) != std::string::npos);
+    CHECK(Describe(found.report).find('\n') == std::string::npos);
     CHECK(found.records.empty());
     CHECK_FALSE(found.complete);
   }
-  Folder folder;
-  folder.Put("sessions-5", AFile());
-  CHECK(Recover(folder.path, "n2", kBoot, false).sentence.find("another instance") != std::string::npos);
-  CHECK(Recover(folder.path + "/nowhere", kName, kBoot, false).sentence.find("cannot be read") !=
-        std::string::npos);
+  TemporaryFolder folder;
+  folder.Put("sessions-5", EncodedFile());
+  CHECK(Describe(Recover(folder.path, "n2", kBootIdHash, CommitMode::kKernel).report)
+            .find("another instance") != std::string::npos);
+  CHECK(Describe(Recover(folder.path + "/nowhere", kInstanceName, kBootIdHash, CommitMode::kKernel).report)
+            .find("cannot be read") != std::string::npos);
 }
 
-TEST_CASE("recovery: after another boot of the machine only what waited for the disk is complete") {
-  Folder folder;
-  folder.Put("sessions-5", AFile());
-  CHECK(Recover(folder.path, kName, kBoot, false).complete);
-  const Recovered other = Recover(folder.path, kName, kBoot + 1, false);
+TEST_CASE("recovery: after a reboot of the machine only a log committed to disk is complete") {
+  TemporaryFolder folder;
+  folder.Put("sessions-5", EncodedFile());
+  CHECK(Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel).complete);
+  const RecoveredState other = Recover(folder.path, kInstanceName, kBootIdHash + 1, CommitMode::kKernel);
   CHECK_FALSE(other.complete);
-  CHECK(*other.complete_to == At(14));
+  CHECK(*other.complete_through == TimeAt(14));
   CHECK(other.records.size() == 7);
-  CHECK(Recover(folder.path, kName, kBoot + 1, true).complete);
+  CHECK(Recover(folder.path, kInstanceName, kBootIdHash + 1, CommitMode::kDisk).complete);
 }
 
-TEST_CASE("recovery: an older file is no stand-in for a newer one that is damaged") {
-  Folder folder;
-  folder.Put("sessions-4", AFile());
-  folder.Put("sessions-5", AFile().substr(0, 100));
-  CHECK(Recover(folder.path, kName, kBoot, false).records.empty());
+TEST_CASE("recovery: an older file does not replace a newer one that is damaged") {
+  TemporaryFolder folder;
+  folder.Put("sessions-4", EncodedFile());
+  folder.Put("sessions-5", EncodedFile().substr(0, 100));
+  CHECK(Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel).records.empty());
 }
 
 consistency::SessionKey KeyNumber(std::uint64_t number) {
   return consistency::SessionKeyOf(GroupId(1), std::to_string(number));
 }
 
-// A store on a real folder, with a loop to turn.
-struct IncarnationId {
-  IncarnationId(const std::string& folder, std::size_t snapshot_bytes = 1u << 20)
+// A log on a real folder, and the main loop that it needs.
+struct RunningLog {
+  explicit RunningLog(const std::string& folder, std::size_t snapshot_bytes = 1u << 20)
       : consistency_guard(SessionSettings(), Everywhere()),
-        store(loop, SetupFor(folder, snapshot_bytes), kName, consistency_guard) {
-    opened = store.Open();
-    if (opened.empty()) {
-      Apply(store.recovered(), consistency_guard);
-      opened = store.Begin();
+        log(loop, SettingsFor(folder, snapshot_bytes), kInstanceName, consistency_guard) {
+    started = log.Open();
+    if (started) {
+      ApplyRecoveredState(log.recovered(), consistency_guard);
+      started = log.StartWriting();
     }
   }
-  static DurabilitySettings SetupFor(const std::string& folder, std::size_t snapshot_bytes) {
-    DurabilitySettings setup;
-    setup.folder = folder;
-    setup.snapshot_bytes = snapshot_bytes;
-    setup.stall = Duration(2'000'000);
-    return setup;
+  static DurabilitySettings SettingsFor(const std::string& folder, std::size_t snapshot_bytes) {
+    DurabilitySettings settings;
+    settings.folder = folder;
+    settings.snapshot_bytes = snapshot_bytes;
+    settings.wait_timeout = Duration(2'000'000);
+    return settings;
   }
   void Write(std::uint64_t key, LogPosition position) {
     const consistency::WriteWatermark watermark{position, ServerId(1)};
     consistency_guard.Learn(std::nullopt, KeyNumber(key), watermark);
-    store.Wrote(KeyNumber(key), watermark);
+    log.AppendWatermark(KeyNumber(key), watermark);
   }
-  void Until(const std::function<bool()>& holds) {
+  void Until(const std::function<bool()>& condition) {
     bool late = false;
-    net::Timer limit(loop), look(loop);
+    net::Timer limit(loop);
+    net::Timer poll(loop);
     limit.After(Duration(20'000'000), [&] { late = true; });
-    std::function<void()> again = [&] { look.After(Duration(1000), again); };
+    std::function<void()> again = [&] { poll.After(Duration(1000), again); };
     again();
-    while (!holds() && !late) g_main_context_iteration(nullptr, TRUE);
-    REQUIRE(holds());
+    while (!condition() && !late) g_main_context_iteration(nullptr, TRUE);
+    REQUIRE(condition());
   }
-  void Settle() {
-    bool safe = false;
-    if (store.WhenSafe([&] { safe = true; })) Until([&] { return safe; });
+  void WaitUntilDurable() {
+    bool durable = false;
+    if (log.NotifyWhenDurable([&] { durable = true; })) Until([&] { return durable; });
   }
   net::Loop loop;
   consistency::SessionConsistencyGuard consistency_guard;
-  WriteAheadLog store;
-  std::string opened;
+  WriteAheadLog log;
+  tl::expected<void, StartError> started;
 };
 
-TEST_CASE("a life that ends without a word leaves all that was answered; snapshots keep the folder small") {
-  Folder folder;
+TEST_CASE("log: after a crash every durable write is recovered, and snapshots keep the folder to one file") {
+  TemporaryFolder folder;
   const LogPosition now =
       LogPosition(std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()));
   {
-    IncarnationId life(folder.path, 4096);
-    REQUIRE(life.opened.empty());
-    CHECK_FALSE(life.store.recovered().complete);
+    RunningLog running(folder.path, 4096);
+    REQUIRE(running.started);
+    CHECK_FALSE(running.log.recovered().complete);
     for (std::uint64_t i = 0; i < 2000; ++i) {
-      life.Write(1 + i % 50, now + Duration(1000) * static_cast<std::int64_t>(i));
-      if (i % 100 == 99) life.Settle();
+      running.Write(1 + i % 50, now + Duration(1000) * static_cast<std::int64_t>(i));
+      if (i % 100 == 99) running.WaitUntilDurable();
     }
-    life.Until([&] { return !fs::exists(folder.path + "/sessions-1"); });  // a later generation stands for it
-    life.Write(999, now);
-    life.Settle();
+    running.Until(
+        [&] { return !fs::exists(folder.path + "/sessions-1"); });  // replaced by a later generation
+    running.Write(999, now);
+    running.WaitUntilDurable();
   }
-  IncarnationId next(folder.path);
-  CHECK(next.store.recovered().complete);
+  RunningLog next(folder.path);
+  CHECK(next.log.recovered().complete);
   CHECK(next.consistency_guard.watermark_table().Find(KeyNumber(999)).watermark);
   CHECK(next.consistency_guard.watermark_table().Find(KeyNumber(50)).watermark->position >=
         now + Duration(1000) * 1999);
   CHECK(std::distance(fs::directory_iterator(folder.path), {}) == 1);
 }
 
-TEST_CASE("an orderly stop is complete after another boot too") {
-  Folder folder;
+TEST_CASE("log: after a clean shutdown the state is complete even across a reboot") {
+  TemporaryFolder folder;
   {
-    IncarnationId life(folder.path);
-    life.Write(5, At(10));
-    life.store.Stop();
+    RunningLog running(folder.path);
+    running.Write(5, TimeAt(10));
+    running.log.RecordCleanShutdown();
   }
-  CHECK(Recover(folder.path, kName, ThisBoot() + 1, false).complete);
+  CHECK(Recover(folder.path, kInstanceName, CurrentBootIdHash() + 1, CommitMode::kKernel).complete);
 }
 
-TEST_CASE("a full disk: answers go on, and nothing is left that a later start could take for whole") {
-  Folder folder;
-  IncarnationId life(folder.path);
-  REQUIRE(life.opened.empty());
+TEST_CASE("log: on a full disk waits are released, and no file is left that could pass for complete") {
+  TemporaryFolder folder;
+  RunningLog running(folder.path);
+  REQUIRE(running.started);
   std::signal(SIGXFSZ, SIG_IGN);
   rlimit before{};
   REQUIRE(getrlimit(RLIMIT_FSIZE, &before) == 0);
   rlimit small = before;
   small.rlim_cur = 4096;
   REQUIRE(setrlimit(RLIMIT_FSIZE, &small) == 0);
-  for (std::uint64_t i = 0; i < 200; ++i) life.Write(i + 1, At(static_cast<std::int64_t>(i)));
-  bool answered = false;
-  REQUIRE(life.store.WhenSafe([&] { answered = true; }));
-  life.Until([&] { return answered && !life.store.on(); });
+  for (std::uint64_t i = 0; i < 200; ++i) running.Write(i + 1, TimeAt(static_cast<std::int64_t>(i)));
+  bool released = false;
+  REQUIRE(running.log.NotifyWhenDurable([&] { released = true; }));
+  running.Until([&] { return released && !running.log.is_writing(); });
   setrlimit(RLIMIT_FSIZE, &before);
-  life.Until([&] { return fs::is_empty(folder.path); });
-  CHECK_FALSE(Recover(folder.path, kName, ThisBoot(), false).complete);
+  running.Until([&] { return fs::is_empty(folder.path); });
+  CHECK_FALSE(Recover(folder.path, kInstanceName, CurrentBootIdHash(), CommitMode::kKernel).complete);
 }
 
 TEST_CASE("settings: what is wrong is named with its place") {
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -475,13 +475,13 @@
   DurabilitySettings setup;
   setup.folder = state;
   setup.snapshot_bytes = 4096;
-  setup.stall = 250 * kMs;
+  setup.wait_timeout = 250 * kMs;
   net::Loop& loop = folder.loop;
   bool given = false;
   {
     durability::WriteAheadLog store(loop, setup, "n", consistency_guard);
-    REQUIRE(store.Open().empty());
-    REQUIRE(store.Begin().empty());
+    REQUIRE(store.Open());
+    REQUIRE(store.StartWriting());
     // The file of the next snapshot: the disk hangs from there on, until it is opened here.
     const std::string hangs = state + "/sessions-2.new";
     REQUIRE(mkfifo(hangs.c_str(), 0600) == 0);
@@ -489,21 +489,21 @@
       const consistency::WriteWatermark watermark{loop.Now(), ServerId(1)};
       const consistency::SessionKey key = consistency::SessionKeyOf(GroupId(1), "s");
       consistency_guard.Learn(std::nullopt, key, watermark);
-      store.Wrote(key, watermark);
+      store.AppendWatermark(key, watermark);
     };
     for (int i = 0; i < 500; ++i) write();
     Wait(loop, 300);  // the snapshot has begun
     write();
     InAPass(loop, [&] {
-      REQUIRE(store.WhenSafe([&] { given = true; }));
+      REQUIRE(store.NotifyWhenDurable([&] { given = true; }));
       StandStill(600);
     });
     for (int i = 0; i < 3; ++i) g_main_context_iteration(nullptr, TRUE);
     CHECK_FALSE(given);
-    CHECK(store.stalls() == 0);
+    CHECK(store.wait_timeouts() == 0);
     // A disk that does hang keeps nobody waiting for ever.
     Until([&] { return given; }, loop);
-    CHECK(store.stalls() == 1);
+    CHECK(store.wait_timeouts() == 1);
     const int reader = open(hangs.c_str(), O_RDONLY | O_NONBLOCK);
     REQUIRE(reader >= 0);
     Wait(loop, 100);
