--- a/src/consistency/primary_timeline.cpp
+++ b/src/consistency/primary_timeline.cpp
@@ -4,7 +4,7 @@
 
 namespace lynxgrade::consistency {
 
-bool PrimaryTimeline::Primary(ServerId server, LogPosition position) {
+bool PrimaryTimeline::HandlePrimaryPosition(ServerId server, LogPosition position) {
   if (primary_ == server && !stepped_down_) {
     since_ = std::min(since_, position);
     confirmed_ = std::max(confirmed_, position);
@@ -12,56 +12,56 @@
   }
   // An old claim that is heard late changes nothing: the present reign is known to have begun after it.
   if (primary_ && position < since_) return false;
-  Begin(server, position);
+  StartTimeline(server, position);
   return true;
 }
 
-void PrimaryTimeline::Begin(ServerId server, LogPosition position) {
-  const auto standby = standby_.extract(server);
+void PrimaryTimeline::StartTimeline(ServerId server, LogPosition position) {
+  const auto standby = replica_positions_.extract(server);
   held_ = standby.empty() ? LogPosition{} : standby.mapped();
   if (primary_ == server) {
     // It was a replica in between, of a primary that was never heard: what it said of its log as such proves
     // nothing of its own writes.
     held_ = LogPosition{};
-    Add({std::nullopt, held_, position});
+    AddLoss({std::nullopt, held_, position});
   } else {
-    Add({server, std::min(held_, position), position});
+    AddLoss({server, std::min(held_, position), position});
   }
   primary_ = server;
   stepped_down_ = false;
   since_ = confirmed_ = position;
 }
 
-void PrimaryTimeline::Add(const PossibleWriteLoss& loss) {
+void PrimaryTimeline::AddLoss(const PossibleWriteLoss& loss) {
   losses_.push_back(loss);
-  if (losses_.size() <= kMostLosses) return;
+  if (losses_.size() <= kMaxLosses) return;
   losses_[1].successor.reset();
   losses_[1].held = std::min(losses_[0].held, losses_[1].held);
   losses_[1].until = std::max(losses_[0].until, losses_[1].until);
   losses_.erase(losses_.begin());
 }
 
-void PrimaryTimeline::Standby(ServerId server, LogPosition position) {
+void PrimaryTimeline::HandleReplicaPosition(ServerId server, LogPosition position) {
   if (server == primary_) {
     if (position < confirmed_) return;  // older than its last word as primary
     stepped_down_ = true;
   }
   // Past what is believed it may stand on the timeline of a reign that is not known yet, and proves nothing
   // of the one that is: cut down to what is believed it would vouch for a tail that it may not hold.
-  const auto most = Believed();
+  const auto most = TrustedThrough();
   if (most && position > *most) return;
-  LogPosition& newest = standby_.try_emplace(server, position).first->second;
+  LogPosition& newest = replica_positions_.try_emplace(server, position).first->second;
   newest = std::max(newest, position);
 }
 
-std::optional<LogPosition> PrimaryTimeline::Believed() const {
+std::optional<LogPosition> PrimaryTimeline::TrustedThrough() const {
   if (!primary_) return std::nullopt;
-  return confirmed_ + least_failover_;
+  return confirmed_ + min_failover_time_;
 }
 
 // What a primary answered after its successor was heard is on no timeline that goes on, unless it came to
 // reign again later.
-bool PrimaryTimeline::InDoubt(const WriteWatermark& watermark) const {
+bool PrimaryTimeline::MayBeLost(const WriteWatermark& watermark) const {
   for (auto loss = losses_.begin(); loss != losses_.end(); ++loss) {
     if (watermark.position <= loss->held || (loss->successor && watermark.by == loss->successor)) continue;
     if (watermark.position <= loss->until) return true;
@@ -73,7 +73,7 @@
   return false;
 }
 
-bool PrimaryTimeline::InDoubt(LogPosition from, LogPosition to) const {
+bool PrimaryTimeline::MayBeLost(LogPosition from, LogPosition to) const {
   return std::ranges::any_of(
       losses_, [&](const PossibleWriteLoss& loss) { return loss.held < to && from < loss.until; });
 }
@@ -81,10 +81,10 @@
 bool PrimaryTimeline::Learn(ServerId primary, LogPosition since, LogPosition held, LogPosition confirmed) {
   if (!primary_ || (*primary_ != primary && since > confirmed_)) {
     if (held > LogPosition{}) {
-      LogPosition& newest = standby_.try_emplace(primary, held).first->second;
+      LogPosition& newest = replica_positions_.try_emplace(primary, held).first->second;
       newest = std::max(newest, held);
     }
-    Begin(primary, since);
+    StartTimeline(primary, since);
     confirmed_ = std::max(confirmed_, confirmed);
     return true;
   }
@@ -103,7 +103,7 @@
   return false;
 }
 
-std::size_t PrimaryTimeline::Forget(LogPosition position) {
+std::size_t PrimaryTimeline::ForgetLossesBefore(LogPosition position) {
   return std::erase_if(losses_, [&](const PossibleWriteLoss& loss) { return loss.until < position; });
 }
 
--- a/src/consistency/primary_timeline.h
+++ b/src/consistency/primary_timeline.h
@@ -28,24 +28,24 @@
  public:
   // `least_failover`: no successor takes over sooner than this after its predecessor's last answer as
   // primary.
-  explicit PrimaryTimeline(Duration least_failover) : least_failover_(least_failover) {}
+  explicit PrimaryTimeline(Duration min_failover_time) : min_failover_time_(min_failover_time) {}
 
   // A member answered as primary at `position`, or a write of this position. True where that begins a reign
   // that may have lost writes.
-  bool Primary(ServerId server, LogPosition position);
+  bool HandlePrimaryPosition(ServerId server, LogPosition position);
   // A member answered as a replica that has applied all up to `position`.
-  void Standby(ServerId server, LogPosition position);
+  void HandleReplicaPosition(ServerId server, LogPosition position);
 
   // How far a replica's word counts: up to here it belongs to the reign that is known. Absent: no primary has
   // been heard yet.
-  std::optional<LogPosition> Believed() const;
+  std::optional<LogPosition> TrustedThrough() const;
 
   // The member is gone; what it said as a replica proves nothing any more.
-  void Drop(ServerId server) { standby_.erase(server); }
+  void Drop(ServerId server) { replica_positions_.erase(server); }
 
-  bool InDoubt(const WriteWatermark& watermark) const;
+  bool MayBeLost(const WriteWatermark& watermark) const;
   // Whether a write answered in (from, to], by whomever, may be lost.
-  bool InDoubt(LogPosition from, LogPosition to) const;
+  bool MayBeLost(LogPosition from, LogPosition to) const;
 
   // What others heard, or was recovered: the reign of `primary` was known at `since` already, with `held`
   // heard before. Narrows a loss of the same successor; otherwise it tells of a reign that was missed
@@ -53,7 +53,7 @@
   bool Learn(ServerId primary, LogPosition since, LogPosition held, LogPosition confirmed);
 
   // Losses whose writes were answered before `position` are no longer guarded against. How many went.
-  std::size_t Forget(LogPosition position);
+  std::size_t ForgetLossesBefore(LogPosition position);
 
   std::optional<ServerId> primary() const { return primary_; }
   LogPosition since() const { return since_; }
@@ -64,18 +64,19 @@
  private:
   // A group whose primary changes more often than this within the time of recall has worse troubles; the
   // oldest are merged, which doubts more.
-  static constexpr std::size_t kMostLosses = 32;
+  static constexpr std::size_t kMaxLosses = 32;
 
-  void Begin(ServerId server, LogPosition position);
-  void Add(const PossibleWriteLoss& loss);
+  void StartTimeline(ServerId server, LogPosition position);
+  void AddLoss(const PossibleWriteLoss& loss);
 
-  Duration least_failover_;
+  Duration min_failover_time_;
   std::optional<ServerId> primary_;
-  bool stepped_down_ = false;                // it said that it is none now, and no other was heard yet
-  LogPosition since_{};                      // first word of the present reign
-  LogPosition held_{};                       // of its primary, before that
-  LogPosition confirmed_{};                  // newest word of the present reign
-  std::map<ServerId, LogPosition> standby_;  // newest word of each as a replica, since it last was primary
+  bool stepped_down_ = false;  // it said that it is none now, and no other was heard yet
+  LogPosition since_{};        // first word of the present reign
+  LogPosition held_{};         // of its primary, before that
+  LogPosition confirmed_{};    // newest word of the present reign
+  std::map<ServerId, LogPosition>
+      replica_positions_;  // newest word of each as a replica, since it last was primary
   std::vector<PossibleWriteLoss> losses_;
 };
 
--- a/src/consistency/session_consistency_guard.h
+++ b/src/consistency/session_consistency_guard.h
@@ -28,35 +28,35 @@
 
 struct Options {
   Scope scope = Scope::kInstance;
-  std::size_t sessions = 8192;  // marks held at about half load: 256 KB
-  Duration recall{120000000};   // how long after its answer a write is still guarded
+  std::size_t session_capacity = 8192;  // marks held at about half load: 256 KB
+  Duration write_retention{120000000};  // how long after its answer a write is still guarded
   // kEverywhere alone, from here on:
-  Duration least_failover{1000000};  // see PrimaryTimeline
-  bool refuse_doubt = true;          // a write that may be lost turns reads away; else they are served
-  Duration hold{30000};              // how long a read may wait for word from the other instances
+  Duration min_failover_time{1000000};  // see PrimaryTimeline
+  bool reject_uncertain_reads = true;   // a write that may be lost turns reads away; else they are served
+  Duration max_read_delay{30000};       // how long a read may wait for word from the other instances
 };
 
 // Why a read was turned away.
-enum class Reason {
-  kLost,     // its session's write may have been lost with a primary
-  kUnknown,  // writes that are not known here may have been lost with a primary
+enum class RejectionReason {
+  kLostWrite,     // its session's write may have been lost with a primary
+  kUnknownWrite,  // writes that are not known here may have been lost with a primary
 };
-const char* NameOf(Reason reason);
+const char* NameOf(RejectionReason reason);
 
 struct RejectedRead {
   RequestId id{};
-  Reason reason = Reason::kLost;
+  RejectionReason reason = RejectionReason::kLostWrite;
 };
 
 struct SessionConsistencyCounts {
-  std::uint64_t reads = 0;    // session reads seen
-  std::uint64_t marked = 0;   // whose session's write was known
-  std::uint64_t floored = 0;  // which got a target for what is not known
-  std::uint64_t exact = 0;    // for which all writes of the session were known, by Holding
-  std::uint64_t lost = 0;     // turned away, by reason
-  std::uint64_t unknown = 0;
-  std::uint64_t too_old = 0;  // answers from data older than the target, not handed on
-  std::uint64_t losses = 0;   // changes of primary that may have lost writes
+  std::uint64_t reads = 0;                // session reads seen
+  std::uint64_t with_watermark = 0;       // whose session's write was known
+  std::uint64_t conservative = 0;         // which got a target for what is not known
+  std::uint64_t exact = 0;                // for which all writes of the session were known, by Holding
+  std::uint64_t rejected_lost_write = 0;  // turned away, by reason
+  std::uint64_t rejected_unknown_write = 0;
+  std::uint64_t stale_answers = 0;  // answers from data older than the target, not handed on
+  std::uint64_t losses = 0;         // changes of primary that may have lost writes
 };
 
 // Who may answer a session's writes, where one instance holds a session at a time (src/lease). Without it
@@ -79,28 +79,28 @@
 
   // To be called with each event before the module sees it, at a clock that never falls. Fills in a read's
   // target; takes away a position that proves nothing; makes a miss of an answer that is too old.
-  void Before(TimePoint now, Event& event);
+  void PrepareEvent(TimePoint now, Event& event);
   // The reads that can no longer be kept, each named once: the host answers them refused, does not serve
   // them, and tells the module, if it has them, that they are gone. To be asked for after Before and Learn.
-  std::vector<RejectedRead> TakeTurned() { return std::exchange(turned_, {}); }
+  std::vector<RejectedRead> DrainRejectedReads() { return std::exchange(rejected_reads_, {}); }
   // The request has had its final answer by one of these.
-  void After(const Actions& actions);
-  void Over(RequestId id) { open_.erase(id); }
+  void HandleActions(const Actions& actions);
+  void FinishRequest(RequestId id) { pending_requests_.erase(id); }
 
   // A write that was answered here: for the other instances and the disk.
-  using Wrote = std::function<void(GroupId, SessionKey, const WriteWatermark&)>;
-  void OnWrite(Wrote wrote) { wrote_ = std::move(wrote); }
+  using WriteCallback = std::function<void(GroupId, SessionKey, const WriteWatermark&)>;
+  void OnWrite(WriteCallback wrote) { on_write_ = std::move(wrote); }
   // The reigns have changed.
-  void OnReign(std::function<void()> changed) { reign_changed_ = std::move(changed); }
+  void OnTimelineChange(std::function<void()> changed) { on_timeline_change_ = std::move(changed); }
   // A change of primary, as one line for the log.
-  using Say = std::function<void(std::string)>;
-  void OnLog(Say say) { say_ = std::move(say); }
+  using LogSink = std::function<void(std::string)>;
+  void OnLog(LogSink say) { log_sink_ = std::move(say); }
 
   // ---- What comes from elsewhere: the other instances, and an earlier life of this one ----
 
   // This instance began at `now`, and knows of all writes answered before `recovered_to` (absent: of none).
   // Those answered after that, until `now`, are not known.
-  void Started(TimePoint now, std::optional<TimePoint> recovered_to);
+  void HandleStart(TimePoint now, std::optional<TimePoint> recovered_to);
   // A mark whose group is not told says nothing of who is primary.
   void Learn(std::optional<GroupId> group, SessionKey key, const WriteWatermark& watermark);
   void LearnReign(GroupId group, ServerId primary, LogPosition since, LogPosition held,
@@ -110,7 +110,7 @@
   // Instance `peer` answers writes too, and all that it answered before `upto` is known here.
   void Covered(std::uint64_t peer, TimePoint upto);
   // It answers no more, or its writes no longer count.
-  void Uncount(std::uint64_t peer) { covered_.erase(peer); }
+  void Uncount(std::uint64_t peer) { replicated_through_.erase(peer); }
   // Writes that `peer` may have answered in (from, to] are not known, and may never be.
   void AddGap(std::uint64_t peer, TimePoint from, TimePoint to);
   // They are known after all.
@@ -119,21 +119,21 @@
   std::optional<TimePoint> CoveredUpTo() const;
   // Whether a session read that arrived at `arrived` gains by waiting for word from the other instances; asks
   // for it where sessions are held by one instance at a time.
-  bool WorthHolding(const RequestEvent& event, TimePoint arrived);
+  bool ShouldDelayRead(const RequestEvent& event, TimePoint arrived);
   // Whether that word has come, to one that has waited.
-  bool WordCame(const RequestEvent& event) const;
+  bool IsDelayOver(const RequestEvent& event) const;
   // From now on sessions are held by one instance at a time, as this one knows.
-  void SetHolding(SessionLeases* holding) { holding_ = holding; }
-  Duration hold() const { return options_.hold; }
+  void SetHolding(SessionLeases* holding) { leases_ = holding; }
+  Duration max_read_delay() const { return options_.max_read_delay; }
 
   const SessionWatermarkTable& watermark_table() const { return watermark_table_; }
   const std::map<GroupId, PrimaryTimeline>& timelines() const { return timelines_; }
   const SessionConsistencyCounts& counts() const { return counts_; }
   Scope scope() const { return options_.scope; }
-  Duration recall() const { return options_.recall; }
+  Duration write_retention() const { return options_.write_retention; }
 
  private:
-  struct Open {
+  struct PendingRequest {
     GroupId group{};
     SessionKey key{};
     TimePoint arrived{};
@@ -142,45 +142,46 @@
     std::optional<LogPosition> target;
     std::optional<LogPosition> exact;  // see Holding
   };
-  struct Gap {
+  struct WriteInterval {
     LogPosition from, to;
     std::uint64_t peer = 0;
   };
 
   bool Everywhere() const { return options_.scope == Scope::kEverywhere; }
-  void Take(TimePoint now, ListEvent& event);
+  void Handle(TimePoint now, ListEvent& event);
   void Drop(ServerId server);
-  void Take(TimePoint now, RequestEvent& event);
-  void Take(TimePoint now, OutcomeEvent& event);
-  void Take(TimePoint now, HealthCheckEvent& event);
-  void TakeRole(GroupId group, ServerId server, std::optional<bool> primary,
-                std::optional<LogPosition>& position, TimePoint now);
-  PrimaryTimeline& ReignsOf(GroupId group);
+  void Handle(TimePoint now, RequestEvent& event);
+  void Handle(TimePoint now, OutcomeEvent& event);
+  void Handle(TimePoint now, HealthCheckEvent& event);
+  void HandleRole(GroupId group, ServerId server, std::optional<bool> primary,
+                  std::optional<LogPosition>& position, TimePoint now);
+  PrimaryTimeline& TimelineOf(GroupId group);
   // Times in which writes may have been answered that are not known here, for a read that arrived at `at`.
   // Those before its session's newest known write do not matter to it.
-  std::vector<Gap> Gaps(TimePoint at, const std::optional<WriteWatermark>& watermark) const;
-  std::vector<Gap> GapsOf(const Open& read) const;
-  std::optional<Reason> Doubt(const Open& read, TimePoint now) const;
-  void NewReign(GroupId group, TimePoint now);
-  void Turn(RequestId id, Reason reason);
+  std::vector<WriteInterval> UnknownIntervals(TimePoint at,
+                                              const std::optional<WriteWatermark>& watermark) const;
+  std::vector<WriteInterval> UnknownIntervalsOf(const PendingRequest& read) const;
+  std::optional<RejectionReason> FindRejectionReason(const PendingRequest& read, TimePoint now) const;
+  void HandleNewPrimary(GroupId group, TimePoint now);
+  void RejectRead(RequestId id, RejectionReason reason);
 
   std::vector<RequestClass> classes_;
-  bool carried_;
+  bool sessions_carry_positions_;
   Options options_;
   SessionWatermarkTable watermark_table_;
   std::map<GroupId, PrimaryTimeline> timelines_;
   std::unordered_map<ServerId, GroupId> groups_;
-  std::unordered_map<RequestId, Open> open_;
-  std::map<std::uint64_t, TimePoint> covered_;
-  std::vector<Gap> gaps_;
-  SessionLeases* holding_ = nullptr;
+  std::unordered_map<RequestId, PendingRequest> pending_requests_;
+  std::map<std::uint64_t, TimePoint> replicated_through_;
+  std::vector<WriteInterval> unknown_intervals_;
+  SessionLeases* leases_ = nullptr;
   std::optional<TimePoint> started_;
   std::optional<TimePoint> recovered_to_;
   TimePoint now_{};
-  Wrote wrote_;
-  std::function<void()> reign_changed_;
-  Say say_;
-  std::vector<RejectedRead> turned_;
+  WriteCallback on_write_;
+  std::function<void()> on_timeline_change_;
+  LogSink log_sink_;
+  std::vector<RejectedRead> rejected_reads_;
   SessionConsistencyCounts counts_;
 };
 
--- a/src/consistency/session_watermark_table.h
+++ b/src/consistency/session_watermark_table.h
@@ -65,7 +65,7 @@
     }
   }
   // Of everything forgotten so far the newest; absent where nothing was.
-  std::optional<LogPosition> newest_forgotten() const { return newest_forgotten_; }
+  std::optional<LogPosition> newest_forgotten() const { return newest_evicted_; }
   // Every session not known by its own mark may have written up to here.
   void RaiseFloor(LogPosition position);
 
@@ -80,12 +80,12 @@
   struct Bucket {
     std::array<std::uint64_t, kSlots> keys;
     std::array<std::uint32_t, kSlots> positions;
-    std::array<std::uint16_t, kSlots> eras;
+    std::array<std::uint16_t, kSlots> server_indexes;
     std::uint32_t floor;
     std::uint32_t reserved[3];
   };
   static_assert(sizeof(Bucket) == 128);
-  struct Free {
+  struct FreeBlock {
     void operator()(void* block) const;
   };
 
@@ -93,17 +93,17 @@
   WriteWatermark WatermarkOf(const Bucket& bucket, std::size_t slot) const;
   LogPosition PositionOf(std::uint32_t stored) const;
   // Rounded up; what lies before the base stands at its first millisecond, which is later and so safe.
-  std::uint32_t Stored(LogPosition position);
-  std::uint16_t EraOf(const std::optional<ServerId>& by);
+  std::uint32_t EncodePosition(LogPosition position);
+  std::uint16_t ServerIndexOf(const std::optional<ServerId>& by);
   void Rebase(std::uint32_t by);
 
   std::size_t buckets_;
-  std::unique_ptr<void, Free> block_;
+  std::unique_ptr<void, FreeBlock> block_;
   Bucket* table_;
   std::optional<LogPosition> base_;
-  std::vector<ServerId> members_;  // by era less one; era zero is a member not known
-  std::unordered_map<ServerId, std::uint16_t> eras_;
-  std::optional<LogPosition> newest_forgotten_;
+  std::vector<ServerId> servers_;  // by era less one; era zero is a member not known
+  std::unordered_map<ServerId, std::uint16_t> index_of_server_;
+  std::optional<LogPosition> newest_evicted_;
   std::optional<LogPosition> floor_;
   std::size_t size_ = 0;
   std::uint64_t evicted_ = 0;
--- a/src/durability/write_ahead_log.cpp
+++ b/src/durability/write_ahead_log.cpp
@@ -330,7 +330,7 @@
   Job part;
   for (std::size_t at = *snapshot_at_; at < end; ++at) {
     watermark_table.Visit(at, [&](consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
-      if (watermark.position + consistency_guard_.recall() < loop_.Now()) return;
+      if (watermark.position + consistency_guard_.write_retention() < loop_.Now()) return;
       AppendRecord(part.bytes, head_, index_++, RecordOf(key, watermark));
     });
   }
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -66,7 +66,7 @@
       store_.reset();
     }
   }
-  consistency_guard.Started(now, known_to);
+  consistency_guard.HandleStart(now, known_to);
   if (setup_.peers.listen) {
     replication::ReplicationContext parts{loop_,     setup_.peers,      config_.name,
                                           recovered, consistency_guard, [this] { proxy_.Relearnt(); }};
@@ -94,7 +94,7 @@
     };
   }
   if (store_ != nullptr) {
-    consistency_guard.OnReign([this] { store_->ReignsChanged(); });
+    consistency_guard.OnTimelineChange([this] { store_->ReignsChanged(); });
   }
   if (peers_ != nullptr) waits.ask_others = [this] { peers_->Solicit(); };
   proxy_.SetWaits(std::move(waits));
--- a/src/pooler.cpp
+++ b/src/pooler.cpp
@@ -159,8 +159,9 @@
         "sessions: own-reads {}, of a known write {}, on a conservative target {}, refused for a lost write "
         "{}, for "
         "what is not known {}; answers that were too old {}; {} sessions known, {} forgotten",
-        of.reads, of.marked, of.floored, of.lost, of.unknown, of.too_old,
-        consistency_guard.watermark_table().size(), consistency_guard.watermark_table().evicted());
+        of.reads, of.with_watermark, of.conservative, of.rejected_lost_write, of.rejected_unknown_write,
+        of.stale_answers, consistency_guard.watermark_table().size(),
+        consistency_guard.watermark_table().evicted());
   }
   report_.After(kReportEvery, [this] { Report(); });
 }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -46,8 +46,8 @@
   // what it has to see counts up to the moment at which it is taken.
   const TimePoint arrived = loop_.Precise();
   ask.event.arrived = arrived;
-  if (waits_.ask_others && consistency_guard_.WorthHolding(ask.event, arrived)) {
-    held_.push_back({id, std::move(ask.event), loop_.Now(), arrived + consistency_guard_.hold()});
+  if (waits_.ask_others && consistency_guard_.ShouldDelayRead(ask.event, arrived)) {
+    held_.push_back({id, std::move(ask.event), loop_.Now(), arrived + consistency_guard_.max_read_delay()});
     if (!held_until_.armed()) held_until_.Set(held_.front().until, [this] { ReleaseReads(); });
     waits_.ask_others();
     return;
@@ -68,7 +68,8 @@
   std::deque<Waiting> all;
   all.swap(held_);
   for (Waiting& next : all) {
-    if (loop_.Now() < next.until && requests_.contains(next.id) && !consistency_guard_.WordCame(next.event)) {
+    if (loop_.Now() < next.until && requests_.contains(next.id) &&
+        !consistency_guard_.IsDelayOver(next.event)) {
       held_.push_back(std::move(next));
       continue;
     }
@@ -108,7 +109,7 @@
   }
   if (Close(request) == nullptr) return;
   ++counts_.withdrawn;
-  consistency_guard_.Over(request);
+  consistency_guard_.FinishRequest(request);
   Feed(ClientDisconnectedEvent{request});
   // Where the settings allow no cancels the module calls nothing off: an attempt that waits for its
   // connection would begin long after the client has gone.
@@ -126,7 +127,7 @@
   const bool sent = it->second.attempts > 0;
   Client* client = Close(request);
   if (client == nullptr) return;
-  consistency_guard_.Over(request);
+  consistency_guard_.FinishRequest(request);
   Feed(ClientDisconnectedEvent{request});
   backends_.Drop(request);
   ++(sent ? counts_.failed : counts_.refused);
@@ -140,7 +141,7 @@
 }
 
 void Proxy::Look(Event& event) {
-  consistency_guard_.Before(loop_.Now(), event);
+  consistency_guard_.PrepareEvent(loop_.Now(), event);
   EndTurned();
 }
 
@@ -150,7 +151,7 @@
 }
 
 void Proxy::EndTurned() {
-  for (const consistency::RejectedRead& turned : consistency_guard_.TakeTurned()) {
+  for (const consistency::RejectedRead& turned : consistency_guard_.DrainRejectedReads()) {
     Client* client = Close(turned.id);
     const auto it = requests_.find(turned.id);
     if (it == requests_.end()) continue;
@@ -212,7 +213,7 @@
   }
   outcome.request_done = Over(end.request);
   const bool over = outcome.request_done;
-  if (over) consistency_guard_.Over(end.request);
+  if (over) consistency_guard_.FinishRequest(end.request);
   Feed(std::move(event));
   if (over) backends_.Drop(end.request);
 }
@@ -238,7 +239,7 @@
     events_.pop_front();
     fresh_.clear();
     balancer_.Handle(loop_.Now(), event, fresh_);
-    consistency_guard_.After(fresh_);
+    consistency_guard_.HandleActions(fresh_);
     if (const auto* gone = std::get_if<ClientDisconnectedEvent>(&event)) requests_.erase(gone->id);
     const auto* outcome = std::get_if<OutcomeEvent>(&event);
     if (outcome != nullptr && outcome->request_done) requests_.erase(outcome->id);
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -39,7 +39,7 @@
   // What an answered write and a read may have to wait for beside the data servers; each may be absent.
   struct Waits {
     // A write is about to be answered.
-    consistency::SessionConsistencyGuard::Wrote wrote;
+    consistency::SessionConsistencyGuard::WriteCallback wrote;
     // Calls back when the write told last may be answered as its session allows; false if it may right now.
     // What may not be by the end of its request fails then.
     std::function<bool(GroupId, consistency::SessionKey, std::function<void()>)> safe;
--- a/src/replication/exchange.cpp
+++ b/src/replication/exchange.cpp
@@ -715,7 +715,7 @@
 void Exchange::AddReign(TimePoint now, GroupId group, proto::Packet& packet) const {
   const auto it = consistency_guard_.timelines().find(group);
   if (it == consistency_guard_.timelines().end() || !it->second.primary()) return;
-  if (it->second.since() + consistency_guard_.recall() < now) return;
+  if (it->second.since() + consistency_guard_.write_retention() < now) return;
   FillReign(*packet.add_timelines(), group, it->second);
 }
 
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -115,7 +115,7 @@
   options.swim.size = 1 + setup_.seeds.size();  // the settings name all others
   if (setup_.watermarks != ReplicationMode::kBroadcast) {
     lease::SessionLeaseClient::Options& directory = options.directory.emplace();
-    directory.owner.recall = consistency_guard_.recall();
+    directory.owner.recall = consistency_guard_.write_retention();
     directory.owner.entries = directory.holds =
         std::max(kLeastEntries, consistency_guard_.watermark_table().buckets() * 4);
     if (setup_.owner) directory.owner.entries = std::max(directory.owner.entries, kOwnersEntries);
--- a/src/settings/program_settings.cpp
+++ b/src/settings/program_settings.cpp
@@ -142,11 +142,11 @@
   section.Word(
       "scope", sessions.scope,
       {{"instance", consistency::Scope::kInstance}, {"everywhere", consistency::Scope::kEverywhere}});
-  section.Size("capacity", sessions.sessions, 64, 100'000'000);
-  section.TimePoint("recall_s", sessions.recall, 1, 86'400, kSecond);
-  section.TimePoint("least_failover_ms", sessions.least_failover, 0, 60'000, kMs);
-  section.Flag("refuse_doubt", sessions.refuse_doubt);
-  section.TimePoint("hold_ms", sessions.hold, 0, 1'000, kMs);
+  section.Size("capacity", sessions.session_capacity, 64, 100'000'000);
+  section.TimePoint("recall_s", sessions.write_retention, 1, 86'400, kSecond);
+  section.TimePoint("least_failover_ms", sessions.min_failover_time, 0, 60'000, kMs);
+  section.Flag("refuse_doubt", sessions.reject_uncertain_reads);
+  section.TimePoint("hold_ms", sessions.max_read_delay, 0, 1'000, kMs);
   section.Close();
 }
 
@@ -229,7 +229,7 @@
       }
     }
     ProgramSettings setup;
-    setup.sessions.recall = kSecond * 30;
+    setup.sessions.write_retention = kSecond * 30;
     ReadSessions(root, setup.sessions);
     ReadState(root, setup.sessions, setup.state);
     ReadPeers(root, setup.sessions, setup.peers);
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -76,9 +76,9 @@
     }
     actions_.clear();
     try {
-      it->second.consistency_guard.Before(now_, event);
+      it->second.consistency_guard.PrepareEvent(now_, event);
       it->second.balancer.Handle(now_, event, actions_);
-      it->second.consistency_guard.After(actions_);
+      it->second.consistency_guard.HandleActions(actions_);
     } catch (const std::exception& error) {
       Codec::EncodeInternalError(who, error.what(), reply_);
       return;
--- a/testbed/scale_host.cpp
+++ b/testbed/scale_host.cpp
@@ -110,9 +110,9 @@
         instance.proxy().consistency_guard().counts();
     probes += instance.proxy().counts().probes;
     reads += consistency_guard.reads;
-    marked += consistency_guard.marked;
-    floored += consistency_guard.floored;
-    turned += consistency_guard.lost + consistency_guard.unknown;
+    marked += consistency_guard.with_watermark;
+    floored += consistency_guard.conservative;
+    turned += consistency_guard.rejected_lost_write + consistency_guard.rejected_unknown_write;
   }
 };
 
--- a/tests/capacity/capacity_test.cpp
+++ b/tests/capacity/capacity_test.cpp
@@ -707,9 +707,9 @@
   const auto setup = ParseProgramSettings("");
   REQUIRE(std::holds_alternative<ProgramSettings>(setup));
   const ProgramSettings& set = std::get<ProgramSettings>(setup);
-  CHECK(set.sessions.hold == Duration(static_cast<std::int64_t>(kHoldMs * 1000)));
-  CHECK(set.sessions.recall == Duration(static_cast<std::int64_t>(kRecallS * 1e6)));
-  CHECK(static_cast<double>(set.sessions.sessions) == kLedgerSessions);
+  CHECK(set.sessions.max_read_delay == Duration(static_cast<std::int64_t>(kHoldMs * 1000)));
+  CHECK(set.sessions.write_retention == Duration(static_cast<std::int64_t>(kRecallS * 1e6)));
+  CHECK(static_cast<double>(set.sessions.session_capacity) == kLedgerSessions);
   CHECK(set.peers.probe == Duration(static_cast<std::int64_t>(kProbeMs * 1000)));
   net::DescriptorBudget budget(1'000);
   CHECK(static_cast<double>(budget.all()) == 1'000 - kReserved);
--- a/tests/consistency/consistency_test.cpp
+++ b/tests/consistency/consistency_test.cpp
@@ -61,10 +61,10 @@
 TEST_CASE(
     "reigns: what a lost primary answered after its successor's last word is in doubt, the rest is not") {
   PrimaryTimeline timelines(Duration(1'000'000));
-  CHECK(timelines.Primary(kA, At(0)));
-  timelines.Standby(kB, At(90));
-  CHECK_FALSE(timelines.Primary(kA, At(100)));
-  CHECK(timelines.Primary(kB, At(3000)));
+  CHECK(timelines.HandlePrimaryPosition(kA, At(0)));
+  timelines.HandleReplicaPosition(kB, At(90));
+  CHECK_FALSE(timelines.HandlePrimaryPosition(kA, At(100)));
+  CHECK(timelines.HandlePrimaryPosition(kB, At(3000)));
   struct Case {
     WriteWatermark watermark;
     bool doubt;
@@ -72,43 +72,43 @@
   for (const Case& c : {Case{{At(90), kA}, false}, Case{{At(91), kA}, true}, Case{{At(3100), kA}, true},
                         Case{{At(2900), kB}, false}, Case{{At(91), std::nullopt}, true}}) {
     CAPTURE(c.watermark.position.time_since_epoch().count());
-    CHECK(timelines.InDoubt(c.watermark) == c.doubt);
+    CHECK(timelines.MayBeLost(c.watermark) == c.doubt);
   }
-  CHECK(timelines.InDoubt(At(50), At(95)));
-  CHECK_FALSE(timelines.InDoubt(At(3001), At(3100)));
+  CHECK(timelines.MayBeLost(At(50), At(95)));
+  CHECK_FALSE(timelines.MayBeLost(At(3001), At(3100)));
 }
 
 TEST_CASE("reigns: a replica's position proves nothing past what a reign that is known can have lasted") {
   PrimaryTimeline timelines(Duration(1'000'000));
-  CHECK_FALSE(timelines.Believed());
-  timelines.Primary(kA, At(100));
-  CHECK(*timelines.Believed() == At(1100));
-  timelines.Standby(kB, At(80));
-  timelines.Standby(kB, At(5000));  // on the timeline of a successor that was not heard yet
-  timelines.Primary(kB, At(6000));
+  CHECK_FALSE(timelines.TrustedThrough());
+  timelines.HandlePrimaryPosition(kA, At(100));
+  CHECK(*timelines.TrustedThrough() == At(1100));
+  timelines.HandleReplicaPosition(kB, At(80));
+  timelines.HandleReplicaPosition(kB, At(5000));  // on the timeline of a successor that was not heard yet
+  timelines.HandlePrimaryPosition(kB, At(6000));
   CHECK(timelines.held() == At(80));
 }
 
 TEST_CASE("reigns: a primary that was a replica in between proves nothing of its own earlier writes") {
   PrimaryTimeline timelines(Duration(1'000'000));
-  timelines.Primary(kA, At(100));
-  timelines.Standby(kA, At(4000));
-  timelines.Primary(kA, At(9000));
-  CHECK(timelines.InDoubt(WriteWatermark{At(90), kA}));
-  CHECK_FALSE(timelines.Primary(kA, At(9100)));
+  timelines.HandlePrimaryPosition(kA, At(100));
+  timelines.HandleReplicaPosition(kA, At(4000));
+  timelines.HandlePrimaryPosition(kA, At(9000));
+  CHECK(timelines.MayBeLost(WriteWatermark{At(90), kA}));
+  CHECK_FALSE(timelines.HandlePrimaryPosition(kA, At(9100)));
 }
 
 TEST_CASE("reigns: another instance's word narrows a loss, and tells of a reign that was missed") {
   PrimaryTimeline timelines(Duration(1'000'000));
-  timelines.Primary(kA, At(100));
-  timelines.Primary(kB, At(5000));
-  CHECK(timelines.InDoubt(WriteWatermark{At(80), kA}));
+  timelines.HandlePrimaryPosition(kA, At(100));
+  timelines.HandlePrimaryPosition(kB, At(5000));
+  CHECK(timelines.MayBeLost(WriteWatermark{At(80), kA}));
   timelines.Learn(kB, At(3000), At(95), At(5000));
-  CHECK_FALSE(timelines.InDoubt(WriteWatermark{At(80), kA}));
-  CHECK(timelines.InDoubt(WriteWatermark{At(96), kA}));
+  CHECK_FALSE(timelines.MayBeLost(WriteWatermark{At(80), kA}));
+  CHECK(timelines.MayBeLost(WriteWatermark{At(96), kA}));
   timelines.Learn(kC, At(8000), At(7000), At(8200));
   CHECK(timelines.primary() == kC);
-  CHECK(timelines.InDoubt(WriteWatermark{At(7500), kB}));
+  CHECK(timelines.MayBeLost(WriteWatermark{At(7500), kB}));
 }
 
 // A keeper with requests of one session, answered at will.
@@ -121,7 +121,7 @@
   static Options Everywhere() {
     Options options;
     options.scope = Scope::kEverywhere;
-    options.recall = Duration(30'000'000);
+    options.write_retention = Duration(30'000'000);
     return options;
   }
   static Settings SettingsHere() {
@@ -133,8 +133,8 @@
     return s;
   }
   Event Give(Event event) {
-    consistency_guard.Before(now, event);
-    for (const RejectedRead& turned : consistency_guard.TakeTurned()) gone.push_back(turned);
+    consistency_guard.PrepareEvent(now, event);
+    for (const RejectedRead& turned : consistency_guard.DrainRejectedReads()) gone.push_back(turned);
     return event;
   }
   RequestEvent Ask(ClassIndex cls, const char* session) {
@@ -182,7 +182,7 @@
   Rig rig;
   rig.now = At(10'000);
   rig.consistency_guard.LearnReign(kGroup, kA, At(-60'000), At(-60'000), At(9'000));
-  rig.consistency_guard.Started(rig.now, std::nullopt);
+  rig.consistency_guard.HandleStart(rig.now, std::nullopt);
   CHECK(*rig.Target("s") == At(10'000));
   CHECK(rig.gone.empty());
   rig.Write("s", kA, At(10'500));
@@ -194,11 +194,11 @@
 TEST_CASE("keeper: where the reign's begin is not known after a start from nothing, reads are turned away") {
   Rig rig;
   rig.now = At(10'000);
-  rig.consistency_guard.Started(rig.now, std::nullopt);
+  rig.consistency_guard.HandleStart(rig.now, std::nullopt);
   rig.Write("w", kA, At(10'100));
   rig.Ask(0, "s");
   REQUIRE(rig.gone.size() == 1);
-  CHECK(rig.gone[0].reason == Reason::kUnknown);
+  CHECK(rig.gone[0].reason == RejectionReason::kUnknownWrite);
   rig.Ask(0, "w");  // wrote since
   CHECK(rig.gone.size() == 1);
 }
@@ -215,7 +215,7 @@
   rig.Answer(rig.Ask(0, "x").id, kB, true, At(3000));
   REQUIRE(rig.gone.size() == 1);
   CHECK(rig.gone[0].id == open);
-  CHECK(rig.gone[0].reason == Reason::kLost);
+  CHECK(rig.gone[0].reason == RejectionReason::kLostWrite);
   rig.Ask(0, "lost");
   CHECK(rig.gone.size() == 2);
   CHECK(*rig.Target("held") == At(100));
@@ -231,7 +231,7 @@
   rig.now = At(3000);
   const RequestId read = rig.Ask(0, "s").id;
   rig.consistency_guard.LearnReign(kGroup, kB, At(2900), At(100), At(2950));
-  for (const RejectedRead& turned : rig.consistency_guard.TakeTurned()) rig.gone.push_back(turned);
+  for (const RejectedRead& turned : rig.consistency_guard.DrainRejectedReads()) rig.gone.push_back(turned);
   REQUIRE(rig.gone.size() == 1);
   CHECK(rig.gone[0].id == read);
 }
@@ -285,7 +285,7 @@
   rig.consistency_guard.Covered(7, At(90));
   RequestEvent ask;
   ask.cls = 0;
-  CHECK(rig.consistency_guard.WorthHolding(ask, rig.now));
+  CHECK(rig.consistency_guard.ShouldDelayRead(ask, rig.now));
   CHECK(*rig.Target("x") == At(100));
   rig.consistency_guard.Covered(7, At(100));
   CHECK_FALSE(rig.Target("x"));
@@ -294,7 +294,7 @@
   rig.consistency_guard.Learn(kGroup, SessionKeyOf(kGroup, "y"),
                               {At(120), kB});  // its word tells of a new primary
   rig.Ask(0, "x");
-  CHECK(rig.gone.back().reason == Reason::kLost);
+  CHECK(rig.gone.back().reason == RejectionReason::kLostWrite);
 }
 
 TEST_CASE("keeper: what a session carries counts only where sessions are said to carry it") {
@@ -306,7 +306,7 @@
     ask.target = At(7);
     ask.since_write = Duration(2000);
     Event event = ask;
-    consistency_guard.Before(At(10), event);
+    consistency_guard.PrepareEvent(At(10), event);
     const auto target = std::get<RequestEvent>(event).target;
     if (carried) CHECK(*target == At(8));
     if (!carried) CHECK_FALSE(target);
--- a/tests/durability/durability_test.cpp
+++ b/tests/durability/durability_test.cpp
@@ -41,7 +41,7 @@
 consistency::Options Everywhere() {
   consistency::Options options;
   options.scope = consistency::Scope::kEverywhere;
-  options.recall = Duration(30'000'000);
+  options.write_retention = Duration(30'000'000);
   return options;
 }
 
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -47,9 +47,9 @@
 consistency::Options Everywhere() {
   consistency::Options options;
   options.scope = consistency::Scope::kEverywhere;
-  options.sessions = 4096;
-  options.recall = kSecond * 30;
-  options.refuse_doubt = false;  // what is asked here is what a read waits for
+  options.session_capacity = 4096;
+  options.write_retention = kSecond * 30;
+  options.reject_uncertain_reads = false;  // what is asked here is what a read waits for
   return options;
 }
 
@@ -143,7 +143,7 @@
     Node& node = *nodes[at];
     Event event = RequestEvent{.id = RequestId(++node.last), .group = kGroup, .cls = kWrite};
     std::get<RequestEvent>(event).session = Name(session);
-    node.consistency_guard.Before(now, event);
+    node.consistency_guard.PrepareEvent(now, event);
     writes.push_back({at, session, RequestId(node.last), now, now + Duration(1000 + random() % 15000), {}});
   }
 
@@ -153,14 +153,14 @@
     RequestEvent event{.id = RequestId(++node.last), .group = kGroup, .cls = kRead};
     event.session = Name(session);
     event.arrived = now;
-    const bool hold = node.consistency_guard.WorthHolding(event, now);
+    const bool hold = node.consistency_guard.ShouldDelayRead(event, now);
     if (hold && node.way == Way::kBroadcast) {
       std::vector<membership::Out> outs;
       node.exchange->Solicit(now, outs);
       Send(at, outs);
     }
     ++reads_begun;
-    reads.push_back({at, session, event, hold ? now + node.consistency_guard.hold() : now});
+    reads.push_back({at, session, event, hold ? now + node.consistency_guard.max_read_delay() : now});
   }
 
   static std::string Name(int session) { return "s" + std::to_string(session); }
@@ -180,7 +180,7 @@
         outcome.note.primary = true;
         outcome.note.position = now;
         Event event = outcome;
-        node.consistency_guard.Before(now, event);
+        node.consistency_guard.PrepareEvent(now, event);
       }
       if (node.exchange->MayAnswer(now, key)) {
         answered[write.session].push_back({*write.position, now});
@@ -196,15 +196,15 @@
     std::vector<Read> waiting;
     for (Read& read : std::exchange(reads, {})) {
       Node& node = *nodes[read.at];
-      if (now < stopped[read.at] || (now < read.until && !node.consistency_guard.WordCame(read.event))) {
+      if (now < stopped[read.at] || (now < read.until && !node.consistency_guard.IsDelayOver(read.event))) {
         waiting.push_back(read);
         continue;
       }
       Event event = read.event;
-      node.consistency_guard.Before(now, event);
+      node.consistency_guard.PrepareEvent(now, event);
       const auto target = std::get<RequestEvent>(event).target;
-      for (const auto& one : node.consistency_guard.TakeTurned()) (void)one;
-      node.consistency_guard.Over(read.event.id);
+      for (const auto& one : node.consistency_guard.DrainRejectedReads()) (void)one;
+      node.consistency_guard.FinishRequest(read.event.id);
       ++reads_done;
       // A replica that is 20 ms behind would have to be waited for.
       conservative += target && *target + kMs * 20 > *read.event.arrived;
@@ -366,8 +366,8 @@
   ListEvent list{ListKind::kPersisted, {}};
   list.entries.push_back({.server = kPrimary, .group = kGroup});
   Event event = std::move(list);
-  consistency_guard.Before(fleet.now, event);
-  consistency_guard.Started(fleet.now, std::nullopt);
+  consistency_guard.PrepareEvent(fleet.now, event);
+  consistency_guard.HandleStart(fleet.now, std::nullopt);
   proto::Member self;
   self.set_name("n" + std::to_string(number));
   self.set_incarnation_id(incarnation_id * 0x9E3779B97F4A7C15ull | 1);
@@ -1077,7 +1077,7 @@
   } known;
   constexpr ServerId kSuccessor{8};
   consistency::Options options = Everywhere();
-  options.refuse_doubt = true;
+  options.reject_uncertain_reads = true;
   consistency::SessionConsistencyGuard consistency_guard(TwoClasses(), options);
   consistency_guard.SetHolding(&known);
   TimePoint now{Duration(1'700'000'000'000'000)};
@@ -1085,46 +1085,47 @@
   for (const ServerId member : {kPrimary, kSuccessor})
     list.entries.push_back({.server = member, .group = kGroup});
   Event event = std::move(list);
-  consistency_guard.Before(now, event);
+  consistency_guard.PrepareEvent(now, event);
   // A primary of long ago, and its successor two seconds ago, which held the log up to three seconds ago.
   consistency_guard.LearnReign(kGroup, kPrimary, now - kSecond * 3600, now - kSecond * 3600,
                                now - kSecond * 3);
   consistency_guard.LearnReign(kGroup, kSuccessor, now - kSecond * 2, now - kSecond * 3, now);
-  consistency_guard.TakeTurned();
+  consistency_guard.DrainRejectedReads();
   std::uint32_t last = 0;
   const auto read = [&](const char* session) {
     RequestEvent ask{.id = RequestId(++last), .group = kGroup, .cls = kRead};
     ask.session = session;
     Event of = ask;
-    consistency_guard.Before(now, of);
+    consistency_guard.PrepareEvent(now, of);
     return std::get<RequestEvent>(of).target;
   };
   // Not held: a write that may be lost may be its session's.
-  CHECK(consistency_guard.WorthHolding({.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
+  CHECK(consistency_guard.ShouldDelayRead({.group = kGroup, .cls = kRead, .session = "a", .arrived = now},
+                                          now));
   read("a");
-  CHECK(consistency_guard.TakeTurned().size() == 1);
+  CHECK(consistency_guard.DrainRejectedReads().size() == 1);
   // Held: it wrote nothing since the floor, which lies before the loss.
   known.exact = now - kSecond * 20;
-  CHECK_FALSE(
-      consistency_guard.WorthHolding({.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
+  CHECK_FALSE(consistency_guard.ShouldDelayRead(
+      {.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
   CHECK(read("a") == now - kSecond * 20);
-  CHECK(consistency_guard.TakeTurned().empty());
+  CHECK(consistency_guard.DrainRejectedReads().empty());
   // A floor within the loss is in doubt, and one that is later than the read is cut to it.
   known.exact = now - kSecond * 2 - kMs * 500;
   read("a");
-  CHECK(consistency_guard.TakeTurned().size() == 1);
+  CHECK(consistency_guard.DrainRejectedReads().size() == 1);
   known.exact = now + kSecond;
   CHECK(read("b") <= now);
-  CHECK(consistency_guard.TakeTurned().size() == 1);
+  CHECK(consistency_guard.DrainRejectedReads().size() == 1);
   // Its own mark in the loss is in doubt as ever; one before it is served by itself.
   known.exact = now - kSecond * 20;
   consistency_guard.Learn(kGroup, consistency::SessionKeyOf(kGroup, "lost"),
                           {now - kSecond * 2 - kMs * 500, kPrimary});
   read("lost");
-  CHECK(consistency_guard.TakeTurned().size() == 1);
+  CHECK(consistency_guard.DrainRejectedReads().size() == 1);
   consistency_guard.Learn(kGroup, consistency::SessionKeyOf(kGroup, "kept"), {now - kSecond * 4, kPrimary});
   CHECK(read("kept") == now - kSecond * 4);
-  CHECK(consistency_guard.TakeTurned().empty());
+  CHECK(consistency_guard.DrainRejectedReads().empty());
   CHECK(known.reads == 2);
 }
 
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -251,13 +251,13 @@
   static consistency::Options Everywhere() {
     consistency::Options options;
     options.scope = consistency::Scope::kEverywhere;
-    options.hold = 200 * kMs;
+    options.max_read_delay = 200 * kMs;
     return options;
   }
   Reads() : proxy(loop, Unhurried(), 7, sends, Everywhere()) {
     // One reading: between two a gap of a microsecond may lie, which a read has to wait out at a replica.
     const TimePoint started = loop.Precise();
-    proxy.consistency_guard().Started(started, started);
+    proxy.consistency_guard().HandleStart(started, started);
     proxy.consistency_guard().Covered(1, started);
     proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++asked; }});
     ListEvent list{ListKind::kPersisted, {}};
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -131,8 +131,8 @@
 consistency::Options Everywhere() {
   consistency::Options options;
   options.scope = consistency::Scope::kEverywhere;
-  options.sessions = 4096;
-  options.recall = Duration(30'000'000);
+  options.session_capacity = 4096;
+  options.write_retention = Duration(30'000'000);
   return options;
 }
 
@@ -241,7 +241,7 @@
         nodes[static_cast<std::size_t>(at)]->consistency_guard;
     Event read = RequestEvent{.id = RequestId(1), .group = kGroup, .cls = 0, .session = "unknown"};
     std::get<RequestEvent>(read).arrived = consistency_guard.CoveredUpTo();
-    consistency_guard.Before(now, read);
+    consistency_guard.PrepareEvent(now, read);
     return std::get<RequestEvent>(read).target;
   }
 
--- a/tests/routing/balancer_test.cpp
+++ b/tests/routing/balancer_test.cpp
@@ -59,9 +59,9 @@
 
   Actions Give(Event event) {
     Actions actions;
-    consistency_guard_.Before(now_, event);
+    consistency_guard_.PrepareEvent(now_, event);
     balancer_.Handle(now_, event, actions);
-    consistency_guard_.After(actions);
+    consistency_guard_.HandleActions(actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers_.emplace(now_ + timer->delay, timer->id);
       if (const auto* send = std::get_if<Send>(&action)) {
