--- a/src/consistency/primary_timeline.cpp
+++ b/src/consistency/primary_timeline.cpp
@@ -10,18 +10,18 @@
     confirmed_ = std::max(confirmed_, position);
     return false;
   }
-  // An old claim that is heard late changes nothing: the present reign is known to have begun after it.
+  // A report from before the present timeline, received late.
   if (primary_ && position < since_) return false;
   StartTimeline(server, position);
   return true;
 }
 
 void PrimaryTimeline::StartTimeline(ServerId server, LogPosition position) {
-  const auto standby = replica_positions_.extract(server);
-  held_ = standby.empty() ? LogPosition{} : standby.mapped();
+  const auto replica_position = replica_positions_.extract(server);
+  held_ = replica_position.empty() ? LogPosition{} : replica_position.mapped();
   if (primary_ == server) {
-    // It was a replica in between, of a primary that was never heard: what it said of its log as such proves
-    // nothing of its own writes.
+    // It was a replica in between, of a primary that was never seen: the positions that it reported then
+    // prove nothing of its own earlier writes.
     held_ = LogPosition{};
     AddLoss({std::nullopt, held_, position});
   } else {
@@ -36,20 +36,24 @@
   losses_.push_back(loss);
   if (losses_.size() <= kMaxLosses) return;
   losses_[1].successor.reset();
-  losses_[1].held = std::min(losses_[0].held, losses_[1].held);
-  losses_[1].until = std::max(losses_[0].until, losses_[1].until);
+  losses_[1].after = std::min(losses_[0].after, losses_[1].after);
+  losses_[1].through = std::max(losses_[0].through, losses_[1].through);
   losses_.erase(losses_.begin());
 }
 
 void PrimaryTimeline::HandleReplicaPosition(ServerId server, LogPosition position) {
   if (server == primary_) {
-    if (position < confirmed_) return;  // older than its last word as primary
+    if (position < confirmed_) return;  // older than its last report as primary
     stepped_down_ = true;
   }
-  // Past what is believed it may stand on the timeline of a reign that is not known yet, and proves nothing
-  // of the one that is: cut down to what is believed it would vouch for a tail that it may not hold.
-  const auto most = TrustedThrough();
-  if (most && position > *most) return;
+  // A later position may belong to a timeline that is not known yet. Cutting it down to what is trusted would
+  // claim that the server has replayed writes which it may lack, so it is not recorded at all.
+  const auto trusted = TrustedThrough();
+  if (trusted && position > *trusted) return;
+  RaiseReplicaPosition(server, position);
+}
+
+void PrimaryTimeline::RaiseReplicaPosition(ServerId server, LogPosition position) {
   LogPosition& newest = replica_positions_.try_emplace(server, position).first->second;
   newest = std::max(newest, position);
 }
@@ -59,41 +63,39 @@
   return confirmed_ + min_failover_time_;
 }
 
-// What a primary answered after its successor was heard is on no timeline that goes on, unless it came to
-// reign again later.
 bool PrimaryTimeline::MayBeLost(const WriteWatermark& watermark) const {
   for (auto loss = losses_.begin(); loss != losses_.end(); ++loss) {
-    if (watermark.position <= loss->held || (loss->successor && watermark.by == loss->successor)) continue;
-    if (watermark.position <= loss->until) return true;
-    const bool later = std::any_of(loss + 1, losses_.end(), [&](const PossibleWriteLoss& next) {
-      return next.successor == watermark.by && watermark.position > next.held;
+    if (watermark.position <= loss->after || (loss->successor && watermark.by == loss->successor)) continue;
+    if (watermark.position <= loss->through) return true;
+    // A write answered by a replaced primary after its successor was seen is on no timeline that continues,
+    // unless that server became primary again later.
+    const bool primary_again = std::any_of(loss + 1, losses_.end(), [&](const PossibleWriteLoss& next) {
+      return next.successor == watermark.by && watermark.position > next.after;
     });
-    if (watermark.by && !later) return true;
+    if (watermark.by && !primary_again) return true;
   }
   return false;
 }
 
-bool PrimaryTimeline::MayBeLost(LogPosition from, LogPosition to) const {
-  return std::ranges::any_of(
-      losses_, [&](const PossibleWriteLoss& loss) { return loss.held < to && from < loss.until; });
+bool PrimaryTimeline::MayBeLost(const WriteInterval& interval) const {
+  return std::ranges::any_of(losses_, [&](const PossibleWriteLoss& loss) {
+    return loss.after < interval.through && interval.after < loss.through;
+  });
 }
 
 bool PrimaryTimeline::Learn(ServerId primary, LogPosition since, LogPosition held, LogPosition confirmed) {
   if (!primary_ || (*primary_ != primary && since > confirmed_)) {
-    if (held > LogPosition{}) {
-      LogPosition& newest = replica_positions_.try_emplace(primary, held).first->second;
-      newest = std::max(newest, held);
-    }
+    if (held > LogPosition{}) RaiseReplicaPosition(primary, held);
     StartTimeline(primary, since);
     confirmed_ = std::max(confirmed_, confirmed);
     return true;
   }
   for (PossibleWriteLoss& loss : losses_) {
-    if (loss.successor != primary || since > loss.until) continue;
-    // The same reign, heard earlier: fewer writes of its predecessor can have been answered after it began.
-    if (held > loss.until) continue;
-    loss.until = std::min(loss.until, since);
-    loss.held = std::max(loss.held, std::min(held, loss.until));
+    if (loss.successor != primary || since > loss.through) continue;
+    // The same timeline, seen earlier: its predecessor can have answered fewer writes after it began.
+    if (held > loss.through) continue;
+    loss.through = std::min(loss.through, since);
+    loss.after = std::max(loss.after, std::min(held, loss.through));
   }
   if (primary_ == primary) {
     since_ = std::min(since_, since);
@@ -104,7 +106,7 @@
 }
 
 std::size_t PrimaryTimeline::ForgetLossesBefore(LogPosition position) {
-  return std::erase_if(losses_, [&](const PossibleWriteLoss& loss) { return loss.until < position; });
+  return std::erase_if(losses_, [&](const PossibleWriteLoss& loss) { return loss.through < position; });
 }
 
 }  // namespace lynxgrade::consistency
--- a/src/consistency/session_consistency_guard.h
+++ b/src/consistency/session_consistency_guard.h
@@ -1,10 +1,7 @@
-// Keeps the sessions' guarantee round the decision module: gives each read its target, learns from answers,
-// and turns away what cannot be kept. Hosted by the pooler and by the simulator's adapter alike.
-//
-// Owns the ledger, the reigns of all groups and what is known to be unknown; it chooses no server, reads no
-// clock and does no I/O. The events that it sees are those that the module is to be fed, in their order.
+// Read-your-writes consistency for sessions, around the decision module.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -15,12 +12,15 @@
 #include <vector>
 
 #include "consistency/primary_timeline.h"
+#include "consistency/session_leases.h"
 #include "consistency/session_watermark_table.h"
+#include "consistency/unknown_writes.h"
+#include "consistency/write_watermark.h"
 #include "routing/balancer.h"
 
 namespace lynxgrade::consistency {
 
-// Which writes an own-read must see.
+// Which writes a read-your-writes read must see.
 enum class Scope {
   kInstance,    // those that this instance has answered since its start
   kEverywhere,  // those that any instance has answered, also before a restart
@@ -28,19 +28,26 @@
 
 struct Options {
   Scope scope = Scope::kInstance;
-  std::size_t session_capacity = 8192;  // marks held at about half load: 256 KB
-  Duration write_retention{120000000};  // how long after its answer a write is still guarded
-  // kEverywhere alone, from here on:
-  Duration min_failover_time{1000000};  // see PrimaryTimeline
-  bool reject_uncertain_reads = true;   // a write that may be lost turns reads away; else they are served
-  Duration max_read_delay{30000};       // how long a read may wait for word from the other instances
+  // Sessions whose watermark is kept, at about half load of the table: 256 KB by default.
+  std::size_t session_capacity = 8192;
+  // How long after its answer a write is guarded.
+  Duration write_retention{120000000};
+
+  // The rest applies to Scope::kEverywhere only.
+
+  // See PrimaryTimeline.
+  Duration min_failover_time{1000000};
+  // Whether reads of a session whose write may be lost are rejected. Otherwise they are served.
+  bool reject_uncertain_reads = true;
+  // How long a read may be delayed until the writes of the other instances are known.
+  Duration max_read_delay{30000};
 };
 
-// Why a read was turned away.
 enum class RejectionReason {
-  kLostWrite,     // its session's write may have been lost with a primary
-  kUnknownWrite,  // writes that are not known here may have been lost with a primary
+  kLostWrite,     // a known write of the session may have been lost with a primary
+  kUnknownWrite,  // a write that is not known here may have been lost with a primary
 };
+// The reason as a phrase for the client.
 const char* NameOf(RejectionReason reason);
 
 struct RejectedRead {
@@ -50,87 +57,89 @@
 
 struct SessionConsistencyCounts {
   std::uint64_t reads = 0;                // session reads seen
-  std::uint64_t with_watermark = 0;       // whose session's write was known
-  std::uint64_t conservative = 0;         // which got a target for what is not known
-  std::uint64_t exact = 0;                // for which all writes of the session were known, by Holding
-  std::uint64_t rejected_lost_write = 0;  // turned away, by reason
-  std::uint64_t rejected_unknown_write = 0;
-  std::uint64_t stale_answers = 0;  // answers from data older than the target, not handed on
-  std::uint64_t losses = 0;         // changes of primary that may have lost writes
-};
-
-// Who may answer a session's writes, where one instance holds a session at a time (src/lease). Without it
-// every instance may, and what the others answered is told by coverage.
-class SessionLeases {
- public:
-  // All writes of the session that any instance has answered up to now are known here, but for those up to
-  // the position that is returned. Absent: they may not be.
-  virtual std::optional<LogPosition> Exact(SessionKey key) = 0;
-  // The session has come with a write, or else a read. Whether an answer is expected that may make it exact.
-  virtual bool Want(GroupId group, SessionKey key, bool write) = 0;
-
- protected:
-  ~SessionLeases() = default;
+  std::uint64_t with_watermark = 0;       // those whose session has a known write
+  std::uint64_t conservative = 0;         // those with a conservative required position, for unknown writes
+  std::uint64_t complete = 0;             // those for which all writes were known, by the session's lease
+  std::uint64_t rejected_lost_write = 0;  // by RejectionReason
+  std::uint64_t rejected_unknown_write = 0;  // likewise
+  std::uint64_t stale_answers = 0;           // answers older than the required position, not passed on
+  std::uint64_t losses = 0;                  // changes of primary that may have lost writes
 };
 
+// Gives each read the position that its data must contain, learns from responses which writes were answered
+// and who is primary, and rejects reads whose guarantee cannot be kept. The pooler and the simulator's
+// adapter host it around the decision module, which chooses the server.
+//
+// Owns the watermark table, the timelines of all groups and the intervals of unknown writes. Not thread-safe;
+// reads no clock and does no I/O. It must see the same events as the decision module, in the same order.
 class SessionConsistencyGuard {
  public:
   SessionConsistencyGuard(const Settings& settings, Options options);
 
-  // To be called with each event before the module sees it, at a clock that never falls. Fills in a read's
-  // target; takes away a position that proves nothing; makes a miss of an answer that is too old.
+  // Call with each event before the decision module handles it, with times that never decrease. Sets a read's
+  // required position, removes positions from the event that prove nothing, and turns an answer that is older
+  // than the required position into Outcome::kMiss.
   void PrepareEvent(TimePoint now, Event& event);
-  // The reads that can no longer be kept, each named once: the host answers them refused, does not serve
-  // them, and tells the module, if it has them, that they are gone. To be asked for after Before and Learn.
+  // Reads whose guarantee can no longer be kept, each returned once. The host answers them with an error,
+  // does not serve them, and reports them to the decision module as cancelled if that has them. Call after
+  // PrepareEvent and after anything has been learned from other instances.
   std::vector<RejectedRead> DrainRejectedReads() { return std::exchange(rejected_reads_, {}); }
-  // The request has had its final answer by one of these.
+  // Call with the decision module's actions: ends the tracking of the requests that they finish.
   void HandleActions(const Actions& actions);
+  // The request has had its final answer in another way.
   void FinishRequest(RequestId id) { pending_requests_.erase(id); }
 
-  // A write that was answered here: for the other instances and the disk.
+  // Called with each write that is answered here, to replicate and store it.
   using WriteCallback = std::function<void(GroupId, SessionKey, const WriteWatermark&)>;
-  void OnWrite(WriteCallback wrote) { on_write_ = std::move(wrote); }
-  // The reigns have changed.
-  void OnTimelineChange(std::function<void()> changed) { on_timeline_change_ = std::move(changed); }
-  // A change of primary, as one line for the log.
+  void OnWrite(WriteCallback on_write) { on_write_ = std::move(on_write); }
+  // Called when a group has a new primary.
+  void OnTimelineChange(std::function<void()> on_change) { on_timeline_change_ = std::move(on_change); }
+  // Called with a line for the log when a group has a new primary.
   using LogSink = std::function<void(std::string)>;
-  void OnLog(LogSink say) { log_sink_ = std::move(say); }
+  void OnLog(LogSink log_sink) { log_sink_ = std::move(log_sink); }
 
-  // ---- What comes from elsewhere: the other instances, and an earlier life of this one ----
+  // What follows is learned from other instances, or from what an earlier incarnation of this one stored.
 
-  // This instance began at `now`, and knows of all writes answered before `recovered_to` (absent: of none).
-  // Those answered after that, until `now`, are not known.
-  void HandleStart(TimePoint now, std::optional<TimePoint> recovered_to);
-  // A mark whose group is not told says nothing of who is primary.
+  // This instance started at `now` and recovered every write answered before `recovered_through` (absent:
+  // none).
+  void HandleStart(TimePoint now, std::optional<TimePoint> recovered_through) {
+    unknown_writes_.SetStart(now, recovered_through);
+  }
+  // A write of a session. Without its group it tells nothing about who is primary.
   void Learn(std::optional<GroupId> group, SessionKey key, const WriteWatermark& watermark);
+  // See PrimaryTimeline::Learn.
   void LearnReign(GroupId group, ServerId primary, LogPosition since, LogPosition held,
                   LogPosition confirmed);
-  // What was forgotten there: any session may have written up to here.
+  // Watermarks up to `position` were evicted there: any session may have written up to it.
   void LearnForgotten(LogPosition position) { watermark_table_.RaiseFloor(position); }
-  // Instance `peer` answers writes too, and all that it answered before `upto` is known here.
-  void Covered(std::uint64_t peer, TimePoint upto);
-  // It answers no more, or its writes no longer count.
-  void Uncount(std::uint64_t peer) { replicated_through_.erase(peer); }
-  // Writes that `peer` may have answered in (from, to] are not known, and may never be.
-  void AddGap(std::uint64_t peer, TimePoint from, TimePoint to);
-  // They are known after all.
-  void CloseGaps(std::uint64_t peer);
-  // Up to when the writes of all other instances are known; absent where there are none.
-  std::optional<TimePoint> CoveredUpTo() const;
-  // Whether a session read that arrived at `arrived` gains by waiting for word from the other instances; asks
-  // for it where sessions are held by one instance at a time.
+
+  // `peer` answers writes too, and all that it answered before `through` are known here.
+  void Covered(std::uint64_t peer, TimePoint through) { unknown_writes_.SetReplicatedThrough(peer, through); }
+  // `peer` has stopped answering writes.
+  void Uncount(std::uint64_t peer) { unknown_writes_.RemovePeer(peer); }
+  // Writes that `peer` answered in (after, through] are not known, and may never be.
+  void AddGap(std::uint64_t peer, TimePoint after, TimePoint through) {
+    unknown_writes_.AddInterval(peer, {after, through});
+  }
+  // All writes in the intervals of `peer` have become known.
+  void CloseGaps(std::uint64_t peer) { unknown_writes_.RemoveIntervals(peer); }
+  // Up to when the writes of all other instances are known. Absent if there are none.
+  std::optional<TimePoint> CoveredUpTo() const { return unknown_writes_.ReplicatedThrough(); }
+
+  // Whether a session read that arrived at `arrived` benefits from waiting until the writes of other
+  // instances are known. Where sessions have leases, requests the lease.
   bool ShouldDelayRead(const RequestEvent& event, TimePoint arrived);
-  // Whether that word has come, to one that has waited.
+  // Whether a delayed read has nothing more to wait for.
   bool IsDelayOver(const RequestEvent& event) const;
-  // From now on sessions are held by one instance at a time, as this one knows.
-  void SetHolding(SessionLeases* holding) { leases_ = holding; }
-  Duration max_read_delay() const { return options_.max_read_delay; }
+  // From now on sessions have leases. Not owned; null ends that.
+  void SetHolding(SessionLeases* leases) { leases_ = leases; }
 
   const SessionWatermarkTable& watermark_table() const { return watermark_table_; }
   const std::map<GroupId, PrimaryTimeline>& timelines() const { return timelines_; }
   const SessionConsistencyCounts& counts() const { return counts_; }
   Scope scope() const { return options_.scope; }
   Duration write_retention() const { return options_.write_retention; }
+  Duration max_read_delay() const { return options_.max_read_delay; }
 
  private:
   struct PendingRequest {
@@ -139,30 +148,34 @@
     TimePoint arrived{};
     bool write = false;
     std::optional<WriteWatermark> watermark;
-    std::optional<LogPosition> target;
-    std::optional<LogPosition> exact;  // see Holding
-  };
-  struct WriteInterval {
-    LogPosition from, to;
-    std::uint64_t peer = 0;
+    std::optional<LogPosition> required_position;
+    std::optional<LogPosition> complete_after;  // see SessionLeases
   };
 
-  bool Everywhere() const { return options_.scope == Scope::kEverywhere; }
-  void Handle(TimePoint now, ListEvent& event);
-  void Drop(ServerId server);
+  bool CoversAllInstances() const { return options_.scope == Scope::kEverywhere; }
+  bool UsesLeases() const { return leases_ != nullptr && !sessions_carry_positions_; }
+
+  void Handle(const ListEvent& event);
   void Handle(TimePoint now, RequestEvent& event);
   void Handle(TimePoint now, OutcomeEvent& event);
   void Handle(TimePoint now, HealthCheckEvent& event);
-  void HandleRole(GroupId group, ServerId server, std::optional<bool> primary,
-                  std::optional<LogPosition>& position, TimePoint now);
+  void HandleWrite(TimePoint now, const RequestEvent& event);
+  void HandleSessionRead(TimePoint now, RequestEvent& event);
+  void RemoveServer(ServerId server);
+
+  // Sets or removes the required position that the session itself carries.
+  void ApplyCarriedPosition(TimePoint now, RequestEvent& event) const;
+  // Learns from the roles that a response reports, and removes positions from it that prove nothing.
+  void HandleReportedRoles(TimePoint now, OutcomeEvent& event);
+  // Learns from the role that a server reports. Returns its position if that proves what the server has.
+  std::optional<LogPosition> HandleRole(TimePoint now, GroupId group, ServerId server,
+                                        std::optional<bool> primary, std::optional<LogPosition> position);
   PrimaryTimeline& TimelineOf(GroupId group);
-  // Times in which writes may have been answered that are not known here, for a read that arrived at `at`.
-  // Those before its session's newest known write do not matter to it.
-  std::vector<WriteInterval> UnknownIntervals(TimePoint at,
-                                              const std::optional<WriteWatermark>& watermark) const;
+  void HandleNewPrimary(GroupId group, TimePoint now);
+  void LogNewPrimary(GroupId group, const PrimaryTimeline& timeline) const;
+
   std::vector<WriteInterval> UnknownIntervalsOf(const PendingRequest& read) const;
   std::optional<RejectionReason> FindRejectionReason(const PendingRequest& read, TimePoint now) const;
-  void HandleNewPrimary(GroupId group, TimePoint now);
   void RejectRead(RequestId id, RejectionReason reason);
 
   std::vector<RequestClass> classes_;
@@ -170,13 +183,10 @@
   Options options_;
   SessionWatermarkTable watermark_table_;
   std::map<GroupId, PrimaryTimeline> timelines_;
+  UnknownWrites unknown_writes_;
   std::unordered_map<ServerId, GroupId> groups_;
   std::unordered_map<RequestId, PendingRequest> pending_requests_;
-  std::map<std::uint64_t, TimePoint> replicated_through_;
-  std::vector<WriteInterval> unknown_intervals_;
   SessionLeases* leases_ = nullptr;
-  std::optional<TimePoint> started_;
-  std::optional<TimePoint> recovered_to_;
   TimePoint now_{};
   WriteCallback on_write_;
   std::function<void()> on_timeline_change_;
--- a/src/consistency/session_watermark_table.h
+++ b/src/consistency/session_watermark_table.h
@@ -1,8 +1,4 @@
-// The session ledger: for each session the position of its newest answered write, in bounded memory.
-//
-// Owns one flat table and nothing else; reads no clock. What no longer fits raises a floor for its bucket:
-// a session that is not found there may have written up to the floor, so forgetting costs a read waiting for
-// a newer replica and never lets it see old data.
+// A table of the newest answered write of each session, in bounded memory.
 #pragma once
 
 #include <array>
@@ -10,79 +6,75 @@
 #include <cstdint>
 #include <memory>
 #include <optional>
-#include <string_view>
 #include <unordered_map>
 #include <vector>
 
+#include "consistency/write_watermark.h"
 #include "routing/balancer.h"
 
 namespace lynxgrade::consistency {
 
-// A session of one group, as the 64-bit XXH3 hash of both: the same at every instance, as marks are exchanged
-// by it. Two sessions of one hash share the newer mark, and wait for it.
-enum class SessionKey : std::uint64_t {};
-SessionKey SessionKeyOf(GroupId group, std::string_view session);
-
-// A write that was answered: its commit, and the member that answered as primary. Absent where that is not
-// known any more, which is to be taken for whichever member would be worst.
-struct WriteWatermark {
-  LogPosition position{};
-  std::optional<ServerId> by{};
-  bool operator==(const WriteWatermark&) const = default;
-};
-
+// Maps session keys to watermarks in a flat table of buckets of a fixed size. A watermark that no longer fits
+// is evicted, which raises its bucket's conservative position: a session that is not found may have written
+// up to there. Eviction can therefore make a read wait for a newer replica, but never lets it see old data.
+//
+// Owns its memory. Not thread-safe; reads no clock.
 class SessionWatermarkTable {
  public:
-  // Holds about `sessions` of them at half load, in 16 bytes each at full load; memory is touched as it
-  // fills.
+  // Holds about `sessions` watermarks at half load, and takes 16 bytes each at full load. Memory pages are
+  // touched only as the table fills. Throws std::bad_alloc.
   explicit SessionWatermarkTable(std::size_t sessions);
   ~SessionWatermarkTable();
   SessionWatermarkTable(SessionWatermarkTable&& other) noexcept;
   SessionWatermarkTable& operator=(SessionWatermarkTable&& other) noexcept;
 
-  // Keeps the newer of this mark and the one known. Positions are rounded up to whole milliseconds from the
-  // first one noted. Amortised O(1), and at most one bucket is touched.
+  // Keeps the newer of `watermark` and the known one. Positions are rounded up to whole milliseconds, counted
+  // from the first one noted. Amortised O(1); touches at most one bucket.
   void Note(SessionKey key, const WriteWatermark& watermark);
 
-  // A session's newest mark where `mark` is set; else it wrote, if at all, no later than `floor`.
   struct Known {
+    // The session's newest write, if it is known.
     std::optional<WriteWatermark> watermark;
+    // If `watermark` is absent, the session wrote no later than this, or not at all if this is absent too.
     std::optional<LogPosition> floor;
   };
   Known Find(SessionKey key) const;
 
-  // All marks, and with each bucket's floor what has been forgotten there. Order is that of the table.
+  // Calls `call(SessionKey, const WriteWatermark&)` for each watermark, in the table's order.
   template <typename Call>
   void ForEach(Call call) const {
-    for (std::size_t i = 0; i < buckets_; ++i) Visit(i, call);
+    for (std::size_t bucket = 0; bucket < bucket_count_; ++bucket) Visit(bucket, call);
   }
-  // Marks of bucket `at` alone: lets a caller copy the table a part at a time.
+  // The same for the bucket `index` alone, so that a caller can copy the table a part at a time.
   template <typename Call>
-  void Visit(std::size_t at, Call call) const {
-    const Bucket& bucket = table_[at];
+  void Visit(std::size_t index, Call call) const {
+    const Bucket& bucket = table_[index];
     for (std::size_t slot = 0; slot < kSlots; ++slot) {
       if (bucket.positions[slot] != 0) call(SessionKey(bucket.keys[slot]), WatermarkOf(bucket, slot));
     }
   }
-  // Of everything forgotten so far the newest; absent where nothing was.
+
+  // The newest position evicted so far. Absent if none was.
   std::optional<LogPosition> newest_forgotten() const { return newest_evicted_; }
-  // Every session not known by its own mark may have written up to here.
+  // Any session whose own watermark is not known may have written up to `position`.
   void RaiseFloor(LogPosition position);
 
-  std::size_t buckets() const { return buckets_; }
+  std::size_t buckets() const { return bucket_count_; }
+  // Watermarks held.
   std::size_t size() const { return size_; }
+  // Watermarks evicted so far.
   std::uint64_t evicted() const { return evicted_; }
-  std::size_t bytes() const { return buckets_ * sizeof(Bucket); }
+  std::size_t bytes() const { return bucket_count_ * sizeof(Bucket); }
 
  private:
-  // Two cache lines. A position of zero is an empty slot; eras index `members_`.
   static constexpr std::size_t kSlots = 8;
+  // Two cache lines.
   struct Bucket {
     std::array<std::uint64_t, kSlots> keys;
-    std::array<std::uint32_t, kSlots> positions;
-    std::array<std::uint16_t, kSlots> server_indexes;
-    std::uint32_t floor;
-    std::uint32_t reserved[3];
+    std::array<std::uint32_t, kSlots> positions;       // encoded; zero is an empty slot
+    std::array<std::uint16_t, kSlots> server_indexes;  // index into `servers_` plus one; zero is unknown
+    std::uint32_t conservative_position;               // encoded; zero if nothing was evicted
+    std::array<std::uint32_t, 3> reserved;
   };
   static_assert(sizeof(Bucket) == 128);
   struct FreeBlock {
@@ -91,20 +83,26 @@
 
   Bucket& BucketOf(SessionKey key) const;
   WriteWatermark WatermarkOf(const Bucket& bucket, std::size_t slot) const;
-  LogPosition PositionOf(std::uint32_t stored) const;
-  // Rounded up; what lies before the base stands at its first millisecond, which is later and so safe.
+  LogPosition DecodePosition(std::uint32_t encoded) const;
+  // Rounds up. A position before the base becomes the first after it, which is later and so conservative.
   std::uint32_t EncodePosition(LogPosition position);
-  std::uint16_t ServerIndexOf(const std::optional<ServerId>& by);
-  void Rebase(std::uint32_t by);
+  std::uint16_t ServerIndexOf(const std::optional<ServerId>& server);
+  // Moves the base forward by `units`.
+  void Rebase(std::uint32_t units);
+  // Replaces the slot's watermark if the given one is newer.
+  static void RaiseSlot(Bucket& bucket, std::size_t slot, std::uint32_t position, std::uint16_t server_index);
+  // Evicts the older of the slot's watermark and one of `position`. Returns whether the slot is free for
+  // that.
+  bool Evict(Bucket& bucket, std::size_t slot, std::uint32_t position);
 
-  std::size_t buckets_;
+  std::size_t bucket_count_;
   std::unique_ptr<void, FreeBlock> block_;
-  Bucket* table_;
+  Bucket* table_;  // within `block_`, aligned
   std::optional<LogPosition> base_;
-  std::vector<ServerId> servers_;  // by era less one; era zero is a member not known
+  std::vector<ServerId> servers_;
   std::unordered_map<ServerId, std::uint16_t> index_of_server_;
   std::optional<LogPosition> newest_evicted_;
-  std::optional<LogPosition> floor_;
+  std::optional<LogPosition> conservative_position_;  // of all buckets
   std::size_t size_ = 0;
   std::uint64_t evicted_ = 0;
 };
--- a/tests/consistency/consistency_test.cpp
+++ b/tests/consistency/consistency_test.cpp
@@ -74,8 +74,8 @@
     CAPTURE(c.watermark.position.time_since_epoch().count());
     CHECK(timelines.MayBeLost(c.watermark) == c.doubt);
   }
-  CHECK(timelines.MayBeLost(At(50), At(95)));
-  CHECK_FALSE(timelines.MayBeLost(At(3001), At(3100)));
+  CHECK(timelines.MayBeLost(WriteInterval{At(50), At(95)}));
+  CHECK_FALSE(timelines.MayBeLost(WriteInterval{At(3001), At(3100)}));
 }
 
 TEST_CASE("reigns: a replica's position proves nothing past what a reign that is known can have lasted") {
