--- a/src/durability/snapshot_encoder.cpp
+++ b/src/durability/snapshot_encoder.cpp
@@ -38,7 +38,7 @@
   std::string part;
   for (std::size_t bucket = *next_bucket_; bucket < end; ++bucket) {
     table.Visit(bucket, [&](consistency::SessionKey session, const consistency::WriteWatermark& watermark) {
-      if (watermark.position + guard_.recall() < now) return;
+      if (watermark.position + guard_.write_retention() < now) return;
       encoder_.Append(part, WatermarkRecord{session, watermark});
     });
   }
--- a/src/replication/timeline_gossip.cpp
+++ b/src/replication/timeline_gossip.cpp
@@ -53,7 +53,7 @@
 void TimelineGossip::AppendIfRecent(TimePoint now, GroupId group, proto::Packet& packet) const {
   const auto found = consistency_guard_.timelines().find(group);
   if (found == consistency_guard_.timelines().end() || !found->second.primary()) return;
-  if (found->second.since() + consistency_guard_.recall() < now) return;
+  if (found->second.since() + consistency_guard_.write_retention() < now) return;
   EncodeTimeline(group, found->second, *packet.add_timelines());
 }
 
