--- a/src/membership/quorum_tracker.cpp
+++ b/src/membership/quorum_tracker.cpp
@@ -32,10 +32,10 @@
 
 QuorumTracker::QuorumTracker(Options options, TimePoint now)
     : options_(options), settled_(now), heard_out_(now), since_(now) {
-  StoodStill(now);
+  ResetAfterPause(now);
 }
 
-void QuorumTracker::StoodStill(TimePoint now) {
+void QuorumTracker::ResetAfterPause(TimePoint now) {
   // An earlier life, or this one before it stopped, may have stood by another view just now.
   settled_ = heard_out_ = now + options_.proof + options_.proof / kDriftParts;
   std::ranges::fill(words_, Word{});
@@ -43,8 +43,8 @@
   strangers_.clear();
 }
 
-void QuorumTracker::Saw(TimePoint now, std::uint64_t digest,
-                        const std::vector<std::uint64_t>& incarnation_ids) {
+void QuorumTracker::UpdateView(TimePoint now, std::uint64_t digest,
+                               const std::vector<std::uint64_t>& incarnation_ids) {
   if (digest == digest_ && incarnation_ids.size() == incarnation_ids_.size()) return;
   for (std::size_t i = 0; i < incarnation_ids_.size(); ++i) {
     if (words_[i].asked != TimePoint{}) strangers_[incarnation_ids_[i]] = words_[i];
@@ -88,19 +88,19 @@
 }
 
 unsigned char QuorumTracker::AgeOf(TimePoint now, std::optional<TimePoint> stood) const {
-  if (!stood || now < *stood || now - *stood > options_.proof) return kNoWord;
+  if (!stood || now < *stood || now - *stood > options_.proof) return kNoAcknowledgement;
   return static_cast<unsigned char>(((now - *stood) * kAgeUnits + options_.proof - Duration(1)) /
                                     options_.proof);
 }
 
-void QuorumTracker::Answered(std::uint64_t who, TimePoint asked, std::uint64_t declares) {
+void QuorumTracker::RecordAcknowledgement(std::uint64_t who, TimePoint asked, std::uint64_t declares) {
   const std::size_t place = PlaceOf(who);
   Word& word = place < incarnation_ids_.size() ? words_[place] : strangers_[who];
   if (asked < word.asked) return;
   word = {asked, declares};
 }
 
-void QuorumTracker::Told(TimePoint asked, std::uint64_t view, std::string_view ages) {
+void QuorumTracker::MergeAcknowledgementAges(TimePoint asked, std::uint64_t view, std::string_view ages) {
   if (view != digest_ || ages.size() != incarnation_ids_.size()) return;
   for (std::size_t i = 0; i < ages.size(); ++i) {
     const auto age = static_cast<unsigned char>(ages[i]);
@@ -110,19 +110,20 @@
   }
 }
 
-std::string QuorumTracker::Ages(TimePoint now, std::uint64_t view) const {
+std::string QuorumTracker::AcknowledgementAges(TimePoint now, std::uint64_t view) const {
   if (view != digest_) return {};
-  std::string ages(incarnation_ids_.size(), static_cast<char>(kNoWord));
+  std::string ages(incarnation_ids_.size(), static_cast<char>(kNoAcknowledgement));
   for (std::size_t i = 0; i < incarnation_ids_.size(); ++i) {
     if (incarnation_ids_[i] != options_.self) ages[i] = static_cast<char>(AgeOf(now, StoodAt(i)));
   }
   return ages;
 }
 
-std::string QuorumTracker::BlockAges(TimePoint now, std::uint64_t view, std::uint64_t asker) const {
+std::string QuorumTracker::BlockAcknowledgementAges(TimePoint now, std::uint64_t view,
+                                                    std::uint64_t asker) const {
   const std::size_t place = PlaceOf(asker);
   if (view != digest_ || place == incarnation_ids_.size()) return {};
-  const bool stands = Declares(now) != 0;
+  const bool stands = AcknowledgedView(now) != 0;
   std::string ages;
   for (std::size_t block = 0; block < claims_.size(); ++block) {
     std::optional<TimePoint> all = now;
@@ -136,12 +137,14 @@
   }
   const std::size_t own = block_of_[place];
   for (std::size_t i = blocks_[own]; i < blocks_[own + 1]; ++i) {
-    ages += static_cast<char>(incarnation_ids_[i] == options_.self ? kNoWord : AgeOf(now, StoodAt(i)));
+    ages +=
+        static_cast<char>(incarnation_ids_[i] == options_.self ? kNoAcknowledgement : AgeOf(now, StoodAt(i)));
   }
   return ages;
 }
 
-void QuorumTracker::ToldBlocks(TimePoint asked, std::uint64_t view, std::string_view ages) {
+void QuorumTracker::MergeBlockAcknowledgementAges(TimePoint asked, std::uint64_t view,
+                                                  std::string_view ages) {
   const std::span<const std::uint64_t> own = OwnBlock();
   if (view != digest_ || own.empty() || ages.size() != claims_.size() + own.size()) return;
   for (std::size_t block = 0; block < claims_.size(); ++block) {
@@ -164,15 +167,15 @@
   return std::span(incarnation_ids_).subspan(blocks_[block], blocks_[block + 1] - blocks_[block]);
 }
 
-bool QuorumTracker::ClaimsSuffice(TimePoint now) const {
+bool QuorumTracker::BlockAcknowledgementsSuffice(TimePoint now) const {
   if (incarnation_ids_.size() <= kLargestWithoutBlocks) return false;
-  const std::optional<TimePoint> until = AllUntil(now);
+  const std::optional<TimePoint> until = AllAcknowledgedUntil(now);
   return until && *until - now >= options_.proof * kLeastLeftPercent / 100;
 }
 
-std::uint64_t QuorumTracker::Declares(TimePoint now) const { return now >= settled_ ? digest_ : 0; }
+std::uint64_t QuorumTracker::AcknowledgedView(TimePoint now) const { return now >= settled_ ? digest_ : 0; }
 
-std::optional<TimePoint> QuorumTracker::AllUntil(TimePoint now) const {
+std::optional<TimePoint> QuorumTracker::AllAcknowledgedUntil(TimePoint now) const {
   if (now < settled_) return std::nullopt;
   TimePoint until = TimePoint::max();
   for (std::size_t i = 0; i < incarnation_ids_.size(); ++i) {
@@ -185,7 +188,7 @@
   return until;
 }
 
-QuorumTracker::Value QuorumTracker::At(TimePoint now) {
+QuorumTracker::Assessment QuorumTracker::Assess(TimePoint now) {
   std::erase_if(strangers_, [&](const auto& item) { return now - item.second.asked > options_.proof; });
   std::vector<TimePoint> with;  // when those that stand by the same view were asked
   for (std::size_t i = 0; i < incarnation_ids_.size(); ++i) {
@@ -197,23 +200,23 @@
   const bool settled = now >= settled_ || !options_.proven;
   const std::size_t quorum_tracker = settled ? with.size() + 1 : 0;
   const std::size_t half = options_.size / 2;
-  Value value;
+  Assessment value;
   if (quorum_tracker > half) {
     const std::size_t missing = options_.size - std::min(options_.size, quorum_tracker);
     const std::size_t few = std::max<std::size_t>(1, options_.size / kFewParts);
-    value.part = missing == 0     ? QuorumState::kComplete
-                 : missing <= few ? QuorumState::kNearlyComplete
-                                  : QuorumState::kMajority;
+    value.state = missing == 0     ? QuorumState::kComplete
+                  : missing <= few ? QuorumState::kNearlyComplete
+                                   : QuorumState::kMajority;
     // It holds as long as more than half do: for as long as the word of the half-th newest counts.
     if (half > 0) {
       std::ranges::nth_element(with, with.begin() + static_cast<std::ptrdiff_t>(half) - 1, std::greater<>());
       value.until = with[half - 1] + options_.proof;
     }
   } else if (now >= heard_out_ && incarnation_ids_.size() <= half) {
-    value.part = incarnation_ids_.size() <= 1 ? QuorumState::kIsolated : QuorumState::kMinority;
+    value.state = incarnation_ids_.size() <= 1 ? QuorumState::kIsolated : QuorumState::kMinority;
   }
-  if (value.part != part_) {
-    part_ = value.part;
+  if (value.state != part_) {
+    part_ = value.state;
     since_ = now;
   }
   value.since = since_;
--- a/src/membership/quorum_tracker.h
+++ b/src/membership/quorum_tracker.h
@@ -46,7 +46,7 @@
   // Clocks may run apart by so much of the time; a view is settled that much later.
   static constexpr int kDriftParts = 10;
   static constexpr int kAgeUnits = 250;  // of the proof, in what is told of a word's age
-  static constexpr unsigned char kNoWord = 255;
+  static constexpr unsigned char kNoAcknowledgement = 255;
   // Members above which claims for blocks are worth having. Up to here the ages of all are fewer bytes than
   // the rest of a packet (some 80), and words go round without anybody being asked more often than others.
   static constexpr std::size_t kLargestWithoutBlocks = 64;
@@ -59,47 +59,47 @@
 
   // The view as it is now: a digest of those in reach, and their lives in ascending order, this instance's
   // included. Those of one digest have the same lives in the same order.
-  void Saw(TimePoint now, std::uint64_t digest, const std::vector<std::uint64_t>& incarnation_ids);
+  void UpdateView(TimePoint now, std::uint64_t digest, const std::vector<std::uint64_t>& incarnation_ids);
   // An answer to what was asked at `asked`: the life `who` then stood by the view `declares`; zero: by none.
-  void Answered(std::uint64_t who, TimePoint asked, std::uint64_t declares);
+  void RecordAcknowledgement(std::uint64_t who, TimePoint asked, std::uint64_t declares);
   // What that answer told of the words of others, if its sender has the same view.
-  void Told(TimePoint asked, std::uint64_t view, std::string_view ages);
+  void MergeAcknowledgementAges(TimePoint asked, std::uint64_t view, std::string_view ages);
   // What an answer at `now` tells one who has the view `view`: a byte a member, in units of the proof's 250th
   // part, rounded up; kNoWord: no word of it counts. Empty where views differ.
-  std::string Ages(TimePoint now, std::uint64_t view) const;
+  std::string AcknowledgementAges(TimePoint now, std::uint64_t view) const;
   // The same in fewer bytes. The view is cut into blocks of neighbours, as many as each has members or one
   // more. A *claim* for a block says since when at the latest all of it are known to have stood by the view:
   // a byte for each block. Behind them the ages of the members of the block of `asker`, who is of the view
   // (else empty): there single words meet, and become claims. Also empty where views differ.
-  std::string BlockAges(TimePoint now, std::uint64_t view, std::uint64_t asker) const;
-  void ToldBlocks(TimePoint asked, std::uint64_t view, std::string_view ages);
+  std::string BlockAcknowledgementAges(TimePoint now, std::uint64_t view, std::uint64_t asker) const;
+  void MergeBlockAcknowledgementAges(TimePoint asked, std::uint64_t view, std::string_view ages);
   // Whether claims are enough for this instance at `now`, as it wants nothing in a hurry: all of a large view
   // are proven, and for long enough.
-  bool ClaimsSuffice(TimePoint now) const;
+  bool BlockAcknowledgementsSuffice(TimePoint now) const;
   // The lives of this instance's own block, ascending.
   std::span<const std::uint64_t> OwnBlock() const;
   // The process stood still until `now`: others may have settled on what it knows nothing of.
-  void StoodStill(TimePoint now);
+  void ResetAfterPause(TimePoint now);
   // The view as last seen, and what goes out with each answer at `now`: the same, or zero while not settled.
   std::uint64_t view() const { return digest_; }
   std::size_t count() const { return incarnation_ids_.size(); }
   const std::vector<std::uint64_t>& incarnation_ids() const {
     return incarnation_ids_;
   }  // of the view as last seen, ascending
-  std::uint64_t Declares(TimePoint now) const;
+  std::uint64_t AcknowledgedView(TimePoint now) const;
 
   // Up to when every other of the view is known to stand by it, as words are now. Absent where one is not, or
   // this instance stands by none.
-  std::optional<TimePoint> AllUntil(TimePoint now) const;
+  std::optional<TimePoint> AllAcknowledgedUntil(TimePoint now) const;
 
-  struct Value {
-    QuorumState part = QuorumState::kUnknown;
+  struct Assessment {
+    QuorumState state = QuorumState::kUnknown;
     TimePoint since{};
     std::optional<TimePoint> until{};  // up to when it is proven; absent: it needs no proof
     std::uint64_t view = 0;            // of which view
   };
   // Never older than the options' `proof`, also in a process that has just gone on: what lapsed has lapsed.
-  Value At(TimePoint now);
+  Assessment Assess(TimePoint now);
 
  private:
   struct Word {
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -33,14 +33,15 @@
       self_(std::move(self)),
       unheard_(std::move(seeds)),
       random_(seed),
-      quorum_tracker_({self_.incarnation_id(), options.size, proof(), options.proven}, TimePoint{}) {
+      quorum_tracker_({self_.incarnation_id(), options.size, acknowledgement_validity(), options.proven},
+                      TimePoint{}) {
   std::erase(unheard_, self_.address());
-  self_.set_speaks(std::max(kSpeaks, options_.speaks));
-  self_.set_owns(options_.owns);
-  self_.set_understands(self_.understands() | options_.understands);
+  self_.set_protocol_version(std::max(kSpeaks, options_.speaks));
+  self_.set_dedicated_lease_manager(options_.owns);
+  self_.set_capabilities(self_.capabilities() | options_.understands);
 }
 
-Duration Swim::proof() const {
+Duration Swim::acknowledgement_validity() const {
   const double periods =
       std::log2(static_cast<double>(std::max<std::size_t>(1, options_.size))) + kSpreadMore;
   return Duration(static_cast<std::int64_t>(options_.proof_spreads * periods *
@@ -56,11 +57,11 @@
 
 void Swim::Tell(const std::string& name) { rumours_[name] = 0; }
 
-void Swim::Dress(proto::Packet& packet) {
+void Swim::AddSenderAndGossip(proto::Packet& packet) {
   packet.set_version(1);
   *packet.mutable_sender() = self_;
   packet.set_view(quorum_tracker_.view());
-  packet.set_stands(quorum_tracker_.Declares(now_) != 0);
+  packet.set_view_acknowledged(quorum_tracker_.AcknowledgedView(now_) != 0);
   if (rumours_.empty()) return;
   std::vector<std::map<std::string, int>::iterator> order;
   order.reserve(rumours_.size());
@@ -73,23 +74,25 @@
   const double most = kTellings * std::log2(static_cast<double>(peers_.size()) + 2);
   for (std::size_t i = 0; i < few; ++i) {
     const auto peer = peers_.find(order[i]->first);
-    if (peer != peers_.end()) *packet.add_rumours() = peer->second.member;
+    if (peer != peers_.end()) *packet.add_gossip() = peer->second.member;
     if (++order[i]->second >= most || peer == peers_.end()) rumours_.erase(order[i]);
   }
 }
 
-void Swim::Ping(const std::string& address, std::uint64_t nonce, std::vector<Out>& out, const Peer* about) {
-  Out ping{address, {}};
+void Swim::Ping(const std::string& address, std::uint64_t nonce, std::vector<OutgoingPacket>& out,
+                const Peer* about) {
+  OutgoingPacket ping{address, {}};
   ping.packet.mutable_ping()->set_nonce(nonce);
   if (about != nullptr && about->member.state() != proto::Member::ALIVE) {
-    *ping.packet.add_rumours() = about->member;
+    *ping.packet.add_gossip() = about->member;
   }
-  if (quorum_tracker_.ClaimsSuffice(now_)) ping.packet.set_block_ages(kClaimsSuffice);
-  Dress(ping.packet);
+  if (quorum_tracker_.BlockAcknowledgementsSuffice(now_))
+    ping.packet.set_block_acknowledgement_ages(kClaimsSuffice);
+  AddSenderAndGossip(ping.packet);
   out.push_back(std::move(ping));
 }
 
-void Swim::Tick(TimePoint now, std::vector<Out>& out) {
+void Swim::Tick(TimePoint now, std::vector<OutgoingPacket>& out) {
   if (next_ == TimePoint{}) {
     // Instances that start together do not probe together.
     next_ = now +
@@ -98,7 +101,7 @@
     for (const std::string& seed : unheard_) Ping(seed, random_(), out);
   }
   now_ = now;
-  if (ticked_ == TimePoint{}) quorum_tracker_.StoodStill(now);  // it starts
+  if (ticked_ == TimePoint{}) quorum_tracker_.ResetAfterPause(now);  // it starts
   if (ticked_ != TimePoint{} && now - ticked_ > options_.period) StoodStill(now, now - ticked_);
   ticked_ = now;
   Look(now);
@@ -139,7 +142,7 @@
   });
 }
 
-void Swim::PressProbe(TimePoint now, std::vector<Out>& out) {
+void Swim::PressProbe(TimePoint now, std::vector<OutgoingPacket>& out) {
   const auto probed = probe_ ? peers_.find(probe_->name) : peers_.end();
   if (probed == peers_.end()) return;
   const Duration part = options_.period / kAckPart * (doubt_ + 1);
@@ -162,17 +165,18 @@
   }
   std::shuffle(others.begin(), others.end(), random_);
   for (std::size_t i = 0; i < others.size() && i < static_cast<std::size_t>(options_.indirect); ++i) {
-    probe_->helpers += others[i]->member.speaks() >= kSpeaks;
-    Out request{others[i]->member.address(), {}};
-    request.packet.mutable_ping_for()->set_address(address);
-    request.packet.mutable_ping_for()->set_nonce(probe_->nonce);
-    if (quorum_tracker_.ClaimsSuffice(now)) request.packet.set_block_ages(kClaimsSuffice);
-    Dress(request.packet);
+    probe_->helpers += others[i]->member.protocol_version() >= kSpeaks;
+    OutgoingPacket request{others[i]->member.address(), {}};
+    request.packet.mutable_ping_request()->set_address(address);
+    request.packet.mutable_ping_request()->set_nonce(probe_->nonce);
+    if (quorum_tracker_.BlockAcknowledgementsSuffice(now))
+      request.packet.set_block_acknowledgement_ages(kClaimsSuffice);
+    AddSenderAndGossip(request.packet);
     out.push_back(std::move(request));
   }
 }
 
-void Swim::PingDead(TimePoint now, std::vector<Out>& out) {
+void Swim::PingDead(TimePoint now, std::vector<OutgoingPacket>& out) {
   if (now < next_dead_) return;
   next_dead_ = now + options_.period * kDeadEvery;
   if (gone_ == 0) return;
@@ -202,7 +206,7 @@
 // them while it could not hear is void, and for a while it takes itself for the slow one.
 void Swim::StoodStill(TimePoint now, Duration stall) {
   ++stalls_;
-  quorum_tracker_.StoodStill(now);
+  quorum_tracker_.ResetAfterPause(now);
   probe_.reset();
   relays_.clear();
   accused_.clear();
@@ -222,7 +226,7 @@
   return true;
 }
 
-void Swim::AskAccused(TimePoint now, std::vector<Out>& out) {
+void Swim::AskAccused(TimePoint now, std::vector<OutgoingPacket>& out) {
   for (auto next = accused_.begin(); next != accused_.end();) {
     const auto accused = next++;
     Accusation& accusation = accused->second;
@@ -246,14 +250,14 @@
   }
 }
 
-void Swim::NackRelays(TimePoint now, std::vector<Out>& out) {
+void Swim::NackRelays(TimePoint now, std::vector<OutgoingPacket>& out) {
   for (auto& [nonce, relay] : relays_) {
     if (relay.nacked || now < relay.nack_at) continue;
     relay.nacked = true;
-    Out nack{relay.address, {}};
+    OutgoingPacket nack{relay.address, {}};
     nack.packet.mutable_nack()->set_nonce(relay.nonce);
     AddWords(now, relay.incarnation_id, relay.view, relay.claims_suffice, nack.packet);
-    Dress(nack.packet);
+    AddSenderAndGossip(nack.packet);
     out.push_back(std::move(nack));
   }
   std::erase_if(relays_, [now](const auto& item) { return item.second.until < now; });
@@ -268,7 +272,7 @@
   if (it == peers_.end() || it->second.member.state() > proto::Member::SUSPECT) return;
   Peer& peer = it->second;
   const bool first = peer.accusers.insert(self_.incarnation_id()).second;
-  peer.member.set_accuser(self_.incarnation_id());
+  peer.member.set_suspected_by(self_.incarnation_id());
   if (peer.member.state() == proto::Member::ALIVE) {
     Set(now, peer, proto::Member::SUSPECT);
   } else if (first) {
@@ -276,7 +280,7 @@
   }
 }
 
-bool Swim::ProbeNext(TimePoint now, std::vector<std::string>& round, std::vector<Out>& out) {
+bool Swim::ProbeNext(TimePoint now, std::vector<std::string>& round, std::vector<OutgoingPacket>& out) {
   while (!round.empty()) {
     const std::string name = round.back();
     round.pop_back();
@@ -289,10 +293,10 @@
   return false;
 }
 
-void Swim::BeginProbe(TimePoint now, std::vector<Out>& out) {
+void Swim::BeginProbe(TimePoint now, std::vector<OutgoingPacket>& out) {
   // Claims are made where the words of a block meet: in those of it who ask each other. Every other ping goes
   // over all as ever, so each member is asked within twice as many periods as there are.
-  block_next_ = !block_next_ && quorum_tracker_.ClaimsSuffice(now);
+  block_next_ = !block_next_ && quorum_tracker_.BlockAcknowledgementsSuffice(now);
   if (block_next_) {
     if (ProbeNext(now, block_round_, out)) return;
     const std::span<const std::uint64_t> block = quorum_tracker_.OwnBlock();
@@ -347,11 +351,11 @@
       member.incarnation() == peer.member.incarnation() && member.state() > peer.member.state();
   const bool back = directly && peer.member.state() != proto::Member::ALIVE &&
                     peer.member.state() != proto::Member::LEFT && member.state() == proto::Member::ALIVE;
-  const bool confirms = member.state() == proto::Member::SUSPECT && !later_life && member.accuser() != 0 &&
-                        peer.member.state() == proto::Member::SUSPECT &&
+  const bool confirms = member.state() == proto::Member::SUSPECT && !later_life &&
+                        member.suspected_by() != 0 && peer.member.state() == proto::Member::SUSPECT &&
                         member.incarnation() == peer.member.incarnation();
-  if (confirms && peer.accusers.insert(member.accuser()).second) {
-    peer.member.set_accuser(member.accuser());
+  if (confirms && peer.accusers.insert(member.suspected_by()).second) {
+    peer.member.set_suspected_by(member.suspected_by());
     return Tell(member.name());
   }
   if (!later_life && !newer && !worse && !back) return;
@@ -366,8 +370,8 @@
   const bool moved = fresh || peer.member.state() != member.state() || later_life;
   peer.member = member;
   peer.accusers.clear();
-  if (member.state() == proto::Member::SUSPECT && member.accuser() != 0) {
-    peer.accusers.insert(member.accuser());
+  if (member.state() == proto::Member::SUSPECT && member.suspected_by() != 0) {
+    peer.accusers.insert(member.suspected_by());
   }
   if (moved) peer.changed = now;
   Tell(member.name());
@@ -385,7 +389,7 @@
   };
   // Instances that count words for different times, or against different sizes, are never of one view.
   std::uint64_t digest = mixed(self_.incarnation_id()) + mixed(options_.size) +
-                         mixed(~static_cast<std::uint64_t>(proof().count()));
+                         mixed(~static_cast<std::uint64_t>(acknowledgement_validity().count()));
   LookForOwners();
   for (const std::uint64_t incarnation_id : owners_)
     digest += options_.owners_named ? mixed(~incarnation_id) : 0;
@@ -401,7 +405,7 @@
     incarnation_ids.push_back(peer.member.incarnation_id());
   }
   std::ranges::sort(incarnation_ids);
-  quorum_tracker_.Saw(now, digest, incarnation_ids);
+  quorum_tracker_.UpdateView(now, digest, incarnation_ids);
 }
 
 // Those set aside, where all of the view know that rule: one that does not would find other owners, and two
@@ -409,13 +413,13 @@
 // has been told to whom.
 void Swim::LookForOwners() {
   owners_.clear();
-  bool all = (options_.understands & kUnderstandsOwners) != 0;
+  bool all = (options_.understands & kKnowsDedicatedLeaseManagers) != 0;
   if (options_.owns) owners_.push_back(self_.incarnation_id());
   for (const auto& [name, peer] : peers_) {
     if (peer.member.state() > proto::Member::SUSPECT) continue;
-    const bool understands = (peer.member.understands() & kUnderstandsOwners) != 0;
+    const bool understands = (peer.member.capabilities() & kKnowsDedicatedLeaseManagers) != 0;
     all = all && (understands || !options_.owners_named);
-    if (peer.member.owns()) owners_.push_back(peer.member.incarnation_id());
+    if (peer.member.dedicated_lease_manager()) owners_.push_back(peer.member.incarnation_id());
   }
   if (!all) owners_.clear();
 }
@@ -432,15 +436,16 @@
   } else {
     ++conflicts_;
     aside_ = true;
-    quorum_tracker_.StoodStill(now);
+    quorum_tracker_.ResetAfterPause(now);
   }
 }
 
 void Swim::TakeWords(const proto::Packet& packet) {
-  quorum_tracker_.Answered(packet.sender().incarnation_id(), probe_->sent,
-                           packet.stands() ? packet.view() : 0);
-  quorum_tracker_.Told(probe_->sent, packet.view(), packet.ages());
-  quorum_tracker_.ToldBlocks(probe_->sent, packet.view(), packet.block_ages());
+  quorum_tracker_.RecordAcknowledgement(packet.sender().incarnation_id(), probe_->sent,
+                                        packet.view_acknowledged() ? packet.view() : 0);
+  quorum_tracker_.MergeAcknowledgementAges(probe_->sent, packet.view(), packet.acknowledgement_ages());
+  quorum_tracker_.MergeBlockAcknowledgementAges(probe_->sent, packet.view(),
+                                                packet.block_acknowledgement_ages());
 }
 
 // Not of a ping that was repeated, or asked of others: which one was answered is not known (Karn's rule). The
@@ -457,14 +462,14 @@
 void Swim::AddWords(TimePoint now, std::uint64_t asker, std::uint64_t view, bool claims_suffice,
                     proto::Packet& packet) const {
   if (claims_suffice) {
-    packet.set_block_ages(quorum_tracker_.BlockAges(now, view, asker));
+    packet.set_block_acknowledgement_ages(quorum_tracker_.BlockAcknowledgementAges(now, view, asker));
   } else {
-    packet.set_ages(quorum_tracker_.Ages(now, view));
+    packet.set_acknowledgement_ages(quorum_tracker_.AcknowledgementAges(now, view));
   }
 }
 
 void Swim::CompareViews(TimePoint now, const std::string& from, const proto::Packet& packet,
-                        std::vector<Out>& out) {
+                        std::vector<OutgoingPacket>& out) {
   if (packet.view() == 0) return;  // an older version
   const std::string& name = packet.sender().name();
   if (packet.view() == quorum_tracker_.view()) {
@@ -478,19 +483,20 @@
   std::ranges::sort(all, {}, [](const proto::Member* member) { return member->incarnation_id(); });
   auto next = std::ranges::lower_bound(all, roll_from_, {},
                                        [](const proto::Member* m) { return m->incarnation_id(); });
-  Out roll{from, {}};
-  proto::Roll& part = *roll.packet.mutable_roll();
-  part.set_from(roll_from_);
+  OutgoingPacket roll{from, {}};
+  proto::MembershipDigest& part = *roll.packet.mutable_membership_digest();
+  part.set_first_incarnation_id(roll_from_);
   for (; next != all.end() && part.entries_size() < kEntriesARoll; ++next) {
-    proto::Roll::Entry& entry = *part.add_entries();
+    proto::MembershipDigest::Entry& entry = *part.add_entries();
     entry.set_incarnation_id((*next)->incarnation_id());
     entry.set_incarnation((*next)->incarnation());
     entry.set_state((*next)->state());
   }
   const bool last = next == all.end();
-  part.set_to(last ? std::numeric_limits<std::uint64_t>::max() : (*next)->incarnation_id() - 1);
+  part.set_last_incarnation_id(last ? std::numeric_limits<std::uint64_t>::max()
+                                    : (*next)->incarnation_id() - 1);
   roll_from_ = last ? 0 : (*next)->incarnation_id();
-  Dress(roll.packet);
+  AddSenderAndGossip(roll.packet);
   out.push_back(std::move(roll));
 }
 
@@ -498,9 +504,10 @@
 // those of whom there is later news. Whom it holds alive and this instance dead, with no later news on either
 // side, is asked: two sides of a cut that has healed must not kill each other's members by hearsay.
 void Swim::TakeRoll(TimePoint now, const std::string& from, const proto::Packet& packet,
-                    std::vector<Out>& out) {
-  std::map<std::uint64_t, const proto::Roll::Entry*> theirs;
-  for (const proto::Roll::Entry& entry : packet.roll().entries()) theirs[entry.incarnation_id()] = &entry;
+                    std::vector<OutgoingPacket>& out) {
+  std::map<std::uint64_t, const proto::MembershipDigest::Entry*> theirs;
+  for (const proto::MembershipDigest::Entry& entry : packet.membership_digest().entries())
+    theirs[entry.incarnation_id()] = &entry;
   const auto self = theirs.find(self_.incarnation_id());
   if (self != theirs.end() && self->second->state() != proto::Member::ALIVE) {
     proto::Member accused = self_;
@@ -510,13 +517,14 @@
   }
   std::vector<std::string>& differs = differences_[packet.sender().name()];
   const auto within = [&](std::uint64_t incarnation_id) {
-    return incarnation_id >= packet.roll().from() && incarnation_id <= packet.roll().to();
+    return incarnation_id >= packet.membership_digest().first_incarnation_id() &&
+           incarnation_id <= packet.membership_digest().last_incarnation_id();
   };
   std::erase_if(differs, [&](const std::string& name) {
     const auto peer = peers_.find(name);
     return peer == peers_.end() || within(peer->second.member.incarnation_id());
   });
-  Out news{from, {}};
+  OutgoingPacket news{from, {}};
   for (const auto& [name, peer] : peers_) {
     const proto::Member& member = peer.member;
     if (!within(member.incarnation_id())) continue;
@@ -528,17 +536,18 @@
     const bool later = entry == theirs.end() || member.incarnation() > entry->second->incarnation() ||
                        member.state() == proto::Member::LEFT;
     if (later) {
-      if (news.packet.rumours_size() < kNewsARoll) *news.packet.add_rumours() = member;
+      if (news.packet.gossip_size() < kNewsARoll) *news.packet.add_gossip() = member;
     } else if (member.state() == proto::Member::DEAD && asked_++ < kNewsARoll) {
       Ping(member.address(), random_(), out, &peer);
     }
   }
-  if (news.packet.rumours_size() == 0) return;
-  Dress(news.packet);
+  if (news.packet.gossip_size() == 0) return;
+  AddSenderAndGossip(news.packet);
   out.push_back(std::move(news));
 }
 
-void Swim::Take(TimePoint now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out) {
+void Swim::HandlePacket(TimePoint now, const std::string& from, const proto::Packet& packet,
+                        std::vector<OutgoingPacket>& out) {
   now_ = now;
   Heard(now, packet.sender(), true);
   const auto sender = peers_.find(packet.sender().name());
@@ -546,7 +555,7 @@
     sender->second.heard = now;
     sender->second.view = packet.view();
   }
-  for (const proto::Member& rumour : packet.rumours()) Heard(now, rumour, false);
+  for (const proto::Member& rumour : packet.gossip()) Heard(now, rumour, false);
   if (packet.has_ack()) {
     const auto it = probe_ ? peers_.find(probe_->name) : peers_.end();
     // At the address of one that has ended another life of its name may answer: not for it.
@@ -566,12 +575,12 @@
     const bool of_another =
         sender != peers_.end() && sender->second.member.incarnation_id() != packet.sender().incarnation_id();
     if (relay != relays_.end() && !of_another) {
-      Out ack{relay->second.address, {}};
+      OutgoingPacket ack{relay->second.address, {}};
       ack.packet.mutable_ack()->set_nonce(relay->second.nonce);
       AddWords(now, relay->second.incarnation_id, relay->second.view, relay->second.claims_suffice,
                ack.packet);
       relays_.erase(relay);
-      Dress(ack.packet);
+      AddSenderAndGossip(ack.packet);
       out.push_back(std::move(ack));
     }
   }
@@ -580,31 +589,32 @@
     TakeWords(packet);
   }
   if (packet.has_ping() || packet.has_ack()) CompareViews(now, from, packet, out);
-  if (packet.has_roll()) TakeRoll(now, from, packet, out);
+  if (packet.has_membership_digest()) TakeRoll(now, from, packet, out);
   if (packet.has_ping()) {
     // Who is thought ill of hears it with the answer, and can speak up.
     const auto it = peers_.find(packet.sender().name());
     if (it != peers_.end() && it->second.member.state() != proto::Member::ALIVE) Tell(packet.sender().name());
-    Out ack{from, {}};
+    OutgoingPacket ack{from, {}};
     ack.packet.mutable_ack()->set_nonce(packet.ping().nonce());
-    AddWords(now, packet.sender().incarnation_id(), packet.view(), !packet.block_ages().empty(), ack.packet);
-    Dress(ack.packet);
+    AddWords(now, packet.sender().incarnation_id(), packet.view(),
+             !packet.block_acknowledgement_ages().empty(), ack.packet);
+    AddSenderAndGossip(ack.packet);
     out.push_back(std::move(ack));
   }
-  if (packet.has_ping_for()) {
+  if (packet.has_ping_request()) {
     const std::uint64_t nonce = random_();
     relays_[nonce] = {from,
-                      packet.ping_for().nonce(),
+                      packet.ping_request().nonce(),
                       now + options_.period,
                       now + options_.period * kNackAfter / 10,
                       packet.view(),
                       packet.sender().incarnation_id(),
-                      !packet.block_ages().empty()};
-    Ping(packet.ping_for().address(), nonce, out);
+                      !packet.block_acknowledgement_ages().empty()};
+    Ping(packet.ping_request().address(), nonce, out);
   }
 }
 
-void Swim::Leave(TimePoint, std::vector<Out>& out) {
+void Swim::Leave(TimePoint, std::vector<OutgoingPacket>& out) {
   self_.set_state(proto::Member::LEFT);
   for (const auto& [name, peer] : peers_) {
     if (peer.member.state() <= proto::Member::SUSPECT) Ping(peer.member.address(), random_(), out);
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -24,15 +24,15 @@
 
 namespace lynxgrade::membership {
 
-struct Out {
+struct OutgoingPacket {
   std::string address;
   proto::Packet packet;
 };
 
 class Swim {
  public:
-  static constexpr std::uint32_t kUnderstandsOwners = 2;  // Member.understands
-  static constexpr std::uint32_t kPassesOn = 4;           // likewise
+  static constexpr std::uint32_t kKnowsDedicatedLeaseManagers = 2;  // Member.understands
+  static constexpr std::uint32_t kRelaysLeaseMessages = 4;          // likewise
   struct Options {
     Duration period{200000};   // one probe each
     std::uint32_t speaks = 1;  // what this life says that it understands: peers.proto
@@ -50,7 +50,8 @@
     int proof_spreads = 3;
     bool proven = true;          // parts are proven; false: claimed by those seen, for comparison
     Duration forget{600000000};  // dead and left members, after so long
-    std::uint32_t understands = kUnderstandsOwners | kPassesOn;  // bits of Member.understands
+    std::uint32_t understands =
+        kKnowsDedicatedLeaseManagers | kRelaysLeaseMessages;  // bits of Member.understands
     // This life is set aside to own sessions for all. Such owners count only in a view all of whose lives
     // understand them, and its digest names them.
     bool owns = false;
@@ -70,40 +71,41 @@
   Swim(Options options, proto::Member self, std::vector<std::string> seeds, std::uint64_t seed);
 
   // To be called every few milliseconds; `out` gets what is to be sent.
-  void Tick(TimePoint now, std::vector<Out>& out);
+  void Tick(TimePoint now, std::vector<OutgoingPacket>& out);
   // A packet that was sent by the member that it names; its sender stands in the packet.
-  void Take(TimePoint now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out);
+  void HandlePacket(TimePoint now, const std::string& from, const proto::Packet& packet,
+                    std::vector<OutgoingPacket>& out);
   // Tells all that this instance leaves by its own will.
-  void Leave(TimePoint now, std::vector<Out>& out);
+  void Leave(TimePoint now, std::vector<OutgoingPacket>& out);
   // Adds the sender and the rumours that have been told least to a packet that goes out anyway.
-  void Dress(proto::Packet& packet);
+  void AddSenderAndGossip(proto::Packet& packet);
 
   const proto::Member& self() const { return self_; }
   const std::map<std::string, Peer>& peers() const { return peers_; }
   // Seeds at whose address nobody has been heard.
   const std::vector<std::string>& unheard_seeds() const { return unheard_; }
   // How often two lives of one name were heard of that both run: two instances share it.
-  std::uint64_t conflicts() const { return conflicts_; }
+  std::uint64_t duplicate_name_reports() const { return conflicts_; }
   // Rises whenever what `peers` or `unheard_seeds` tell changes but for when a peer was heard.
   std::uint64_t changes() const { return changes_; }
   // Names of those in `peers` that came, changed or went since the last call; some perhaps more than once.
-  std::vector<std::string> TakeChanged() { return std::exchange(changed_, {}); }
+  std::vector<std::string> DrainChangedNames() { return std::exchange(changed_, {}); }
   // Whether a later-started one of its name runs, as far as this instance has heard: it stands aside.
-  bool aside() const { return aside_; }
+  bool superseded() const { return aside_; }
   // How far this instance doubts itself: 0, or by how many times its periods and waits are longer.
-  int doubt() const { return doubt_; }
+  int local_health_multiplier() const { return doubt_; }
   // How often it found that it had stood still, and what it then took back or put off.
   std::uint64_t stalls() const { return stalls_; }
   // For how long an answer proves what its sender stood by.
-  Duration proof() const;
+  Duration acknowledgement_validity() const;
   // Whose state another instance held otherwise, in its last roll: by its name, names of members.
   const std::map<std::string, std::vector<std::string>>& differences() const { return differences_; }
   // How large a part of the fleet this instance is with, at a clock time not before the last call's.
-  membership::QuorumTracker::Value QuorumStateAt(TimePoint now) { return quorum_tracker_.At(now); }
+  membership::QuorumTracker::Assessment QuorumStateAt(TimePoint now) { return quorum_tracker_.Assess(now); }
   const membership::QuorumTracker& quorum_tracker() const { return quorum_tracker_; }
   // Lives of the view as last seen that own sessions for all of it; empty: nobody is set aside in it. The
   // same for all who have that view.
-  const std::vector<std::uint64_t>& owners() const { return owners_; }
+  const std::vector<std::uint64_t>& dedicated_lease_managers() const { return owners_; }
   const Options& options() const { return options_; }
 
  private:
@@ -136,7 +138,7 @@
   void CondemnSuspects(TimePoint now);  // the suspects whose time has run out
   void ForgetGone(TimePoint now);
   // Asks others for the one that does not answer, and asks it again.
-  void PressProbe(TimePoint now, std::vector<Out>& out);
+  void PressProbe(TimePoint now, std::vector<OutgoingPacket>& out);
   void EndProbe(TimePoint now);
   // Nothing that fell due while the process stood still is held against anybody.
   void StoodStill(TimePoint now, Duration stall);
@@ -146,13 +148,13 @@
   // Whether a member that is to be held dead is asked before that.
   bool AskFirst(TimePoint now, const Peer& peer, const proto::Member& told);
   // Asks those of whom a death was told though they were heard here not long ago; who is silent is dead.
-  void AskAccused(TimePoint now, std::vector<Out>& out);
-  void NackRelays(TimePoint now, std::vector<Out>& out);
-  void BeginProbe(TimePoint now, std::vector<Out>& out);
+  void AskAccused(TimePoint now, std::vector<OutgoingPacket>& out);
+  void NackRelays(TimePoint now, std::vector<OutgoingPacket>& out);
+  void BeginProbe(TimePoint now, std::vector<OutgoingPacket>& out);
   // The next of this round who is not held dead, if any is left.
-  bool ProbeNext(TimePoint now, std::vector<std::string>& round, std::vector<Out>& out);
+  bool ProbeNext(TimePoint now, std::vector<std::string>& round, std::vector<OutgoingPacket>& out);
   // `about`: a member whose news goes with it in any case; the pinged one, where it is thought ill of.
-  void Ping(const std::string& address, std::uint64_t nonce, std::vector<Out>& out,
+  void Ping(const std::string& address, std::uint64_t nonce, std::vector<OutgoingPacket>& out,
             const Peer* about = nullptr);
   std::size_t Living() const;
   void Look(TimePoint now);
@@ -166,9 +168,10 @@
   void TimeAnswer(TimePoint now, const proto::Packet& packet);
   // The sender has another view: tells it what is held here, once in a while.
   void CompareViews(TimePoint now, const std::string& from, const proto::Packet& packet,
-                    std::vector<Out>& out);
-  void TakeRoll(TimePoint now, const std::string& from, const proto::Packet& packet, std::vector<Out>& out);
-  void PingDead(TimePoint now, std::vector<Out>& out);
+                    std::vector<OutgoingPacket>& out);
+  void TakeRoll(TimePoint now, const std::string& from, const proto::Packet& packet,
+                std::vector<OutgoingPacket>& out);
+  void PingDead(TimePoint now, std::vector<OutgoingPacket>& out);
 
   Options options_;
   proto::Member self_;
--- a/src/replication/exchange.cpp
+++ b/src/replication/exchange.cpp
@@ -62,7 +62,7 @@
   if (options_.directory) {
     lease::SessionLeaseClient::Options& directory = *options_.directory;
     directory.self = swim_.self().incarnation_id();
-    directory.proof = swim_.proof();
+    directory.proof = swim_.acknowledgement_validity();
     directory.alone = options_.swim.size == 1;
     const TimePoint started = At(static_cast<std::int64_t>(swim_.self().started_us()));
     lease::KnownWatermarks& watermarks = *this;
@@ -134,7 +134,7 @@
   }
   // Only those that have changed: while hundreds meet each packet brings some, and a walk over all for each
   // was half of what a start cost.
-  std::vector<std::string> names = swim_.TakeChanged();
+  std::vector<std::string> names = swim_.DrainChangedNames();
   for (std::string& name : std::exchange(again_, {})) names.push_back(std::move(name));
   for (const std::string& name : names) FollowOne(now, name);
   if (std::exchange(unheard_, swim_.unheard_seeds().size()) == swim_.unheard_seeds().size()) return;
@@ -201,13 +201,14 @@
   if (say_) say_("peer " + name + " counts from now on");
 }
 
-void Exchange::Send(const std::string& address, proto::Packet packet, std::vector<membership::Out>& out) {
-  swim_.Dress(packet);
+void Exchange::Send(const std::string& address, proto::Packet packet,
+                    std::vector<membership::OutgoingPacket>& out) {
+  swim_.AddSenderAndGossip(packet);
   ++counts_.packets_out;
   out.push_back({address, std::move(packet)});
 }
 
-void Exchange::Tick(TimePoint now, std::vector<membership::Out>& out) {
+void Exchange::Tick(TimePoint now, std::vector<membership::OutgoingPacket>& out) {
   swim_.Tick(now, out);
   Follow(now);
   if (directory_ != nullptr) {
@@ -242,7 +243,7 @@
   }
 }
 
-bool Exchange::Solicit(TimePoint now, std::vector<membership::Out>& out) {
+bool Exchange::Solicit(TimePoint now, std::vector<membership::OutgoingPacket>& out) {
   if (options_.members_only) return true;
   if (now - solicited_ < kSolicitEvery) return false;
   solicited_ = now;
@@ -257,7 +258,7 @@
 }
 
 void Exchange::Flush(TimePoint now, const std::string& name, Link& link, bool solicit,
-                     std::vector<membership::Out>& out) {
+                     std::vector<membership::OutgoingPacket>& out) {
   const std::string& address = swim_.peers().at(name).member.address();
   link.flushed = now;
   link.owes = false;
@@ -329,14 +330,14 @@
 }
 
 void Exchange::Take(TimePoint now, const std::string& from, const proto::Packet& packet,
-                    std::vector<membership::Out>& out) {
+                    std::vector<membership::OutgoingPacket>& out) {
   if (packet.has_directory()) TakeDirectory(now, from, packet, out);
   if (packet.sender().name().empty()) return;
   // Words come with answers alone. What lapsed before this one is to be seen, or the chain would seem
   // unbroken.
   const bool word = packet.has_ack() || packet.has_nack();
   if (directory_ != nullptr && word) Stand(now, true);
-  swim_.Take(now, from, packet, out);
+  swim_.HandlePacket(now, from, packet, out);
   Follow(now);
   if (word) looked_.view = 0;
   if (directory_ != nullptr) Stand(now, word);
@@ -350,7 +351,7 @@
     if (peer == swim_.peers().end() ||
         peer->second.member.incarnation_id() != packet.sender().incarnation_id()) {
       consistency_guard_.AddGap(~NumberOf(name), link.began, now);
-      doubted_until_ = now + swim_.proof() * 2;
+      doubted_until_ = now + swim_.acknowledgement_validity() * 2;
       link.began = now;
       return;
     }
@@ -420,7 +421,8 @@
   if (delta.recovered()) consistency_guard_.CloseGaps(NumberOf(name));
 }
 
-void Exchange::SendChunks(TimePoint, const std::string& name, Link& link, std::vector<membership::Out>& out) {
+void Exchange::SendChunks(TimePoint, const std::string& name, Link& link,
+                          std::vector<membership::OutgoingPacket>& out) {
   const consistency::SessionWatermarkTable& watermark_table = consistency_guard_.watermark_table();
   if (link.sync_out == 0) {
     link.sync_out = ++syncs_;
@@ -451,7 +453,7 @@
 }
 
 void Exchange::TakeChunk(const std::string&, Link& link, const std::string& from, const proto::Chunk& chunk,
-                         std::vector<membership::Out>& out) {
+                         std::vector<membership::OutgoingPacket>& out) {
   if (chunk.sync() != link.sync_in) {
     if (chunk.sync() < link.sync_in || chunk.from() != 0) return;
     link.sync_in = chunk.sync();
@@ -481,7 +483,7 @@
 // may answer writes.
 bool Exchange::Whole(TimePoint now) {
   const membership::QuorumTracker& quorum_tracker = swim_.quorum_tracker();
-  const std::uint64_t view = quorum_tracker.Declares(now);
+  const std::uint64_t view = quorum_tracker.AcknowledgedView(now);
   if (view == 0 || now < doubted_until_ || !options_.swim.proven) {
     looked_.view = 0;
     return false;
@@ -496,19 +498,19 @@
                        return member.state() == proto::Member::LEFT ||
                               (member.state() <= proto::Member::SUSPECT && Directed(member));
                      });
-    if (all) looked_.until = quorum_tracker.AllUntil(now);
+    if (all) looked_.until = quorum_tracker.AllAcknowledgedUntil(now);
   }
   return looked_.until && now <= *looked_.until;
 }
 
 void Exchange::Stand(TimePoint now, bool whole) {
   const membership::QuorumTracker& quorum_tracker = swim_.quorum_tracker();
-  directory_->StandAside(swim_.aside());
-  const std::uint64_t declares = quorum_tracker.Declares(now);
+  directory_->StandAside(swim_.superseded());
+  const std::uint64_t declares = quorum_tracker.AcknowledgedView(now);
   const bool of_another = declares != 0 && declares != owners_of_;
   if (of_another) {
     owners_of_ = declares;
-    owners_ = swim_.owners();
+    owners_ = swim_.dedicated_lease_managers();
     if (owners_.empty()) {
       // Nobody is set aside: all that go by the directory. That a life does is told with it, so all of one
       // view find the same ones.
@@ -532,10 +534,10 @@
   if (swim_.options().owns) return 0;
   std::vector<std::pair<lease::IncarnationId, std::optional<Duration>>> heard;
   std::optional<Duration> nearest;
-  const std::vector<std::uint64_t>& owners = swim_.owners();
+  const std::vector<std::uint64_t>& owners = swim_.dedicated_lease_managers();
   for (const auto& [name, peer] : swim_.peers()) {
     if (std::ranges::find(owners, peer.member.incarnation_id()) == owners.end()) continue;
-    if ((peer.member.understands() & membership::Swim::kPassesOn) == 0) return 0;
+    if ((peer.member.capabilities() & membership::Swim::kRelaysLeaseMessages) == 0) return 0;
     if (peer.member.state() != proto::Member::ALIVE) continue;
     heard.emplace_back(peer.member.incarnation_id(), peer.round_trip);
     if (peer.round_trip) nearest = std::min(nearest.value_or(*peer.round_trip), *peer.round_trip);
@@ -566,7 +568,7 @@
 }
 
 bool Exchange::Want(TimePoint now, GroupId group, consistency::SessionKey key,
-                    lease::SessionLeaseClient::Use use, std::vector<membership::Out>& out) {
+                    lease::SessionLeaseClient::Use use, std::vector<membership::OutgoingPacket>& out) {
   if (directory_ == nullptr) return false;
   Stand(now, true);
   lease::LeaseOutbox box;
@@ -576,11 +578,11 @@
 }
 
 void Exchange::TakeDirectory(TimePoint now, const std::string& from, const proto::Packet& packet,
-                             std::vector<membership::Out>& out) {
+                             std::vector<membership::OutgoingPacket>& out) {
   const proto::LeaseBatch& said = packet.directory();
   if (directory_ == nullptr) return;
   if (!said.relay_to().empty()) {
-    membership::Out passed = Bare(said.relay_to());
+    membership::OutgoingPacket passed = Bare(said.relay_to());
     *passed.packet.mutable_directory() = said;
     passed.packet.mutable_directory()->clear_relay_to();
     passed.packet.mutable_directory()->set_origin_incarnation_id(packet.sender().incarnation_id());
@@ -633,22 +635,23 @@
   if (said.reigns_wanted()) SendReigns(from, out);
 }
 
-membership::Out Exchange::Bare(const std::string& address) const {
-  membership::Out out{address, {}};
+membership::OutgoingPacket Exchange::Bare(const std::string& address) const {
+  membership::OutgoingPacket out{address, {}};
   out.packet.set_version(1);
   out.packet.mutable_sender()->set_incarnation_id(swim_.self().incarnation_id());
   out.packet.mutable_directory();
   return out;
 }
 
-void Exchange::Post(TimePoint now, const lease::LeaseOutbox& box, std::vector<membership::Out>& out) {
+void Exchange::Post(TimePoint now, const lease::LeaseOutbox& box,
+                    std::vector<membership::OutgoingPacket>& out) {
   lease::LeaseMessageRelay::Legs legs;
   for (const lease::OutgoingLeaseMessage& one : box) courier_->Post(now, one, legs);
   Pack(now, legs, out);
 }
 
 void Exchange::Pack(TimePoint now, const lease::LeaseMessageRelay::Legs& legs,
-                    std::vector<membership::Out>& out) {
+                    std::vector<membership::OutgoingPacket>& out) {
   using Leg = lease::LeaseMessageRelay::Leg;
   std::map<std::tuple<std::uint64_t, std::uint64_t, bool>, std::vector<const Leg*>> posts;
   std::set<std::uint64_t> silent;
@@ -662,7 +665,7 @@
     const auto address = addresses_.find(receiver);
     if (address == addresses_.end()) continue;  // it is asked for again, or its lease runs out
     for (std::size_t next = 0; next < all.size();) {
-      membership::Out bare = Bare(address->second);
+      membership::OutgoingPacket bare = Bare(address->second);
       proto::LeaseBatch& said = *bare.packet.mutable_directory();
       said.set_view_for_incarnation_id(view ^ Mixed(receiver));
       said.set_by_way(by_way);
@@ -693,7 +696,7 @@
       std::string third = via != via_.end() && now <= via->second.until ? via->second.address : "";
       if (third.empty() && silent.contains(receiver)) third = SomeOther(receiver);
       if (!third.empty()) {
-        membership::Out around = bare;
+        membership::OutgoingPacket around = bare;
         around.packet.mutable_directory()->set_relay_to(std::exchange(around.address, third));
         out.push_back(std::move(around));
       }
@@ -733,19 +736,19 @@
 
 // Who starts from nothing cannot tell when the present reigns began, and would refuse reads for as long as a
 // write is guarded. It is told once, by some that have seen them.
-void Exchange::AskReigns(TimePoint now, std::vector<membership::Out>& out) {
+void Exchange::AskReigns(TimePoint now, std::vector<membership::OutgoingPacket>& out) {
   if (reign_asks_ == 0 || now < next_reign_ask_) return;
   const std::string one = SomeOther(0);
   if (one.empty()) return;
   next_reign_ask_ = now + kReignAskEvery;
   --reign_asks_;
-  membership::Out bare = Bare(one);
+  membership::OutgoingPacket bare = Bare(one);
   bare.packet.mutable_directory()->set_reigns_wanted(true);
   out.push_back(std::move(bare));
 }
 
-void Exchange::SendReigns(const std::string& address, std::vector<membership::Out>& out) const {
-  membership::Out bare = Bare(address);
+void Exchange::SendReigns(const std::string& address, std::vector<membership::OutgoingPacket>& out) const {
+  membership::OutgoingPacket bare = Bare(address);
   for (const auto& [group, timelines] : consistency_guard_.timelines()) {
     if (!timelines.primary()) continue;
     FillReign(*bare.packet.add_timelines(), group, timelines);
--- a/src/replication/exchange.h
+++ b/src/replication/exchange.h
@@ -50,20 +50,20 @@
 
   // A write that this instance is about to answer.
   void Wrote(GroupId group, consistency::SessionKey key, const consistency::WriteWatermark& watermark);
-  void Tick(TimePoint now, std::vector<membership::Out>& out);
+  void Tick(TimePoint now, std::vector<membership::OutgoingPacket>& out);
   void Take(TimePoint now, const std::string& from, const proto::Packet& packet,
-            std::vector<membership::Out>& out);
+            std::vector<membership::OutgoingPacket>& out);
   // Asks those peers that are not covered up to now for their word at once. False: the last time was under
   // `kSolicitEvery` ago, and nobody was asked.
-  bool Solicit(TimePoint now, std::vector<membership::Out>& out);
-  void Leave(TimePoint now, std::vector<membership::Out>& out) { swim_.Leave(now, out); }
+  bool Solicit(TimePoint now, std::vector<membership::OutgoingPacket>& out);
+  void Leave(TimePoint now, std::vector<membership::OutgoingPacket>& out) { swim_.Leave(now, out); }
 
   // With a directory: rules R and W, and what has to be asked for them (see directory::Directory). Without
   // one a write may be answered at any time and nothing is exact.
   std::optional<LogPosition> Exact(TimePoint now, consistency::SessionKey key);
   bool MayAnswer(TimePoint now, consistency::SessionKey key);
   bool Want(TimePoint now, GroupId group, consistency::SessionKey key, lease::SessionLeaseClient::Use use,
-            std::vector<membership::Out>& out);
+            std::vector<membership::OutgoingPacket>& out);
   // What was sent or received, as bytes of packets with all their heads: reads ask while a budget bears it.
   void Spent(TimePoint now, std::size_t bytes) {
     if (directory_ != nullptr) directory_->Spent(now, bytes);
@@ -76,7 +76,7 @@
   // Whether all instances that are known to live count this one among those that answer writes.
   bool Joined() const;
   const membership::Swim& swim() const { return swim_; }
-  membership::QuorumTracker::Value QuorumStateAt(TimePoint now) { return swim_.QuorumStateAt(now); }
+  membership::QuorumTracker::Assessment QuorumStateAt(TimePoint now) { return swim_.QuorumStateAt(now); }
   const Counts& counts() const { return counts_; }
   // What each peer is covered up to, by name.
   std::map<std::string, TimePoint> Covered() const;
@@ -130,23 +130,24 @@
   bool Whole(TimePoint now);
   // Whether it goes by the directory, as this instance does.
   bool Directed(const proto::Member& member) const {
-    return directory_ != nullptr && member.speaks() >= kDirected;
+    return directory_ != nullptr && member.protocol_version() >= kDirected;
   }
   void TakeDirectory(TimePoint now, const std::string& from, const proto::Packet& packet,
-                     std::vector<membership::Out>& out);
-  void Post(TimePoint now, const lease::LeaseOutbox& box, std::vector<membership::Out>& out);
+                     std::vector<membership::OutgoingPacket>& out);
+  void Post(TimePoint now, const lease::LeaseOutbox& box, std::vector<membership::OutgoingPacket>& out);
   // Puts messages into packets, one for each receiver and view, and what goes by way of an owner apart.
-  void Pack(TimePoint now, const lease::LeaseMessageRelay::Legs& legs, std::vector<membership::Out>& out);
+  void Pack(TimePoint now, const lease::LeaseMessageRelay::Legs& legs,
+            std::vector<membership::OutgoingPacket>& out);
   // The owner by way of which this instance speaks while bytes are short; zero: none.
   lease::IncarnationId NearOwner() const;
   // A packet that names of this instance its life alone.
-  membership::Out Bare(const std::string& address) const;
+  membership::OutgoingPacket Bare(const std::string& address) const;
   static void FillReign(proto::TimelineRecord& to, GroupId group,
                         const consistency::PrimaryTimeline& timelines);
   void AddReign(TimePoint now, GroupId group, proto::Packet& packet) const;
   std::string SomeOther(std::uint64_t than);
-  void AskReigns(TimePoint now, std::vector<membership::Out>& out);
-  void SendReigns(const std::string& address, std::vector<membership::Out>& out) const;
+  void AskReigns(TimePoint now, std::vector<membership::OutgoingPacket>& out);
+  void SendReigns(const std::string& address, std::vector<membership::OutgoingPacket>& out) const;
   static membership::Swim::Options SwimOptions(const Options& options);
   static std::uint64_t NumberOf(const std::string& name);
   // Takes over what membership says, where that has changed.
@@ -154,13 +155,14 @@
   void FollowOne(TimePoint now, const std::string& name);
   void NewLife(TimePoint now, const std::string& name, Link& link, const proto::Packet& packet);
   void Flush(TimePoint now, const std::string& name, Link& link, bool solicit,
-             std::vector<membership::Out>& out);
+             std::vector<membership::OutgoingPacket>& out);
   void AddReigns(TimePoint now, Link& link, proto::Packet& packet);
   void TakeDelta(TimePoint now, const std::string& name, Link& link, const proto::Delta& delta);
   void TakeChunk(const std::string& name, Link& link, const std::string& from, const proto::Chunk& chunk,
-                 std::vector<membership::Out>& out);
-  void SendChunks(TimePoint now, const std::string& name, Link& link, std::vector<membership::Out>& out);
-  void Send(const std::string& address, proto::Packet packet, std::vector<membership::Out>& out);
+                 std::vector<membership::OutgoingPacket>& out);
+  void SendChunks(TimePoint now, const std::string& name, Link& link,
+                  std::vector<membership::OutgoingPacket>& out);
+  void Send(const std::string& address, proto::Packet packet, std::vector<membership::OutgoingPacket>& out);
   Duration Interval() const;
   // Whether there is news for it, or it waits for something.
   bool Awaited(const Link& link) const;
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -46,7 +46,7 @@
   std::size_t timelines = 0, rumours = 0;
   for (const proto::TimelineRecord& reign : packet.timelines())
     timelines += reign.ByteSizeLong() + kTagAndLength;
-  for (const proto::Member& rumour : packet.rumours()) rumours += rumour.ByteSizeLong() + kTagAndLength;
+  for (const proto::Member& rumour : packet.gossip()) rumours += rumour.ByteSizeLong() + kTagAndLength;
   const TrafficKind kind = packet.has_delta() || packet.has_directory()   ? TrafficKind::kMarks
                            : packet.has_chunk() || packet.has_chunk_ack() ? TrafficKind::kLedger
                                                                           : TrafficKind::kMembership;
@@ -181,9 +181,9 @@
   // A walk over all members: not on each tick.
   if (loop_.Now() - part_told_ < kTellPartEvery) return;
   part_told_ = loop_.Now();
-  const membership::QuorumTracker::Value value = exchange_->QuorumStateAt(loop_.Precise());
-  if (value.part == part_) return;
-  part_ = value.part;
+  const membership::QuorumTracker::Assessment value = exchange_->QuorumStateAt(loop_.Precise());
+  if (value.state == part_) return;
+  part_ = value.state;
   spdlog::info("peers: {}: {} of {} instances in reach, view {:016x}", membership::NameOf(part_), Reached(),
                1 + setup_.seeds.size(), value.view);
 }
@@ -196,7 +196,7 @@
 }
 
 void UdpReplicationService::TellConflict() {
-  const std::uint64_t conflicts = exchange_->swim().conflicts();
+  const std::uint64_t conflicts = exchange_->swim().duplicate_name_reports();
   std::uint64_t left_out = 0;
   if (conflicts == conflicts_ || !complaints_.Allows(left_out)) return;
   conflicts_ = conflicts;
@@ -210,19 +210,19 @@
   const membership::Swim& swim = exchange_->swim();
   membership::QuorumTracker quorum_tracker =
       swim.quorum_tracker();  // a look does not change what is said of it
-  const membership::QuorumTracker::Value value = quorum_tracker.At(now);
+  const membership::QuorumTracker::Assessment value = quorum_tracker.Assess(now);
   const auto seconds = [](Duration time) { return static_cast<double>(time.count()) * 1e-6; };
   nlohmann::json json = {{"name", name_},
                          {"size", 1 + setup_.seeds.size()},
-                         {"part", membership::NameOf(value.part)},
+                         {"part", membership::NameOf(value.state)},
                          {"for_s", seconds(now - value.since)},
                          {"proven_s", nullptr},
                          {"view", fmt::format("{:016x}", value.view)},
                          {"in_view", quorum_tracker.count()},
-                         {"doubt", swim.doubt()},
+                         {"doubt", swim.local_health_multiplier()},
                          {"most_doubt", swim.options().most_doubt},
                          {"stalls", swim.stalls()},
-                         {"conflicts", swim.conflicts()},
+                         {"conflicts", swim.duplicate_name_reports()},
                          {"dropped", dropped_},
                          {"spent_s", seconds(spent())},
                          {"unheard", swim.unheard_seeds()},
@@ -232,13 +232,14 @@
     const auto& counts = directory->counts();
     const auto& granted = directory->owner().counts();
     const auto& courier = exchange_->courier()->counts();
-    json["directory"] = {{"owner", setup_.owner},       {"owners_set_aside", swim.owners().size()},
-                         {"holds", directory->holds()}, {"entries", directory->owner().size()},
-                         {"asks", counts.asks},         {"grants", counts.grants},
-                         {"exact", counts.exact},       {"recalled", counts.recalled},
-                         {"capped", counts.capped},     {"over_budget", counts.over_budget},
-                         {"granted", granted.grants},   {"denied", granted.denied},
-                         {"waited", courier.waited},    {"passed_on", courier.passed_on}};
+    json["directory"] = {
+        {"owner", setup_.owner},       {"owners_set_aside", swim.dedicated_lease_managers().size()},
+        {"holds", directory->holds()}, {"entries", directory->owner().size()},
+        {"asks", counts.asks},         {"grants", counts.grants},
+        {"exact", counts.exact},       {"recalled", counts.recalled},
+        {"capped", counts.capped},     {"over_budget", counts.over_budget},
+        {"granted", granted.grants},   {"denied", granted.denied},
+        {"waited", courier.waited},    {"passed_on", courier.passed_on}};
   }
   static constexpr std::array kStates = {"alive", "suspect", "dead", "left"};
   for (const auto& [name, peer] : swim.peers()) {
@@ -325,7 +326,7 @@
 }
 
 void UdpReplicationService::Flush() {
-  for (membership::Out& out : std::exchange(out_, {})) {
+  for (membership::OutgoingPacket& out : std::exchange(out_, {})) {
     const auto address = net::ParseAddress(out.address);
     const net::ObjectPtr<GSocketAddress> target = address ? net::SocketAddress(*address) : nullptr;
     if (target == nullptr) continue;
--- a/src/replication/udp_replication_service.h
+++ b/src/replication/udp_replication_service.h
@@ -101,7 +101,7 @@
   net::ObjectPtr<GSocket> socket_;
   std::unique_ptr<DatagramAuthenticator> envelope_;
   std::unique_ptr<Exchange> exchange_;
-  std::vector<membership::Out> out_;
+  std::vector<membership::OutgoingPacket> out_;
   std::vector<Unheld> unheld_;
   net::Timer tick_;
   net::Timer ask_again_;
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -98,9 +98,9 @@
   }
 
   void See(TimePoint now) {
-    const membership::QuorumTracker::Value value = quorum_tracker.At(now);
-    const bool all = value.part == membership::QuorumState::kComplete && quorum_tracker.count() == size;
-    const bool any = value.part >= membership::QuorumState::kMajority;
+    const membership::QuorumTracker::Assessment value = quorum_tracker.Assess(now);
+    const bool all = value.state == membership::QuorumState::kComplete && quorum_tracker.count() == size;
+    const bool any = value.state >= membership::QuorumState::kMajority;
     // Those set aside alone, where the view has some.
     owners = quorum_tracker.incarnation_ids();
     std::erase_if(owners, [this](IncarnationId one) { return !aside.contains(one); });
@@ -110,7 +110,7 @@
       owners = quorum_tracker.incarnation_ids();
       by = 0;
     }
-    const std::uint64_t declares = quorum_tracker.Declares(now);
+    const std::uint64_t declares = quorum_tracker.AcknowledgedView(now);
     if (declares != 0) courier.See(declares, owners, by);
     directory->See(now, {declares, any_size ? any : all, &owners});
   }
@@ -193,7 +193,7 @@
     packet.from_life = node.incarnation_id;
     packet.started = starts[node.incarnation_id];
     packet.view = node.quorum_tracker.view();
-    packet.declares = node.quorum_tracker.Declares(Local(at));
+    packet.declares = node.quorum_tracker.AcknowledgedView(Local(at));
     return packet;
   }
 
@@ -227,7 +227,7 @@
     std::ranges::sort(in);
     std::uint64_t digest = 1;
     for (const IncarnationId one : in) digest = digest * 0x9E3779B97F4A7C15ull + one;
-    node.quorum_tracker.Saw(local, digest, in);
+    node.quorum_tracker.UpdateView(local, digest, in);
   }
 
   void Take(std::size_t at, const Packet& packet) {
@@ -243,8 +243,8 @@
       const auto ping = node.pings.find(packet.ack);
       if (ping != node.pings.end()) {
         node.See(local);
-        node.quorum_tracker.Answered(packet.from_life, ping->second, packet.declares);
-        node.quorum_tracker.Told(ping->second, packet.view, packet.ages);
+        node.quorum_tracker.RecordAcknowledgement(packet.from_life, ping->second, packet.declares);
+        node.quorum_tracker.MergeAcknowledgementAges(ping->second, packet.view, packet.ages);
         node.pings.erase(ping);
       }
     }
@@ -252,7 +252,7 @@
     if (packet.ping != 0) {
       Packet answer = Head(at);
       answer.ack = packet.ping;
-      answer.ages = node.quorum_tracker.Ages(local, packet.view);
+      answer.ages = node.quorum_tracker.AcknowledgementAges(local, packet.view);
       Send(at, packet.from, answer);
     }
     if (packet.leg && packet.to_life == node.incarnation_id) {
@@ -269,7 +269,8 @@
     Node& node = *nodes[at];
     const TimePoint local = Local(at);
     node.See(local);
-    if (node.ticked != TimePoint{} && local - node.ticked > kPing * 2) node.quorum_tracker.StoodStill(local);
+    if (node.ticked != TimePoint{} && local - node.ticked > kPing * 2)
+      node.quorum_tracker.ResetAfterPause(local);
     // What is spent all the time is what comes in.
     if (node.ticked != TimePoint{} && local > node.ticked) {
       const auto us = static_cast<std::size_t>((local - node.ticked).count());
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -85,14 +85,14 @@
   }
   bool Reaches(std::size_t a, std::size_t b) const { return !cut.contains({a, b}) && !cut.contains({b, a}); }
 
-  void Send(std::size_t from, std::vector<Out>& outs) {
-    for (Out& out : outs) {
+  void Send(std::size_t from, std::vector<OutgoingPacket>& outs) {
+    for (OutgoingPacket& out : outs) {
       const auto to = static_cast<std::size_t>(std::atoi(out.address.c_str() + 1));
-      if (former.contains(from) || former.contains(to)) out.packet.clear_block_ages();
+      if (former.contains(from) || former.contains(to)) out.packet.clear_block_acknowledgement_ages();
       figures.bytes += out.packet.ByteSizeLong();
-      for (const proto::Member& rumour : out.packet.rumours()) figures.news += rumour.ByteSizeLong() + 2;
-      figures.told_ages += !out.packet.ages().empty();
-      figures.told_blocks += out.packet.has_ack() && !out.packet.block_ages().empty();
+      for (const proto::Member& rumour : out.packet.gossip()) figures.news += rumour.ByteSizeLong() + 2;
+      figures.told_ages += !out.packet.acknowledgement_ages().empty();
+      figures.told_blocks += out.packet.has_ack() && !out.packet.block_acknowledgement_ages().empty();
       if (out.packet.has_ping()) asked[{from, to}] = now;
       if (to >= nodes.size() || cut.contains({from, to})) continue;
       for (int copy = random() % 20 == 0 ? 2 : 1; copy > 0; --copy) {
@@ -107,7 +107,7 @@
 
   void Pass(Duration time) {
     const TimePoint end = now + time;
-    std::vector<Out> outs;
+    std::vector<OutgoingPacket> outs;
     for (; now < end; now += kTick) {
       std::vector<Datagram> kept;  // in the socket of a process that is stopped
       while (!flying.empty() && flying.top().at <= now) {
@@ -118,7 +118,7 @@
           kept.push_back(came);
           continue;
         }
-        nodes[came.to]->Take(now, came.from, came.packet, outs);
+        nodes[came.to]->HandlePacket(now, came.from, came.packet, outs);
         Send(came.to, outs);
       }
       for (const Datagram& datagram : kept) flying.push(datagram);
@@ -138,7 +138,7 @@
     if (proven) {
       const auto value = nodes[i]->QuorumStateAt(now);
       view = value.view;
-      return IsMajority(value.part);
+      return IsMajority(value.state);
     }
     std::size_t alive = 1;
     view = nodes[i]->self().incarnation_id();
@@ -179,7 +179,7 @@
     figures.two_majorities += majorities.size() > 1;
   }
 
-  QuorumState QuorumStateOf(std::size_t i) { return nodes[i]->QuorumStateAt(now).part; }
+  QuorumState QuorumStateOf(std::size_t i) { return nodes[i]->QuorumStateAt(now).state; }
   bool All(const std::vector<std::size_t>& of, QuorumState part) {
     return std::ranges::all_of(of, [&](std::size_t i) { return QuorumStateOf(i) == part; });
   }
@@ -554,7 +554,7 @@
     for (int i = 0; i < seconds * 20; ++i) {
       w.Pass(kTick * 5);
       for (const std::size_t at : all) {
-        const auto until = w.nodes[at]->quorum_tracker().AllUntil(w.now);
+        const auto until = w.nodes[at]->quorum_tracker().AllAcknowledgedUntil(w.now);
         const bool whole = w.QuorumStateOf(at) == QuorumState::kComplete;
         lapses += was[at] && !whole;
         lapsed += !whole;
@@ -570,9 +570,10 @@
         "left of the proof (%.2f s): least %.2f, 1st %.2f, 50th %.2f s; %.0f bytes/s; answers with the ages "
         "of all %d, with claims %d; cpu %.5f\n",
         count, w.loss, start, restart, lapses, 100.0 * lapsed / static_cast<double>(left.size()),
-        1e-6 * static_cast<double>(w.nodes[0]->proof().count()), left[0], left[left.size() / 100],
-        left[left.size() / 2], static_cast<double>(w.figures.bytes) / seconds / static_cast<double>(count),
-        w.figures.told_ages, w.figures.told_blocks, cpu);
+        1e-6 * static_cast<double>(w.nodes[0]->acknowledgement_validity().count()), left[0],
+        left[left.size() / 100], left[left.size() / 2],
+        static_cast<double>(w.figures.bytes) / seconds / static_cast<double>(count), w.figures.told_ages,
+        w.figures.told_blocks, cpu);
     std::fflush(stdout);
   }
 }
@@ -676,9 +677,9 @@
   w.Pass(kSecond * 20);
   for (const std::size_t i : {0, 2, 3, 4}) {
     CHECK(w.nodes[i]->peers().at("n1").member.incarnation_id() == w.nodes[5]->self().incarnation_id());
-    CHECK(w.nodes[i]->conflicts() > 0);
+    CHECK(w.nodes[i]->duplicate_name_reports() > 0);
   }
-  CHECK(w.nodes[1]->conflicts() > 0);
+  CHECK(w.nodes[1]->duplicate_name_reports() > 0);
   CHECK(w.QuorumStateOf(1) == QuorumState::kUnknown);
   CHECK(w.QuorumStateOf(0) == QuorumState::kNearlyComplete);  // five of the six that the settings name
   CHECK(w.figures.two_majorities == 0);
@@ -688,25 +689,25 @@
   const auto at = [](int ms) { return TimePoint(Duration(std::int64_t{ms} * 1000)); };
   const std::vector<std::uint64_t> two{1, 2}, alone{1};
   membership::QuorumTracker s({1, 3, Duration(1000000)}, at(0));
-  s.Saw(at(0), 77, two);
-  CHECK(s.At(at(10)).part == QuorumState::kUnknown);
-  CHECK(s.Declares(at(1099)) == 0);
-  s.Answered(2, at(1000), 77);
-  CHECK(s.At(at(1050)).part == QuorumState::kUnknown);
-  CHECK(s.Declares(at(1100)) == 77);
-  CHECK(s.At(at(1100)).part == QuorumState::kNearlyComplete);
-  CHECK(s.At(at(1100)).until == at(2000));
-  s.Answered(2, at(900), 0);  // older than what is known
-  CHECK(s.At(at(2000)).part == QuorumState::kNearlyComplete);
-  CHECK(s.At(at(2001)).part == QuorumState::kUnknown);
-  s.Answered(2, at(2100), 78);  // it stands by another view
-  CHECK(s.At(at(2150)).part == QuorumState::kUnknown);
-  s.Saw(at(3000), 5, alone);
-  CHECK(s.At(at(3000)).part == QuorumState::kIsolated);
-  CHECK(s.At(at(3500)).since == at(3000));
+  s.UpdateView(at(0), 77, two);
+  CHECK(s.Assess(at(10)).state == QuorumState::kUnknown);
+  CHECK(s.AcknowledgedView(at(1099)) == 0);
+  s.RecordAcknowledgement(2, at(1000), 77);
+  CHECK(s.Assess(at(1050)).state == QuorumState::kUnknown);
+  CHECK(s.AcknowledgedView(at(1100)) == 77);
+  CHECK(s.Assess(at(1100)).state == QuorumState::kNearlyComplete);
+  CHECK(s.Assess(at(1100)).until == at(2000));
+  s.RecordAcknowledgement(2, at(900), 0);  // older than what is known
+  CHECK(s.Assess(at(2000)).state == QuorumState::kNearlyComplete);
+  CHECK(s.Assess(at(2001)).state == QuorumState::kUnknown);
+  s.RecordAcknowledgement(2, at(2100), 78);  // it stands by another view
+  CHECK(s.Assess(at(2150)).state == QuorumState::kUnknown);
+  s.UpdateView(at(3000), 5, alone);
+  CHECK(s.Assess(at(3000)).state == QuorumState::kIsolated);
+  CHECK(s.Assess(at(3500)).since == at(3000));
   membership::QuorumTracker one({1, 1, Duration(1000000)}, at(0));
-  one.Saw(at(0), 5, alone);
-  CHECK(one.At(at(2000)).part == QuorumState::kComplete);
+  one.UpdateView(at(0), 5, alone);
+  CHECK(one.Assess(at(2000)).state == QuorumState::kComplete);
 }
 
 TEST_CASE("standing: words of others count by the age that they are told with, and never grow younger") {
@@ -714,33 +715,33 @@
   const std::vector<std::uint64_t> incarnation_ids{1, 2, 3, 4, 5};
   const Duration proof(1000000);
   membership::QuorumTracker a({1, 5, proof}, at(0)), b({2, 5, proof}, at(0));
-  a.Saw(at(0), 9, incarnation_ids);
-  b.Saw(at(0), 9, incarnation_ids);
-  a.Answered(3, at(1500), 9);
-  a.Answered(4, at(1600), 8);  // stands by another view: not told
-  CHECK(a.Ages(at(2000), 8).empty());
-  const std::string ages = a.Ages(at(2000), 9);
+  a.UpdateView(at(0), 9, incarnation_ids);
+  b.UpdateView(at(0), 9, incarnation_ids);
+  a.RecordAcknowledgement(3, at(1500), 9);
+  a.RecordAcknowledgement(4, at(1600), 8);  // stands by another view: not told
+  CHECK(a.AcknowledgementAges(at(2000), 8).empty());
+  const std::string ages = a.AcknowledgementAges(at(2000), 9);
   REQUIRE(ages.size() == 5);
   CHECK(static_cast<unsigned char>(ages[2]) == 125);
   for (const std::size_t i : {0, 1, 3, 4}) {
-    CHECK(static_cast<unsigned char>(ages[i]) == membership::QuorumTracker::kNoWord);
+    CHECK(static_cast<unsigned char>(ages[i]) == membership::QuorumTracker::kNoAcknowledgement);
   }
   // Asked at 1,900 by its own clock, whenever the answer came: the word is from 1,400 at the latest.
-  b.Answered(1, at(1900), 9);
-  b.Told(at(1900), 8, ages);  // of another view: nothing is known of who is who there
-  CHECK(b.At(at(2000)).part == QuorumState::kUnknown);
-  b.Told(at(1900), 9, ages.substr(1));
-  CHECK(b.At(at(2000)).part == QuorumState::kUnknown);
-  b.Told(at(1900), 9, ages);
-  CHECK(b.At(at(2000)).part == QuorumState::kMajority);
-  CHECK(b.At(at(2000)).until == at(2400));
-  CHECK(b.At(at(2400)).part == QuorumState::kMajority);
-  CHECK(b.At(at(2401)).part == QuorumState::kUnknown);
+  b.RecordAcknowledgement(1, at(1900), 9);
+  b.MergeAcknowledgementAges(at(1900), 8, ages);  // of another view: nothing is known of who is who there
+  CHECK(b.Assess(at(2000)).state == QuorumState::kUnknown);
+  b.MergeAcknowledgementAges(at(1900), 9, ages.substr(1));
+  CHECK(b.Assess(at(2000)).state == QuorumState::kUnknown);
+  b.MergeAcknowledgementAges(at(1900), 9, ages);
+  CHECK(b.Assess(at(2000)).state == QuorumState::kMajority);
+  CHECK(b.Assess(at(2000)).until == at(2400));
+  CHECK(b.Assess(at(2400)).state == QuorumState::kMajority);
+  CHECK(b.Assess(at(2401)).state == QuorumState::kUnknown);
   // Its own life among what is told adds nothing.
-  std::string flattering(5, static_cast<char>(membership::QuorumTracker::kNoWord));
+  std::string flattering(5, static_cast<char>(membership::QuorumTracker::kNoAcknowledgement));
   flattering[1] = 0;
-  b.Told(at(2500), 9, flattering);
-  CHECK(b.At(at(2500)).part == QuorumState::kUnknown);
+  b.MergeAcknowledgementAges(at(2500), 9, flattering);
+  CHECK(b.Assess(at(2500)).state == QuorumState::kUnknown);
 }
 
 TEST_CASE("standing: through any number of hands a word lapses no later than its sender's silence ends") {
@@ -755,22 +756,24 @@
     for (std::uint64_t incarnation_id = 2; incarnation_id <= 4; ++incarnation_id) {
       rate.push_back(0.955 + 0.001 * static_cast<double>(random() % 95));
       holders.emplace_back(membership::QuorumTracker::Options{incarnation_id, 4, proof}, TimePoint{});
-      holders.back().Saw(TimePoint{}, 9, incarnation_ids);
+      holders.back().UpdateView(TimePoint{}, 9, incarnation_ids);
     }
     const auto clock = [&](std::size_t of, double us) {
       return TimePoint(Duration(static_cast<std::int64_t>(rate[of] * us)));
     };
     double us = 5e6;
     const double said = us;  // by life 1, in answer to a question of the first
-    holders[0].Answered(1, clock(0, us), 9);
+    holders[0].RecordAcknowledgement(1, clock(0, us), 9);
     for (; us < said + 3e6; us += static_cast<double>(random() % 60000)) {
       const std::size_t from = random() % 3, to = random() % 3;
       const double asked = us;
       us += static_cast<double>(random() % 30000);  // on its way
-      if (from != to) holders[to].Told(clock(to, asked), 9, holders[from].Ages(clock(from, us), 9));
+      if (from != to)
+        holders[to].MergeAcknowledgementAges(clock(to, asked), 9,
+                                             holders[from].AcknowledgementAges(clock(from, us), 9));
       for (std::size_t i = 0; i < 3; ++i) {
-        const std::string ages = holders[i].Ages(clock(i, us), 9);
-        if (static_cast<unsigned char>(ages[0]) == membership::QuorumTracker::kNoWord) continue;
+        const std::string ages = holders[i].AcknowledgementAges(clock(i, us), 9);
+        if (static_cast<unsigned char>(ages[0]) == membership::QuorumTracker::kNoAcknowledgement) continue;
         ++counted;
         // By the quickest clock life 1 is silent for 1.1 times the proof.
         REQUIRE((us - said) * 1.0505 <= 1.1 * 1e6 + 1e6 / membership::QuorumTracker::kAgeUnits);
@@ -791,28 +794,29 @@
   const Duration proof(1000000);
   const std::vector<std::uint64_t> incarnation_ids{10, 20, 30, 40, 50, 60, 70};  // blocks of 2, 2 and 3
   membership::QuorumTracker a({10, 7, proof}, at(0));
-  a.Saw(at(0), 9, incarnation_ids);
+  a.UpdateView(at(0), 9, incarnation_ids);
   for (const auto& [incarnation_id, ms] :
        {std::pair{20, 1900}, {30, 1500}, {40, 1700}, {50, 1900}, {60, 1900}, {70, 1200}}) {
-    a.Answered(static_cast<std::uint64_t>(incarnation_id), at(ms), 9);
+    a.RecordAcknowledgement(static_cast<std::uint64_t>(incarnation_id), at(ms), 9);
   }
   // The age of a block is that of its oldest word; its own word it says with the answer itself.
-  CHECK(a.BlockAges(at(2000), 9, 30) == Bytes({25, 125, 200, 125, 75}));
-  CHECK(a.BlockAges(at(2000), 9, 20) == Bytes({25, 125, 200, 255, 25}));
-  CHECK(a.BlockAges(at(2000), 9, 60) == Bytes({25, 125, 200, 25, 25, 200}));
-  CHECK(a.BlockAges(at(2001), 9, 60) == Bytes({26, 126, 201, 26, 26, 201}));  // rounded up
-  CHECK(a.BlockAges(at(2000), 8, 20).empty());
-  CHECK(a.BlockAges(at(2000), 9, 21).empty());
+  CHECK(a.BlockAcknowledgementAges(at(2000), 9, 30) == Bytes({25, 125, 200, 125, 75}));
+  CHECK(a.BlockAcknowledgementAges(at(2000), 9, 20) == Bytes({25, 125, 200, 255, 25}));
+  CHECK(a.BlockAcknowledgementAges(at(2000), 9, 60) == Bytes({25, 125, 200, 25, 25, 200}));
+  CHECK(a.BlockAcknowledgementAges(at(2001), 9, 60) == Bytes({26, 126, 201, 26, 26, 201}));  // rounded up
+  CHECK(a.BlockAcknowledgementAges(at(2000), 8, 20).empty());
+  CHECK(a.BlockAcknowledgementAges(at(2000), 9, 21).empty());
   // One word that has lapsed, or that it stands by another view now, and there is no claim.
-  CHECK(a.BlockAges(at(2201), 9, 20) == Bytes({76, 176, 255, 255, 76}));
-  a.Answered(40, at(1950), 8);
-  CHECK(a.BlockAges(at(2000), 9, 30) == Bytes({25, 255, 200, 125, 255}));
+  CHECK(a.BlockAcknowledgementAges(at(2201), 9, 20) == Bytes({76, 176, 255, 255, 76}));
+  a.RecordAcknowledgement(40, at(1950), 8);
+  CHECK(a.BlockAcknowledgementAges(at(2000), 9, 30) == Bytes({25, 255, 200, 125, 255}));
   // Nor for its own block by one who stands by nothing.
   membership::QuorumTracker unsettled({10, 7, proof}, at(1500));
-  unsettled.Saw(at(1500), 9, incarnation_ids);
-  for (const std::uint64_t incarnation_id : incarnation_ids) unsettled.Answered(incarnation_id, at(1900), 9);
-  CHECK(unsettled.BlockAges(at(2000), 9, 20) == Bytes({255, 25, 25, 255, 25}));
-  CHECK(unsettled.BlockAges(at(2600), 9, 20) == Bytes({175, 175, 175, 255, 175}));
+  unsettled.UpdateView(at(1500), 9, incarnation_ids);
+  for (const std::uint64_t incarnation_id : incarnation_ids)
+    unsettled.RecordAcknowledgement(incarnation_id, at(1900), 9);
+  CHECK(unsettled.BlockAcknowledgementAges(at(2000), 9, 20) == Bytes({255, 25, 25, 255, 25}));
+  CHECK(unsettled.BlockAcknowledgementAges(at(2600), 9, 20) == Bytes({175, 175, 175, 255, 175}));
 }
 
 TEST_CASE("standing: what is told of blocks counts from the asking, and only in full and of the same view") {
@@ -844,16 +848,16 @@
        }) {
     CAPTURE(c.what);
     membership::QuorumTracker b({10, 7, proof}, at(0));
-    b.Saw(at(0), 9, incarnation_ids);
-    b.ToldBlocks(at(1900), c.view, c.told);
-    const auto until = b.AllUntil(at(1900));
+    b.UpdateView(at(0), 9, incarnation_ids);
+    b.MergeBlockAcknowledgementAges(at(1900), c.view, c.told);
+    const auto until = b.AllAcknowledgedUntil(at(1900));
     CHECK(until == (c.until_ms == 0 ? std::nullopt : std::optional(at(c.until_ms))));
-    CHECK((b.At(at(1900)).part == QuorumState::kComplete) == (c.until_ms != 0));
+    CHECK((b.Assess(at(1900)).state == QuorumState::kComplete) == (c.until_ms != 0));
     // It holds up to then, and no longer.
     if (c.until_ms != 0) {
-      CHECK(b.At(at(c.until_ms)).part == QuorumState::kComplete);
-      CHECK(b.At(at(c.until_ms + 1)).part != QuorumState::kComplete);
-      CHECK_FALSE(b.AllUntil(at(c.until_ms + 1)));
+      CHECK(b.Assess(at(c.until_ms)).state == QuorumState::kComplete);
+      CHECK(b.Assess(at(c.until_ms + 1)).state != QuorumState::kComplete);
+      CHECK_FALSE(b.AllAcknowledgedUntil(at(c.until_ms + 1)));
     }
   }
 }
@@ -864,30 +868,32 @@
   const std::vector<std::uint64_t> incarnation_ids{10, 20, 30, 40, 50, 60, 70};
   const auto fresh = [&] {
     membership::QuorumTracker b({10, 7, proof}, at(0));
-    b.Saw(at(0), 9, incarnation_ids);
-    b.ToldBlocks(at(1900), 9, Bytes({25, 50, 75, 255, 0}));
+    b.UpdateView(at(0), 9, incarnation_ids);
+    b.MergeBlockAcknowledgementAges(at(1900), 9, Bytes({25, 50, 75, 255, 0}));
     return b;
   };
   auto b = fresh();
-  b.ToldBlocks(at(1950), 9, Bytes({25, 200, 0, 255, 0}));  // 1,850; 1,150; 1,950
-  CHECK(b.AllUntil(at(1950)) == at(2700));
-  b.Answered(30, at(1600), 0);  // before the claim
-  CHECK(b.AllUntil(at(1950)) == at(2700));
-  b.Answered(30, at(1960), 0);
-  CHECK_FALSE(b.AllUntil(at(1960)));
-  CHECK(b.Ages(at(1960), 9)[2] == static_cast<char>(membership::QuorumTracker::kNoWord));
-  CHECK(b.BlockAges(at(1960), 9, 10)[1] == static_cast<char>(membership::QuorumTracker::kNoWord));
-  b.ToldBlocks(at(1980), 9, Bytes({255, 2, 255, 255, 255}));
-  CHECK(b.AllUntil(at(1980)));
+  b.MergeBlockAcknowledgementAges(at(1950), 9, Bytes({25, 200, 0, 255, 0}));  // 1,850; 1,150; 1,950
+  CHECK(b.AllAcknowledgedUntil(at(1950)) == at(2700));
+  b.RecordAcknowledgement(30, at(1600), 0);  // before the claim
+  CHECK(b.AllAcknowledgedUntil(at(1950)) == at(2700));
+  b.RecordAcknowledgement(30, at(1960), 0);
+  CHECK_FALSE(b.AllAcknowledgedUntil(at(1960)));
+  CHECK(b.AcknowledgementAges(at(1960), 9)[2] ==
+        static_cast<char>(membership::QuorumTracker::kNoAcknowledgement));
+  CHECK(b.BlockAcknowledgementAges(at(1960), 9, 10)[1] ==
+        static_cast<char>(membership::QuorumTracker::kNoAcknowledgement));
+  b.MergeBlockAcknowledgementAges(at(1980), 9, Bytes({255, 2, 255, 255, 255}));
+  CHECK(b.AllAcknowledgedUntil(at(1980)));
   // Single ages tell what a claim proves, for those who know nothing of claims.
-  CHECK(fresh().Ages(at(2000), 9) == Bytes({255, 25, 75, 75, 100, 100, 100}));
+  CHECK(fresh().AcknowledgementAges(at(2000), 9) == Bytes({255, 25, 75, 75, 100, 100, 100}));
   auto changed = fresh();
-  changed.Saw(at(1950), 8, {10, 20, 30, 40, 50, 60, 71});
-  CHECK(changed.BlockAges(at(1950), 8, 10) == Bytes({255, 255, 255, 255, 255}));
+  changed.UpdateView(at(1950), 8, {10, 20, 30, 40, 50, 60, 71});
+  CHECK(changed.BlockAcknowledgementAges(at(1950), 8, 10) == Bytes({255, 255, 255, 255, 255}));
   auto stopped = fresh();
-  stopped.StoodStill(at(1950));
-  CHECK(stopped.BlockAges(at(1950), 9, 10) == Bytes({255, 255, 255, 255, 255}));
-  CHECK_FALSE(stopped.AllUntil(at(3100)));
+  stopped.ResetAfterPause(at(1950));
+  CHECK(stopped.BlockAcknowledgementAges(at(1950), 9, 10) == Bytes({255, 255, 255, 255, 255}));
+  CHECK_FALSE(stopped.AllAcknowledgedUntil(at(3100)));
 }
 
 // Ten lives with standings alone, who ask each other, hold three views of nine of them, and stand still; a
@@ -915,7 +921,8 @@
     return TimePoint(Duration(static_cast<std::int64_t>(offset[of] + rate[of] * us)));
   }
   void See(std::size_t at, std::size_t view) {
-    if (std::ranges::binary_search(views[view], at + 1)) nodes[at].Saw(Local(at), view + 1, views[view]);
+    if (std::ranges::binary_search(views[view], at + 1))
+      nodes[at].UpdateView(Local(at), view + 1, views[view]);
   }
 
   struct Question {
@@ -950,9 +957,10 @@
         }
         if (static_cast<int>(random() % 100) < loss || mute.contains(q.to)) continue;
         membership::QuorumTracker& node = nodes[q.to];
-        Answer answer{q, node.Declares(Local(q.to)), node.view(), {}, {}, late()};
+        Answer answer{q, node.AcknowledgedView(Local(q.to)), node.view(), {}, {}, late()};
         (q.blocks ? answer.block_ages : answer.ages) =
-            q.blocks ? node.BlockAges(Local(q.to), q.view, q.from + 1) : node.Ages(Local(q.to), q.view);
+            q.blocks ? node.BlockAcknowledgementAges(Local(q.to), q.view, q.from + 1)
+                     : node.AcknowledgementAges(Local(q.to), q.view);
         if (answer.declares != 0) said[{q.to, answer.declares}] = us;
         answers.push_back(answer);
       }
@@ -963,9 +971,9 @@
         }
         membership::QuorumTracker& node = nodes[a.to.from];
         if (deaf.contains(a.to.from)) continue;
-        node.Answered(a.to.to + 1, a.to.asked, a.declares);
-        node.Told(a.to.asked, a.view, a.ages);
-        node.ToldBlocks(a.to.asked, a.view, a.block_ages);
+        node.RecordAcknowledgement(a.to.to + 1, a.to.asked, a.declares);
+        node.MergeAcknowledgementAges(a.to.asked, a.view, a.ages);
+        node.MergeBlockAcknowledgementAges(a.to.asked, a.view, a.block_ages);
       }
       Judge();
     }
@@ -973,8 +981,8 @@
 
   void Judge() {
     for (std::size_t i = 0; i < kLives; ++i) {
-      const auto until = nodes[i].AllUntil(Local(i));
-      const bool whole = nodes[i].At(Local(i)).part == QuorumState::kComplete;
+      const auto until = nodes[i].AllAcknowledgedUntil(Local(i));
+      const bool whole = nodes[i].Assess(Local(i)).state == QuorumState::kComplete;
       if (!until && !whole) continue;
       ++claimed;
       for (const std::uint64_t incarnation_id : nodes[i].incarnation_ids()) {
@@ -997,7 +1005,7 @@
         for (std::size_t i = at; i < at + 1 + a / 32 && i < kLives; ++i) See(i, b % 3);
         break;
       case 2:
-        nodes[at].StoodStill(Local(at));
+        nodes[at].ResetAfterPause(Local(at));
         break;
       case 3:
         mute.insert(at);
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -108,8 +108,8 @@
   // Of an older version: it chooses among all that go by the directory.
   bool Old(std::size_t at) const { return options.mixed && !Aside(at) && random_old[at]; }
 
-  void Send(std::size_t from, std::vector<membership::Out>& outs) {
-    for (membership::Out& out : outs) {
+  void Send(std::size_t from, std::vector<membership::OutgoingPacket>& outs) {
+    for (membership::OutgoingPacket& out : outs) {
       const auto to = static_cast<std::size_t>(std::atoi(out.address.c_str() + 1));
       const std::size_t bytes = out.packet.ByteSizeLong() + 4 + kHeads;  // its counter is set as it is sealed
       bytes_out[from] += bytes;
@@ -155,7 +155,7 @@
     event.arrived = now;
     const bool hold = node.consistency_guard.WorthHolding(event, now);
     if (hold && node.way == Way::kBroadcast) {
-      std::vector<membership::Out> outs;
+      std::vector<membership::OutgoingPacket> outs;
       node.exchange->Solicit(now, outs);
       Send(at, outs);
     }
@@ -220,7 +220,7 @@
 
   void Pass(Duration time) {
     const TimePoint end = now + time;
-    std::vector<membership::Out> outs;
+    std::vector<membership::OutgoingPacket> outs;
     for (; now < end; now += kTick) {
       while (!wire.empty() && wire.top().at <= now) {
         const Datagram came = wire.top();
@@ -254,7 +254,7 @@
   bool Whole() const {
     return std::ranges::all_of(nodes, [this](const auto& node) {
       membership::QuorumTracker quorum_tracker = node->exchange->swim().quorum_tracker();
-      return quorum_tracker.At(now).part == membership::QuorumState::kComplete;
+      return quorum_tracker.Assess(now).state == membership::QuorumState::kComplete;
     });
   }
   bool UntilWhole(Duration most) {
@@ -379,7 +379,7 @@
   options.swim.owns = fleet.Aside(number);
   options.swim.owners_named = fleet.options.owners_named;
   if (fleet.Old(number)) options.swim.understands = 0;
-  if (fleet.old_owner == number) options.swim.understands = membership::Swim::kUnderstandsOwners;
+  if (fleet.old_owner == number) options.swim.understands = membership::Swim::kKnowsDedicatedLeaseManagers;
   if (way != Way::kBroadcast) {
     lease::SessionLeaseClient::Options& directory = options.directory.emplace();
     directory.reads_per_s = fleet.options.reads_per_s;
@@ -402,7 +402,7 @@
 }
 
 bool Node::Want(GroupId group, consistency::SessionKey key, bool write) {
-  std::vector<membership::Out> outs;
+  std::vector<membership::OutgoingPacket> outs;
   const bool expected = exchange->Want(
       fleet.now, group, key,
       write ? lease::SessionLeaseClient::Use::kWrite : lease::SessionLeaseClient::Use::kRead, outs);
@@ -755,25 +755,25 @@
     proto::Packet packet;
     packet.set_version(1);
     *packet.mutable_sender() = of;
-    std::vector<membership::Out> outs;
-    swim.Take(TimePoint{kSecond}, "a9", packet, outs);
+    std::vector<membership::OutgoingPacket> outs;
+    swim.HandlePacket(TimePoint{kSecond}, "a9", packet, outs);
     swim.Tick(TimePoint{kSecond * 2}, outs);
     proto::Packet passed;
-    swim.Dress(passed);
-    REQUIRE(passed.rumours_size() == 1);
-    CHECK(passed.rumours(0).SerializeAsString() == of.SerializeAsString());
-    return std::pair(swim.quorum_tracker().view(), swim.owners());
+    swim.AddSenderAndGossip(passed);
+    REQUIRE(passed.gossip_size() == 1);
+    CHECK(passed.gossip(0).SerializeAsString() == of.SerializeAsString());
+    return std::pair(swim.quorum_tracker().view(), swim.dedicated_lease_managers());
   };
   CHECK(known.SerializeAsString().ends_with(std::string("\xa0\x06\x2a", 3)));
   const auto [plain, nobody] = view(known);
   CHECK(nobody.empty());
-  known.set_understands(membership::Swim::kUnderstandsOwners);
+  known.set_capabilities(membership::Swim::kKnowsDedicatedLeaseManagers);
   CHECK(view(known) == std::pair(plain, nobody));
-  known.set_owns(true);
+  known.set_dedicated_lease_manager(true);
   const auto [named, owners] = view(known);
   CHECK(named != plain);
   CHECK(owners == std::vector<std::uint64_t>{77});
-  known.set_understands(1);
+  known.set_capabilities(1);
   CHECK(view(known) == std::pair(plain, nobody));
 }
 
@@ -874,16 +874,16 @@
   REQUIRE(exchange.MayAnswer(fleet.now, key));
   proto::Packet packet;
   *packet.mutable_sender() = fleet.nodes[1]->exchange->swim().self();
-  proto::Member& later = *packet.add_rumours();
+  proto::Member& later = *packet.add_gossip();
   later = exchange.swim().self();
   later.set_incarnation_id(4711);
   later.set_started_us(later.started_us() + 1);
-  std::vector<membership::Out> outs;
+  std::vector<membership::OutgoingPacket> outs;
   exchange.Take(fleet.now, "a1", packet, outs);
   CHECK_FALSE(exchange.MayAnswer(fleet.now, key));
   // Also once it is bound to nothing: the other is in the view by which they all read.
   CHECK_FALSE(exchange.MayAnswer(fleet.now + kSecond * 3600, key));
-  packet.mutable_rumours(0)->set_state(proto::Member::DEAD);
+  packet.mutable_gossip(0)->set_state(proto::Member::DEAD);
   exchange.Take(fleet.now, "a1", packet, outs);
   CHECK(exchange.MayAnswer(fleet.now, key));
 }
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -170,8 +170,8 @@
     if (nodes.size() <= at) nodes.resize(at + 1);
     nodes[at] = std::make_unique<Node>(number, ++incarnation_ids, now, recovered, kept, clock, session, idle);
   }
-  void Send(std::size_t from, std::vector<membership::Out>& outs) {
-    for (membership::Out& out : outs) {
+  void Send(std::size_t from, std::vector<membership::OutgoingPacket>& outs) {
+    for (membership::OutgoingPacket& out : outs) {
       const auto to = static_cast<std::size_t>(std::atoi(out.address.c_str() + 1));
       bytes += out.packet.ByteSizeLong() + kHeads;
       if (cut.contains({from, to}) || to >= nodes.size()) continue;
@@ -185,7 +185,7 @@
   }
   void Pass(Duration time) {
     const TimePoint end = now + time;
-    std::vector<membership::Out> outs;
+    std::vector<membership::OutgoingPacket> outs;
     for (; now < end; now += kTick) {
       while (!wire.empty() && wire.top().at <= now) {
         const Datagram came = wire.top();
@@ -304,7 +304,7 @@
     for (int at = 0; at < 8; ++at) CHECK(net.Knows(at, key));
     // A read that comes now asks, and has its answer at once.
     const TimePoint read = net.now;
-    std::vector<membership::Out> outs;
+    std::vector<membership::OutgoingPacket> outs;
     net.nodes[0]->exchange->Solicit(net.now, outs);
     net.Send(0, outs);
     net.Pass(kTick * 5);
@@ -431,7 +431,7 @@
   net.Pass(kSecond * 2);
   // A second process under the name of 2, at an address of its own.
   net.nodes.push_back(std::make_unique<Node>(2, 999, net.now, false, 65536, Duration{0}, nullptr));
-  std::vector<membership::Out> outs;
+  std::vector<membership::OutgoingPacket> outs;
   const auto speak = [&](std::size_t at) {
     Node& node = *net.nodes[at];
     node.exchange->Solicit(net.now, outs);
@@ -441,7 +441,9 @@
     speak(3);
     net.Pass(kTick);
   }
-  CHECK(net.nodes[0]->exchange->swim().conflicts() + net.nodes[2]->exchange->swim().conflicts() > 0);
+  CHECK(net.nodes[0]->exchange->swim().duplicate_name_reports() +
+            net.nodes[2]->exchange->swim().duplicate_name_reports() >
+        0);
   CHECK(net.TargetOfUnknown(0));
 }
 
@@ -456,7 +458,7 @@
   net.nodes[7].reset();
   net.Pass(kSecond * 10);
   for (int at = 0; at < 7; ++at) CHECK(net.StateOf(7, at) == proto::Member::DEAD);
-  std::vector<membership::Out> outs;
+  std::vector<membership::OutgoingPacket> outs;
   for (int i = 0; i < 5; ++i) {
     net.nodes[6]->exchange->Leave(net.now, outs);
     net.Send(6, outs);
