--- a/src/membership/quorum_tracker.h
+++ b/src/membership/quorum_tracker.h
@@ -1,11 +1,10 @@
-// How large a part of the fleet this instance is with, as far as it can prove it. Owns one value for all who
-// depend on it; free of sockets and clocks.
+// How much of the fleet shares this instance's view, as far as that is proven.
 //
-// A cut cannot be told from deaths, so a part is measured against the agreed size of the fleet, never against
-// those who are seen. An instance stands by one view at a time: those that it reaches both ways. It says on
-// each answer which one, and says none for a while after a change: for as long as what it said before may
-// still count. So each instance counts for one view at a time, whatever links are cut, and two views cannot
-// both have more than half of the fleet.
+// A network partition cannot be told from crashes, so a view is compared with the configured size of the
+// fleet, never with the number of instances seen. An instance acknowledges one view at a time, on each answer
+// to a ping, and none for a while after its view changed: for as long as its former acknowledgements may
+// still count. So each instance counts for one view at a time whatever links are cut, and two views cannot
+// both have a majority.
 #pragma once
 
 #include <cstddef>
@@ -14,120 +13,91 @@
 #include <span>
 #include <string>
 #include <string_view>
-#include <unordered_map>
 #include <vector>
 
+#include "membership/quorum_state.h"
+#include "membership/view_acknowledgements.h"
 #include "routing/balancer.h"
 
 namespace lynxgrade::membership {
 
-enum class QuorumState {
-  kUnknown,         // nothing is proven: just started, stopped for a while, or the view has just changed
-  kIsolated,        // nobody else is in reach
-  kMinority,        // half of the fleet or less is
-  kMajority,        // more than half is, and stands by the same view
-  kNearlyComplete,  // all but a tenth, or one
-  kComplete,        // all
-};
-const char* NameOf(QuorumState part);
-
-// Whether more than half of the fleet is proven to stand together: of two instances that are not of one view
-// at most one has this at any moment.
-constexpr bool IsMajority(QuorumState part) { return part >= QuorumState::kMajority; }
-
+// Not thread-safe; free of sockets and clocks. Times are those of one clock, ascending. May be copied, to
+// assess it without a change to the original.
 class QuorumTracker {
  public:
   struct Options {
-    std::uint64_t self = 0;   // this instance's life
-    std::size_t size = 1;     // of the fleet, this instance included
-    Duration proof{5000000};  // how long an answer proves that its sender stood by its view
-    bool proven = true;       // false: those in the view count without a word, as they are seen
+    std::uint64_t self = 0;                 // this instance's incarnation id
+    std::size_t fleet_size = 1;             // this instance included
+    Duration validity{5000000};             // of an acknowledgement, from when its ping was sent
+    bool acknowledgements_required = true;  // false: members of the view count without one
+  };
+  static constexpr int kAgeUnits = ViewAcknowledgements::kAgeUnits;
+  static constexpr unsigned char kNoAcknowledgement = ViewAcknowledgements::kNoAcknowledgement;
+
+  // The result of an assessment.
+  struct Assessment {
+    QuorumState state = QuorumState::kUnknown;
+    TimePoint since{};                 // when the state was first assessed
+    std::optional<TimePoint> until{};  // until when a majority is proven; absent: it needs no proof
+    std::uint64_t view = 0;            // the digest of the assessed view
   };
-  // Clocks may run apart by so much of the time; a view is settled that much later.
-  static constexpr int kDriftParts = 10;
-  static constexpr int kAgeUnits = 250;  // of the proof, in what is told of a word's age
-  static constexpr unsigned char kNoAcknowledgement = 255;
-  // Members above which claims for blocks are worth having. Up to here the ages of all are fewer bytes than
-  // the rest of a packet (some 80), and words go round without anybody being asked more often than others.
-  static constexpr std::size_t kLargestWithoutBlocks = 64;
-  // Of the proof that is left: with less an instance wants the ages of all. The proof is three times as long
-  // as those take to reach all, so what claims were late with is made good by them before it lapses.
-  static constexpr int kLeastLeftPercent = 33;
 
-  // In doubt from `now` on.
+  // The state is unknown from `now` until the acknowledgements of an earlier process have expired.
   QuorumTracker(Options options, TimePoint now);
 
-  // The view as it is now: a digest of those in reach, and their lives in ascending order, this instance's
-  // included. Those of one digest have the same lives in the same order.
+  // The current view: `incarnation_ids` are ascending and include this instance's; views of one digest have
+  // the same members.
   void UpdateView(TimePoint now, std::uint64_t digest, const std::vector<std::uint64_t>& incarnation_ids);
-  // An answer to what was asked at `asked`: the life `who` then stood by the view `declares`; zero: by none.
-  void RecordAcknowledgement(std::uint64_t who, TimePoint asked, std::uint64_t declares);
-  // What that answer told of the words of others, if its sender has the same view.
-  void MergeAcknowledgementAges(TimePoint asked, std::uint64_t view, std::string_view ages);
-  // What an answer at `now` tells one who has the view `view`: a byte a member, in units of the proof's 250th
-  // part, rounded up; kNoWord: no word of it counts. Empty where views differ.
+  // To be called after a pause of the process that ended at `now`: others may have agreed on another view
+  // meanwhile, and what this instance had acknowledged may still count.
+  void ResetAfterPause(TimePoint now);
+
+  // The answer of an instance to a ping sent at `pinged_at`: it acknowledges the view of this digest; zero:
+  // none.
+  void RecordAcknowledgement(std::uint64_t incarnation_id, TimePoint pinged_at,
+                             std::uint64_t acknowledged_view);
+  // Acknowledgements of others that such an answer passes on: ViewAcknowledgements::MergeAges,
+  // MergeBlockAges.
+  void MergeAcknowledgementAges(TimePoint pinged_at, std::uint64_t view, std::string_view ages);
+  void MergeBlockAcknowledgementAges(TimePoint pinged_at, std::uint64_t view, std::string_view ages);
+  // What an answer at `now` passes on to an instance of the view `view`: ViewAcknowledgements::Ages,
+  // BlockAges.
   std::string AcknowledgementAges(TimePoint now, std::uint64_t view) const;
-  // The same in fewer bytes. The view is cut into blocks of neighbours, as many as each has members or one
-  // more. A *claim* for a block says since when at the latest all of it are known to have stood by the view:
-  // a byte for each block. Behind them the ages of the members of the block of `asker`, who is of the view
-  // (else empty): there single words meet, and become claims. Also empty where views differ.
-  std::string BlockAcknowledgementAges(TimePoint now, std::uint64_t view, std::uint64_t asker) const;
-  void MergeBlockAcknowledgementAges(TimePoint asked, std::uint64_t view, std::string_view ages);
-  // Whether claims are enough for this instance at `now`, as it wants nothing in a hurry: all of a large view
-  // are proven, and for long enough.
+  std::string BlockAcknowledgementAges(TimePoint now, std::uint64_t view, std::uint64_t requester) const;
+  // Whether ages aggregated by block are enough for this instance at `now`: the view is large, and all of it
+  // is proven for long enough.
   bool BlockAcknowledgementsSuffice(TimePoint now) const;
-  // The lives of this instance's own block, ascending.
-  std::span<const std::uint64_t> OwnBlock() const;
-  // The process stood still until `now`: others may have settled on what it knows nothing of.
-  void ResetAfterPause(TimePoint now);
-  // The view as last seen, and what goes out with each answer at `now`: the same, or zero while not settled.
-  std::uint64_t view() const { return digest_; }
-  std::size_t count() const { return incarnation_ids_.size(); }
-  const std::vector<std::uint64_t>& incarnation_ids() const {
-    return incarnation_ids_;
-  }  // of the view as last seen, ascending
+  // The incarnation ids of this instance's own block, ascending. Valid until the view changes.
+  std::span<const std::uint64_t> OwnBlock() const { return acknowledgements_.OwnBlock(); }
+
+  // The digest of the current view.
+  std::uint64_t view() const { return acknowledgements_.view(); }
+  // The number of members of the current view.
+  std::size_t count() const { return acknowledgements_.incarnation_ids().size(); }
+  // The members of the current view, ascending.
+  const std::vector<std::uint64_t>& incarnation_ids() const { return acknowledgements_.incarnation_ids(); }
+  // The view that this instance acknowledges at `now`; zero: none, as its acknowledgement of another may
+  // count.
   std::uint64_t AcknowledgedView(TimePoint now) const;
 
-  // Up to when every other of the view is known to stand by it, as words are now. Absent where one is not, or
-  // this instance stands by none.
+  // Until when every other member of the view is known to acknowledge it. Absent where one does not, or this
+  // instance acknowledges none at `now`.
   std::optional<TimePoint> AllAcknowledgedUntil(TimePoint now) const;
 
-  struct Assessment {
-    QuorumState state = QuorumState::kUnknown;
-    TimePoint since{};
-    std::optional<TimePoint> until{};  // up to when it is proven; absent: it needs no proof
-    std::uint64_t view = 0;            // of which view
-  };
-  // Never older than the options' `proof`, also in a process that has just gone on: what lapsed has lapsed.
+  // The state at `now`. No acknowledgement counts for longer than its validity, also if the process was
+  // paused.
   Assessment Assess(TimePoint now);
 
  private:
-  struct Word {
-    TimePoint asked{};
-    std::uint64_t declares = 0;
-  };
-  std::size_t PlaceOf(
-      std::uint64_t incarnation_id) const;  // in the view; how many there are, where it is not in it
-  // When the life at this place is known to have stood by the view, by its own word or by its block's claim.
-  // A word that it stands by another, or none, undoes older claims.
-  std::optional<TimePoint> StoodAt(std::size_t place) const;
-  unsigned char AgeOf(TimePoint now, std::optional<TimePoint> stood) const;
-  TimePoint SaidAt(TimePoint asked, unsigned char age) const {
-    return asked - options_.proof * age / kAgeUnits;
-  }
+  // How long after a change of view this instance acknowledges none.
+  Duration HoldOff() const;
 
   Options options_;
-  std::uint64_t digest_ = 0;
-  std::vector<std::uint64_t> incarnation_ids_;
-  std::vector<Word> words_;                            // of these, in their order
-  std::vector<std::size_t> blocks_;                    // where each begins, and the end of the last
-  std::vector<std::size_t> block_of_;                  // by place
-  std::vector<TimePoint> claims_;                      // by block; zero: none
-  std::unordered_map<std::uint64_t, Word> strangers_;  // words of lives that are not of the view, yet
-  TimePoint settled_;
-  TimePoint heard_out_;  // until then those in reach may not all have been heard yet
-  QuorumState part_ = QuorumState::kUnknown;
-  TimePoint since_;
+  ViewAcknowledgements acknowledgements_;
+  TimePoint acknowledges_from_;  // before that this instance acknowledges no view
+  TimePoint discovery_ends_;     // before that some instances in reach may not have been heard yet
+  QuorumState state_ = QuorumState::kUnknown;
+  TimePoint state_since_;
 };
 
 }  // namespace lynxgrade::membership
