--- a/src/replication/lease_transport.h
+++ b/src/replication/lease_transport.h
@@ -75,9 +75,9 @@
   void SendMessages(TimePoint now, const lease::LeaseOutbox& messages, Outbox& outbox);
   // Packs messages into packets, one or more for each receiver, view and way.
   void SendLegs(TimePoint now, const Legs& legs, Outbox& outbox);
-  membership::Out Pack(TimePoint now, const std::string& address, const std::vector<const Leg*>& legs,
-                       std::size_t& next) const;
-  void Send(TimePoint now, lease::IncarnationId receiver, bool unanswered, membership::Out packet,
+  membership::OutgoingPacket Pack(TimePoint now, const std::string& address,
+                                  const std::vector<const Leg*>& legs, std::size_t& next) const;
+  void Send(TimePoint now, lease::IncarnationId receiver, bool unanswered, membership::OutgoingPacket packet,
             Outbox& outbox);
   std::string DetourTo(TimePoint now, lease::IncarnationId receiver, bool unanswered);
 
--- a/src/replication/packet_codec.cpp
+++ b/src/replication/packet_codec.cpp
@@ -78,8 +78,8 @@
   }
 }
 
-membership::Out LeasePacketTo(const std::string& address, lease::IncarnationId sender) {
-  membership::Out outgoing{address, {}};
+membership::OutgoingPacket LeasePacketTo(const std::string& address, lease::IncarnationId sender) {
+  membership::OutgoingPacket outgoing{address, {}};
   outgoing.packet.set_version(1);
   outgoing.packet.mutable_sender()->set_incarnation_id(sender);
   outgoing.packet.mutable_directory();
--- a/src/replication/packet_sender.h
+++ b/src/replication/packet_sender.h
@@ -17,7 +17,7 @@
 
   // Adds the sender's identity and piggybacked membership gossip to the packet.
   void Send(const std::string& address, proto::Packet packet, Outbox& outbox) {
-    swim_.Dress(packet);
+    swim_.AddSenderAndGossip(packet);
     ++counts_.packets_sent;
     outbox.push_back({address, std::move(packet)});
   }
--- a/src/replication/peer_links.cpp
+++ b/src/replication/peer_links.cpp
@@ -31,7 +31,7 @@
   if (std::exchange(followed_changes_, swim_.changes()) == swim_.changes()) return;
   incarnations_.Prune(swim_.quorum_tracker().incarnation_ids());
   // Only those that have changed: while a large fleet starts almost every packet changes a few.
-  std::vector<std::string> names = swim_.TakeChanged();
+  std::vector<std::string> names = swim_.DrainChangedNames();
   for (std::string& name : std::exchange(reset_names_, {})) names.push_back(std::move(name));
   for (const std::string& name : names) FollowPeer(now, name);
   DropPlaceholders();
@@ -112,7 +112,7 @@
   if (peer == swim_.peers().end() || peer->second.member.incarnation_id() != sender.incarnation_id()) {
     // An older incarnation that still runs is a second instance of the name: nobody knows what it answers.
     consistency_guard_.AddGap(DuplicateIdOf(name), link.followed_since, now);
-    name_shared_until_ = now + swim_.proof() * 2;
+    name_shared_until_ = now + swim_.acknowledgement_validity() * 2;
     link.followed_since = now;
     return nullptr;
   }
@@ -163,7 +163,7 @@
 }
 
 bool PeerLinks::UsesLeases(const proto::Member& member) const {
-  return lease_mode_ == LeaseMode::kEnabled && member.speaks() >= kLeaseProtocolVersion;
+  return lease_mode_ == LeaseMode::kEnabled && member.protocol_version() >= kLeaseProtocolVersion;
 }
 
 std::string PeerLinks::NextLeasePeer(lease::IncarnationId excluded) {
--- a/src/replication/replication_engine.cpp
+++ b/src/replication/replication_engine.cpp
@@ -73,7 +73,7 @@
   // have been complete without a break.
   const bool acknowledges = packet.has_ack() || packet.has_nack();
   if (leases_ != nullptr && acknowledges) leases_->view().Update(now, Completeness::kCheck);
-  swim_.Take(now, sender_address, packet, outbox);
+  swim_.HandlePacket(now, sender_address, packet, outbox);
   links_.FollowMembership(now);
   if (leases_ != nullptr) {
     if (acknowledges) leases_->view().Invalidate();
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -174,7 +174,7 @@
     nodes[at] = std::make_unique<Node>(number, ++incarnation_ids, now, recovered, kept, clock, session, idle);
   }
   void Send(std::size_t from, Outbox& outs) {
-    for (membership::Out& out : outs) {
+    for (membership::OutgoingPacket& out : outs) {
       const auto to = static_cast<std::size_t>(std::atoi(out.address.c_str() + 1));
       bytes += out.packet.ByteSizeLong() + kHeads;
       if (cut.contains({from, to}) || to >= nodes.size()) continue;
@@ -444,7 +444,9 @@
     speak(3);
     net.Pass(kTick);
   }
-  CHECK(net.nodes[0]->engine->swim().conflicts() + net.nodes[2]->engine->swim().conflicts() > 0);
+  CHECK(net.nodes[0]->engine->swim().duplicate_name_reports() +
+            net.nodes[2]->engine->swim().duplicate_name_reports() >
+        0);
   CHECK(net.TargetOfUnknown(0));
 }
 
