--- /dev/null
+++ b/tests/consistency/session_consistency_guard_test.cpp
@@ -0,0 +1,250 @@
+// The guard without sockets: what writes, changes of primary, restarts and other instances do to reads.
+#include "consistency/session_consistency_guard.h"
+
+#include <doctest/doctest.h>
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <utility>
+#include <variant>
+#include <vector>
+
+#include "consistency/test_positions.h"
+
+namespace lynxgrade::consistency {
+namespace {
+
+constexpr ClassIndex kReadClass = 0;
+constexpr ClassIndex kWriteClass = 1;
+enum class Role { kPrimary, kReplica };
+
+// A guard with three data servers, whose responses the tests choose.
+struct GuardFixture {
+  explicit GuardFixture(Options options = AllInstances()) : guard(SessionSettings(), options) {
+    ListEvent list{ListKind::kPersisted, {}};
+    for (const ServerId id : {kServerA, kServerB, kServerC})
+      list.entries.push_back({.server = id, .group = kGroup});
+    Process(list);
+  }
+  static Options AllInstances() {
+    Options options;
+    options.scope = Scope::kEverywhere;
+    options.write_retention = Duration(30'000'000);
+    return options;
+  }
+  static Settings SessionSettings() {
+    Settings settings;
+    settings.classes.resize(2);
+    settings.classes[kReadClass].kind = ReadKind::kSession;
+    settings.classes[kWriteClass].kind = ReadKind::kWrite;
+    settings.sessions_carried = false;
+    return settings;
+  }
+  Event Process(Event event) {
+    guard.PrepareEvent(now, event);
+    for (const RejectedRead& read : guard.DrainRejectedReads()) rejected.push_back(read);
+    return event;
+  }
+  RequestEvent Request(ClassIndex cls, const char* session) {
+    RequestEvent request;
+    request.id = RequestId(++last_request);
+    request.group = kGroup;
+    request.cls = cls;
+    request.session = session;
+    return std::get<RequestEvent>(Process(request));
+  }
+  OutcomeEvent Respond(RequestId id, ServerId server, Role role, LogPosition position,
+                       Outcome outcome = Outcome::kOk) {
+    OutcomeEvent event;
+    event.id = id;
+    event.server = server;
+    event.outcome = outcome;
+    event.note = {position, role == Role::kPrimary};
+    return std::get<OutcomeEvent>(Process(event));
+  }
+  void Write(const char* session, ServerId primary, LogPosition commit) {
+    Respond(Request(kWriteClass, session).id, primary, Role::kPrimary, commit);
+  }
+  std::optional<LogPosition> RequiredPosition(const char* session) {
+    return Request(kReadClass, session).target;
+  }
+
+  SessionConsistencyGuard guard;
+  TimePoint now = At(0);
+  std::vector<RejectedRead> rejected;
+  std::uint32_t last_request = 0;
+};
+
+TEST_CASE("guard: a read requires its session's newest answered write") {
+  GuardFixture fixture;
+  fixture.Write("s", kServerA, At(10));
+  fixture.Write("s", kServerA, At(20));
+  fixture.Respond(fixture.Request(kWriteClass, "s").id, kServerA, Role::kPrimary, At(30),
+                  Outcome::kError);  // not answered
+  fixture.now = At(50);
+  CHECK(*fixture.RequiredPosition("s") == At(20));
+  CHECK_FALSE(fixture.RequiredPosition("other"));
+  CHECK(fixture.rejected.empty());
+  fixture.now = At(31'000);
+  CHECK_FALSE(fixture.RequiredPosition("s"));  // past the retention
+}
+
+TEST_CASE("guard: after a start without recovery, any session may have written until the start") {
+  GuardFixture fixture;
+  fixture.now = At(10'000);
+  fixture.guard.LearnReign(kGroup, kServerA, At(-60'000), At(-60'000), At(9'000));
+  fixture.guard.HandleStart(fixture.now, std::nullopt);
+  CHECK(*fixture.RequiredPosition("s") == At(10'000));
+  CHECK(fixture.rejected.empty());
+  fixture.Write("s", kServerA, At(10'500));
+  CHECK(*fixture.RequiredPosition("s") == At(10'500));
+  fixture.now = At(41'000);
+  CHECK_FALSE(fixture.RequiredPosition("other"));
+}
+
+TEST_CASE(
+    "guard: after a start without recovery, reads are rejected while the start of the timeline is unknown") {
+  GuardFixture fixture;
+  fixture.now = At(10'000);
+  fixture.guard.HandleStart(fixture.now, std::nullopt);
+  fixture.Write("w", kServerA, At(10'100));
+  fixture.Request(kReadClass, "s");
+  REQUIRE(fixture.rejected.size() == 1);
+  CHECK(fixture.rejected[0].reason == RejectionReason::kUnknownWrite);
+  fixture.Request(kReadClass, "w");  // wrote since
+  CHECK(fixture.rejected.size() == 1);
+}
+
+TEST_CASE(
+    "guard: when a primary takes its newest writes with it, reads of their sessions are rejected, pending "
+    "ones too") {
+  GuardFixture fixture;
+  fixture.Write("held", kServerA, At(100));
+  fixture.Respond(fixture.Request(kReadClass, "x").id, kServerB, Role::kReplica, At(100));
+  fixture.Write("lost", kServerA, At(130));
+  fixture.now = At(200);
+  const RequestId open = fixture.Request(kReadClass, "lost").id;
+  CHECK(fixture.rejected.empty());
+  fixture.now = At(3000);
+  fixture.Respond(fixture.Request(kReadClass, "x").id, kServerB, Role::kPrimary, At(3000));
+  REQUIRE(fixture.rejected.size() == 1);
+  CHECK(fixture.rejected[0].id == open);
+  CHECK(fixture.rejected[0].reason == RejectionReason::kLostWrite);
+  fixture.Request(kReadClass, "lost");
+  CHECK(fixture.rejected.size() == 2);
+  CHECK(*fixture.RequiredPosition("held") == At(100));
+  CHECK(fixture.rejected.size() == 2);
+  fixture.Write("lost", kServerB, At(3100));
+  CHECK(*fixture.RequiredPosition("lost") == At(3100));
+  CHECK(fixture.rejected.size() == 2);
+}
+
+TEST_CASE("guard: a new primary that a peer reports rejects pending reads too") {
+  GuardFixture fixture;
+  fixture.Write("s", kServerA, At(130));
+  fixture.now = At(3000);
+  const RequestId read = fixture.Request(kReadClass, "s").id;
+  fixture.guard.LearnReign(kGroup, kServerB, At(2900), At(100), At(2950));
+  for (const RejectedRead& read : fixture.guard.DrainRejectedReads()) fixture.rejected.push_back(read);
+  REQUIRE(fixture.rejected.size() == 1);
+  CHECK(fixture.rejected[0].id == read);
+}
+
+TEST_CASE("guard: a response that reveals a new primary is not served itself if the write may be lost") {
+  GuardFixture fixture;
+  fixture.Write("s", kServerA, At(130));
+  fixture.now = At(3000);
+  const RequestId read = fixture.Request(kReadClass, "s").id;
+  fixture.Respond(read, kServerB, Role::kPrimary, At(3000));
+  REQUIRE(fixture.rejected.size() == 1);
+  CHECK(fixture.rejected[0].id == read);
+}
+
+TEST_CASE("guard: a response older than the required position becomes a miss") {
+  GuardFixture fixture;
+  fixture.Write("s", kServerA, At(130));
+  CHECK(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerB, Role::kReplica, At(129)).outcome ==
+        Outcome::kMiss);
+  CHECK(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerB, Role::kReplica, At(130)).outcome ==
+        Outcome::kOk);
+}
+
+TEST_CASE("guard: responses of a replaced primary are never served, from before or after the change") {
+  GuardFixture fixture;
+  fixture.Write("s", kServerA, At(100));
+  fixture.Respond(fixture.Request(kReadClass, "x").id, kServerB, Role::kReplica, At(100));
+  fixture.Write("s", kServerB, At(3000));
+  fixture.now = At(3001);
+  // A response from before the change is stale. One from after it shows a second primary, so that the
+  // session's write may be lost.
+  CHECK(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerA, Role::kPrimary, At(2000)).outcome ==
+        Outcome::kMiss);
+  CHECK(fixture.rejected.empty());
+  const RequestId read = fixture.Request(kReadClass, "s").id;
+  fixture.Respond(read, kServerA, Role::kPrimary, At(3001));
+  REQUIRE(fixture.rejected.size() == 2);  // the read whose response became a miss, and this one
+  CHECK((fixture.rejected[0].id == read || fixture.rejected[1].id == read));
+}
+
+// Cut down to what is trusted, such a position would claim writes that its server may not have replayed.
+TEST_CASE("guard: a position later than the known timeline can have lasted is removed from the event") {
+  GuardFixture fixture;
+  CHECK_FALSE(
+      fixture.Respond(fixture.Request(kReadClass, "s").id, kServerB, Role::kReplica, At(5)).note.position);
+  fixture.Write("s", kServerA, At(10));
+  fixture.now = At(9000);
+  CHECK(*fixture.Respond(fixture.Request(kReadClass, "x").id, kServerB, Role::kReplica, At(1010))
+             .note.position == At(1010));
+  CHECK_FALSE(
+      fixture.Respond(fixture.Request(kReadClass, "x").id, kServerB, Role::kReplica, At(9000)).note.position);
+}
+
+TEST_CASE(
+    "guard: while a peer's writes are not replicated, a read requires the position of its own arrival") {
+  GuardFixture fixture;
+  fixture.Write("s", kServerA, At(10));
+  fixture.now = At(100);
+  fixture.guard.Covered(7, At(90));
+  RequestEvent request;
+  request.cls = kReadClass;
+  CHECK(fixture.guard.ShouldDelayRead(request, fixture.now));
+  CHECK(*fixture.RequiredPosition("x") == At(100));
+  fixture.guard.Covered(7, At(100));
+  CHECK_FALSE(fixture.RequiredPosition("x"));
+  fixture.guard.Learn(kGroup, SessionKeyOf(kGroup, "x"), {At(95), kServerA});
+  CHECK(*fixture.RequiredPosition("x") == At(95));
+  fixture.guard.Learn(kGroup, SessionKeyOf(kGroup, "y"), {At(120), kServerB});  // reveals a new primary
+  fixture.Request(kReadClass, "x");
+  CHECK(fixture.rejected.back().reason == RejectionReason::kLostWrite);
+}
+
+TEST_CASE("guard: a position that a session carries counts only if sessions are configured to carry it") {
+  for (const bool carried : {false, true}) {
+    Settings settings = GuardFixture::SessionSettings();
+    settings.sessions_carried = carried;
+    SessionConsistencyGuard guard(settings, Options{});
+    RequestEvent request;
+    request.target = At(7);
+    request.since_write = Duration(2000);
+    Event event = request;
+    guard.PrepareEvent(At(10), event);
+    const auto target = std::get<RequestEvent>(event).target;
+    if (carried) CHECK(*target == At(8));
+    if (!carried) CHECK_FALSE(target);
+  }
+}
+
+TEST_CASE("guard: with the scope of one instance, nothing is rejected and positions are not changed") {
+  GuardFixture fixture{Options{}};
+  fixture.Write("s", kServerA, At(130));
+  const RequestEvent read = fixture.Request(kReadClass, "s");
+  CHECK(*read.target == At(130));
+  CHECK_FALSE(read.proven_only);
+  CHECK(*fixture.Respond(read.id, kServerB, Role::kPrimary, At(9000)).note.position == At(9000));
+  CHECK(fixture.rejected.empty());
+  CHECK_FALSE(fixture.RequiredPosition("other"));
+}
+
+}  // namespace
+}  // namespace lynxgrade::consistency
--- /dev/null
+++ b/tests/consistency/test_positions.h
@@ -0,0 +1,20 @@
+// Names of servers, groups and log positions that the tests of this folder share.
+#pragma once
+
+#include <cstdint>
+
+#include "routing/balancer.h"
+
+namespace lynxgrade::consistency {
+
+inline constexpr ServerId kServerA{1};
+inline constexpr ServerId kServerB{2};
+inline constexpr ServerId kServerC{3};
+inline constexpr GroupId kGroup{2};
+
+// A time of day that real data servers report, plus `milliseconds`.
+inline LogPosition At(std::int64_t milliseconds) {
+  return LogPosition(Duration(1'700'000'000'000'000 + milliseconds * 1000));
+}
+
+}  // namespace lynxgrade::consistency
