--- a/bench/watermark_table_bench.cpp
+++ b/bench/watermark_table_bench.cpp
@@ -39,7 +39,7 @@
 
 struct Plain {
   std::map<std::string, LogPosition> watermarks;
-  void Note(const std::string& session, LogPosition position) {
+  void Record(const std::string& session, LogPosition position) {
     LogPosition& watermark = watermarks[session];
     watermark = std::max(watermark, position);
   }
@@ -48,14 +48,14 @@
 struct Flat {
   explicit Flat(std::size_t sessions) : watermark_table(sessions) {}
   SessionWatermarkTable watermark_table;
-  void Note(const std::string& session, LogPosition position) {
-    watermark_table.Note(SessionKeyOf(kGroup, session), {position, ServerId(1)});
+  void Record(const std::string& session, LogPosition position) {
+    watermark_table.Record(SessionKeyOf(kGroup, session), {position, ServerId(1)});
   }
 };
 
 template <typename WriteAheadLog>
 void Fill(WriteAheadLog& store, std::size_t sessions) {
-  for (std::size_t i = 0; i < sessions; ++i) store.Note(NameOf(i), At(static_cast<std::int64_t>(i / 100)));
+  for (std::size_t i = 0; i < sessions; ++i) store.Record(NameOf(i), At(static_cast<std::int64_t>(i / 100)));
 }
 
 template <typename WriteAheadLog, typename... Args>
@@ -103,7 +103,7 @@
   Fill(store, sessions);
   std::size_t at = 0;
   for (auto _ : state) {
-    store.Note(names[at % kProbes], At(static_cast<std::int64_t>(sessions + at)));
+    store.Record(names[at % kProbes], At(static_cast<std::int64_t>(sessions + at)));
     ++at;
   }
   Report(state, store, before);
@@ -126,8 +126,8 @@
   std::mt19937_64 random(2);
   std::int64_t ms = 0;
   for (std::int64_t i = 0; i < state.range(0) * 4; ++i)
-    watermark_table.Note(SessionKey(random()), {At(++ms), ServerId(1)});
-  for (auto _ : state) watermark_table.Note(SessionKey(random()), {At(++ms), ServerId(1)});
+    watermark_table.Record(SessionKey(random()), {At(++ms), ServerId(1)});
+  for (auto _ : state) watermark_table.Record(SessionKey(random()), {At(++ms), ServerId(1)});
 }
 
 constexpr std::int64_t kSmall = 10'000, kLarge = 1'000'000, kHuge = 10'000'000;
--- a/src/consistency/primary_timeline.cpp
+++ b/src/consistency/primary_timeline.cpp
@@ -18,14 +18,14 @@
 
 void PrimaryTimeline::StartTimeline(ServerId server, LogPosition position) {
   const auto replica_position = replica_positions_.extract(server);
-  held_ = replica_position.empty() ? LogPosition{} : replica_position.mapped();
+  replicated_through_ = replica_position.empty() ? LogPosition{} : replica_position.mapped();
   if (primary_ == server) {
     // It was a replica in between, of a primary that was never seen: the positions that it reported then
     // prove nothing of its own earlier writes.
-    held_ = LogPosition{};
-    AddLoss({std::nullopt, held_, position});
+    replicated_through_ = LogPosition{};
+    AddLoss({std::nullopt, replicated_through_, position});
   } else {
-    AddLoss({server, std::min(held_, position), position});
+    AddLoss({server, std::min(replicated_through_, position), position});
   }
   primary_ = server;
   stepped_down_ = false;
@@ -65,14 +65,15 @@
 
 bool PrimaryTimeline::MayBeLost(const WriteWatermark& watermark) const {
   for (auto loss = losses_.begin(); loss != losses_.end(); ++loss) {
-    if (watermark.position <= loss->after || (loss->successor && watermark.by == loss->successor)) continue;
+    if (watermark.position <= loss->after || (loss->successor && watermark.server == loss->successor))
+      continue;
     if (watermark.position <= loss->through) return true;
     // A write answered by a replaced primary after its successor was seen is on no timeline that continues,
     // unless that server became primary again later.
     const bool primary_again = std::any_of(loss + 1, losses_.end(), [&](const PossibleWriteLoss& next) {
-      return next.successor == watermark.by && watermark.position > next.after;
+      return next.successor == watermark.server && watermark.position > next.after;
     });
-    if (watermark.by && !primary_again) return true;
+    if (watermark.server && !primary_again) return true;
   }
   return false;
 }
@@ -83,9 +84,10 @@
   });
 }
 
-bool PrimaryTimeline::Learn(ServerId primary, LogPosition since, LogPosition held, LogPosition confirmed) {
+bool PrimaryTimeline::Merge(ServerId primary, LogPosition since, LogPosition replicated_through,
+                            LogPosition confirmed) {
   if (!primary_ || (*primary_ != primary && since > confirmed_)) {
-    if (held > LogPosition{}) RaiseReplicaPosition(primary, held);
+    if (replicated_through > LogPosition{}) RaiseReplicaPosition(primary, replicated_through);
     StartTimeline(primary, since);
     confirmed_ = std::max(confirmed_, confirmed);
     return true;
@@ -93,13 +95,13 @@
   for (PossibleWriteLoss& loss : losses_) {
     if (loss.successor != primary || since > loss.through) continue;
     // The same timeline, seen earlier: its predecessor can have answered fewer writes after it began.
-    if (held > loss.through) continue;
+    if (replicated_through > loss.through) continue;
     loss.through = std::min(loss.through, since);
-    loss.after = std::max(loss.after, std::min(held, loss.through));
+    loss.after = std::max(loss.after, std::min(replicated_through, loss.through));
   }
   if (primary_ == primary) {
     since_ = std::min(since_, since);
-    held_ = std::max(held_, std::min(held, since_));
+    replicated_through_ = std::max(replicated_through_, std::min(replicated_through, since_));
     confirmed_ = std::max(confirmed_, confirmed);
   }
   return false;
--- a/src/consistency/primary_timeline.h
+++ b/src/consistency/primary_timeline.h
@@ -45,16 +45,16 @@
   std::optional<LogPosition> TrustedThrough() const;
 
   // The server has left the group: its positions as a replica prove nothing any more.
-  void Drop(ServerId server) { replica_positions_.erase(server); }
+  void RemoveServer(ServerId server) { replica_positions_.erase(server); }
 
   bool MayBeLost(const WriteWatermark& watermark) const;
   // Whether a write that any server answered in `interval` may be lost.
   bool MayBeLost(const WriteInterval& interval) const;
 
   // What a peer observed, or what was recovered: `primary` was primary at `since` already, had replayed the
-  // log up to `held` before, and was last seen as primary at `confirmed`. Narrows the losses of a change that
-  // is known here. Returns whether it starts a timeline that was not seen here.
-  bool Learn(ServerId primary, LogPosition since, LogPosition held, LogPosition confirmed);
+  // log up to `replicated_through` before, and was last seen as primary at `confirmed`. Narrows the losses of
+  // a change that is known here. Returns whether it starts a timeline that was not seen here.
+  bool Merge(ServerId primary, LogPosition since, LogPosition replicated_through, LogPosition confirmed);
 
   // Drops the losses of writes that were all answered before `position`. Returns how many.
   std::size_t ForgetLossesBefore(LogPosition position);
@@ -63,7 +63,7 @@
   // First position seen on the present timeline.
   LogPosition since() const { return since_; }
   // How far its primary had replayed the log before that.
-  LogPosition held() const { return held_; }
+  LogPosition replicated_through() const { return replicated_through_; }
   // Newest position seen on the present timeline.
   LogPosition confirmed() const { return confirmed_; }
   const std::vector<PossibleWriteLoss>& losses() const { return losses_; }
@@ -81,7 +81,7 @@
   std::optional<ServerId> primary_;
   bool stepped_down_ = false;  // the primary has reported as a replica, and no successor was seen yet
   LogPosition since_{};
-  LogPosition held_{};
+  LogPosition replicated_through_{};
   LogPosition confirmed_{};
   std::map<ServerId, LogPosition> replica_positions_;  // newest of each server since it was last primary
   std::vector<PossibleWriteLoss> losses_;
--- a/src/consistency/session_consistency_guard.cpp
+++ b/src/consistency/session_consistency_guard.cpp
@@ -86,7 +86,7 @@
   const auto group = groups_.find(server);
   if (group == groups_.end()) return;
   const auto timeline = timelines_.find(group->second);
-  if (timeline != timelines_.end()) timeline->second.Drop(server);
+  if (timeline != timelines_.end()) timeline->second.RemoveServer(server);
   groups_.erase(group);
 }
 
@@ -121,7 +121,7 @@
 void SessionConsistencyGuard::HandleNewPrimary(GroupId group, TimePoint now) {
   PrimaryTimeline& timeline = TimelineOf(group);
   timeline.ForgetLossesBefore(now - options_.write_retention);
-  ++counts_.losses;
+  ++counts_.possible_losses;
   if (on_timeline_change_) on_timeline_change_();
   LogNewPrimary(group, timeline);
   for (auto it = pending_requests_.begin(); it != pending_requests_.end();) {
@@ -142,7 +142,8 @@
   log_sink_("group " + std::to_string(static_cast<std::int64_t>(group)) + ": data server " +
             std::to_string(static_cast<std::uint32_t>(*timeline.primary())) + " is primary since " +
             std::to_string(Milliseconds(timeline.since())) +
-            " at the latest and had replayed the log up to " + std::to_string(Milliseconds(timeline.held())) +
+            " at the latest and had replayed the log up to " +
+            std::to_string(Milliseconds(timeline.replicated_through())) +
             " before; read-your-writes reads of sessions that wrote in between are rejected until they write "
             "again");
 }
@@ -163,7 +164,7 @@
   write.arrived = event.arrived.value_or(now);
   write.write = true;
   pending_requests_[event.id] = write;
-  if (UsesLeases()) leases_->Want(write.group, write.key, true);
+  if (UsesLeases()) leases_->AcquireLease(write.group, write.key, LeaseUse::kWrite);
 }
 
 void SessionConsistencyGuard::HandleSessionRead(TimePoint now, RequestEvent& event) {
@@ -181,13 +182,13 @@
     read.watermark = known.watermark;
     ++counts_.with_watermark;
     RaiseTo(event.target, known.watermark->position);
-  } else if (!known.watermark && known.floor && *known.floor >= oldest) {
-    conservative_position = known.floor;
-    RaiseTo(event.target, *known.floor);
+  } else if (!known.watermark && known.conservative_position && *known.conservative_position >= oldest) {
+    conservative_position = known.conservative_position;
+    RaiseTo(event.target, *known.conservative_position);
   }
   if (!CoversAllInstances()) return;
-  if (UsesLeases()) read.complete_after = leases_->Exact(read.key);
-  if (read.complete_after) ++counts_.complete;
+  if (UsesLeases()) read.complete_through = leases_->CompleteThrough(read.key);
+  if (read.complete_through) ++counts_.complete;
   for (const WriteInterval& unknown : UnknownIntervalsOf(read))
     RaiseTo(conservative_position, unknown.through);
   if (conservative_position) {
@@ -229,7 +230,7 @@
     if (timeline.MayBeLost(retained)) return RejectionReason::kUnknownWrite;
   }
   // Evicted watermarks may be of any write up to the conservative position.
-  const auto evicted = read.watermark ? std::nullopt : watermark_table_.Find(read.key).floor;
+  const auto evicted = read.watermark ? std::nullopt : watermark_table_.Find(read.key).conservative_position;
   if (evicted && timeline.MayBeLost(WriteInterval{oldest, *evicted})) return RejectionReason::kUnknownWrite;
   return std::nullopt;
 }
@@ -258,7 +259,7 @@
   const bool served = event.outcome == Outcome::kOk;
   if (served && request.write && event.note.position && !sessions_carry_positions_) {
     const WriteWatermark watermark{*event.note.position, event.server};
-    watermark_table_.Note(request.key, watermark);
+    watermark_table_.Record(request.key, watermark);
     if (on_write_) on_write_(request.group, request.key, watermark);
   }
   // A primary's data is the newest there is, and its position is rounded down: only one that reports an older
@@ -281,7 +282,7 @@
                                       read.watermark ? read.watermark->position : LogPosition{});
   if (!UsesLeases()) return unknown_writes_.Intervals(oldest, read.arrived);
   // With leases, peers answer writes without replicating them here.
-  const LogPosition through = std::min(read.complete_after.value_or(read.arrived), read.arrived);
+  const LogPosition through = std::min(read.complete_through.value_or(read.arrived), read.arrived);
   if (oldest < through) return {{oldest, through}};
   return {};
 }
@@ -292,35 +293,35 @@
   if (UsesLeases()) {
     const SessionKey key = SessionKeyOf(event.group, event.session);
     // Also renews a lease that is held already.
-    const bool expected = leases_->Want(event.group, key, false);
-    return expected && !leases_->Exact(key);
+    const bool expected = leases_->AcquireLease(event.group, key, LeaseUse::kRead);
+    return expected && !leases_->CompleteThrough(key);
   }
-  const auto replicated = CoveredUpTo();
+  const auto replicated = ReplicatedThrough();
   return replicated && *replicated < arrived &&
          arrived - *replicated < options_.max_read_delay * kMaxPeerSilenceInReadDelays;
 }
 
 bool SessionConsistencyGuard::IsDelayOver(const RequestEvent& event) const {
-  if (UsesLeases()) return leases_->Exact(SessionKeyOf(event.group, event.session)).has_value();
-  const auto replicated = CoveredUpTo();
+  if (UsesLeases()) return leases_->CompleteThrough(SessionKeyOf(event.group, event.session)).has_value();
+  const auto replicated = ReplicatedThrough();
   return !replicated || *replicated >= *event.arrived;
 }
 
 // ---- What other instances report ----------------------------------------------------------------------
 
-void SessionConsistencyGuard::Learn(std::optional<GroupId> group, SessionKey key,
-                                    const WriteWatermark& watermark) {
-  watermark_table_.Note(key, watermark);
+void SessionConsistencyGuard::LearnWatermark(std::optional<GroupId> group, SessionKey key,
+                                             const WriteWatermark& watermark) {
+  watermark_table_.Record(key, watermark);
   // The server that answered the write did so as primary.
-  if (!CoversAllInstances() || !group || !watermark.by) return;
-  if (TimelineOf(*group).HandlePrimaryPosition(*watermark.by, watermark.position)) {
+  if (!CoversAllInstances() || !group || !watermark.server) return;
+  if (TimelineOf(*group).HandlePrimaryPosition(*watermark.server, watermark.position)) {
     HandleNewPrimary(*group, now_);
   }
 }
 
-void SessionConsistencyGuard::LearnReign(GroupId group, ServerId primary, LogPosition since, LogPosition held,
-                                         LogPosition confirmed) {
-  if (TimelineOf(group).Learn(primary, since, held, confirmed)) HandleNewPrimary(group, now_);
+void SessionConsistencyGuard::LearnTimeline(GroupId group, ServerId primary, LogPosition since,
+                                            LogPosition replicated_through, LogPosition confirmed) {
+  if (TimelineOf(group).Merge(primary, since, replicated_through, confirmed)) HandleNewPrimary(group, now_);
 }
 
 }  // namespace lynxgrade::consistency
--- a/src/consistency/session_consistency_guard.h
+++ b/src/consistency/session_consistency_guard.h
@@ -63,7 +63,7 @@
   std::uint64_t rejected_lost_write = 0;  // by RejectionReason
   std::uint64_t rejected_unknown_write = 0;  // likewise
   std::uint64_t stale_answers = 0;           // answers older than the required position, not passed on
-  std::uint64_t losses = 0;                  // changes of primary that may have lost writes
+  std::uint64_t possible_losses = 0;         // changes of primary that may have lost writes
 };
 
 // Gives each read the position that its data must contain, learns from responses which writes were answered
@@ -106,25 +106,27 @@
     unknown_writes_.SetStart(now, recovered_through);
   }
   // A write of a session. Without its group it tells nothing about who is primary.
-  void Learn(std::optional<GroupId> group, SessionKey key, const WriteWatermark& watermark);
-  // See PrimaryTimeline::Learn.
-  void LearnReign(GroupId group, ServerId primary, LogPosition since, LogPosition held,
-                  LogPosition confirmed);
+  void LearnWatermark(std::optional<GroupId> group, SessionKey key, const WriteWatermark& watermark);
+  // See PrimaryTimeline::Merge.
+  void LearnTimeline(GroupId group, ServerId primary, LogPosition since, LogPosition replicated_through,
+                     LogPosition confirmed);
   // Watermarks up to `position` were evicted there: any session may have written up to it.
-  void LearnForgotten(LogPosition position) { watermark_table_.RaiseFloor(position); }
+  void LearnEviction(LogPosition position) { watermark_table_.RaiseConservativePosition(position); }
 
   // `peer` answers writes too, and all that it answered before `through` are known here.
-  void Covered(std::uint64_t peer, TimePoint through) { unknown_writes_.SetReplicatedThrough(peer, through); }
+  void SetReplicatedThrough(std::uint64_t peer, TimePoint through) {
+    unknown_writes_.SetReplicatedThrough(peer, through);
+  }
   // `peer` has stopped answering writes.
-  void Uncount(std::uint64_t peer) { unknown_writes_.RemovePeer(peer); }
+  void RemovePeer(std::uint64_t peer) { unknown_writes_.RemovePeer(peer); }
   // Writes that `peer` answered in (after, through] are not known, and may never be.
-  void AddGap(std::uint64_t peer, TimePoint after, TimePoint through) {
+  void AddUnknownWriteInterval(std::uint64_t peer, TimePoint after, TimePoint through) {
     unknown_writes_.AddInterval(peer, {after, through});
   }
   // All writes in the intervals of `peer` have become known.
-  void CloseGaps(std::uint64_t peer) { unknown_writes_.RemoveIntervals(peer); }
+  void RemoveUnknownWriteIntervals(std::uint64_t peer) { unknown_writes_.RemoveIntervals(peer); }
   // Up to when the writes of all other instances are known. Absent if there are none.
-  std::optional<TimePoint> CoveredUpTo() const { return unknown_writes_.ReplicatedThrough(); }
+  std::optional<TimePoint> ReplicatedThrough() const { return unknown_writes_.ReplicatedThrough(); }
 
   // Whether a session read that arrived at `arrived` benefits from waiting until the writes of other
   // instances are known. Where sessions have leases, requests the lease.
@@ -132,7 +134,7 @@
   // Whether a delayed read has nothing more to wait for.
   bool IsDelayOver(const RequestEvent& event) const;
   // From now on sessions have leases. Not owned; null ends that.
-  void SetHolding(SessionLeases* leases) { leases_ = leases; }
+  void SetSessionLeases(SessionLeases* leases) { leases_ = leases; }
 
   const SessionWatermarkTable& watermark_table() const { return watermark_table_; }
   const std::map<GroupId, PrimaryTimeline>& timelines() const { return timelines_; }
@@ -149,7 +151,7 @@
     bool write = false;
     std::optional<WriteWatermark> watermark;
     std::optional<LogPosition> required_position;
-    std::optional<LogPosition> complete_after;  // see SessionLeases
+    std::optional<LogPosition> complete_through;  // see SessionLeases
   };
 
   bool CoversAllInstances() const { return options_.scope == Scope::kEverywhere; }
--- a/src/consistency/session_watermark_table.cpp
+++ b/src/consistency/session_watermark_table.cpp
@@ -89,10 +89,10 @@
   return server_index;
 }
 
-void SessionWatermarkTable::Note(SessionKey key, const WriteWatermark& watermark) {
+void SessionWatermarkTable::Record(SessionKey key, const WriteWatermark& watermark) {
   if (conservative_position_ && watermark.position <= *conservative_position_) return;
   const std::uint32_t position = EncodePosition(watermark.position);
-  const std::uint16_t server_index = ServerIndexOf(watermark.by);
+  const std::uint16_t server_index = ServerIndexOf(watermark.server);
   Bucket& bucket = BucketOf(key);
   const auto raw_key = static_cast<std::uint64_t>(key);
   std::size_t oldest = 0;  // an empty slot counts as older than any other
@@ -144,15 +144,17 @@
         break;
       }
     }
-    if (bucket.conservative_position != 0) known.floor = DecodePosition(bucket.conservative_position);
+    if (bucket.conservative_position != 0)
+      known.conservative_position = DecodePosition(bucket.conservative_position);
   }
   if (!conservative_position_) return known;
-  known.floor = std::max(known.floor.value_or(*conservative_position_), *conservative_position_);
+  known.conservative_position =
+      std::max(known.conservative_position.value_or(*conservative_position_), *conservative_position_);
   if (known.watermark && known.watermark->position <= *conservative_position_) known.watermark.reset();
   return known;
 }
 
-void SessionWatermarkTable::RaiseFloor(LogPosition position) {
+void SessionWatermarkTable::RaiseConservativePosition(LogPosition position) {
   conservative_position_ = std::max(conservative_position_.value_or(position), position);
 }
 
--- a/src/consistency/session_watermark_table.h
+++ b/src/consistency/session_watermark_table.h
@@ -25,29 +25,31 @@
   // touched only as the table fills. Throws std::bad_alloc.
   explicit SessionWatermarkTable(std::size_t sessions);
   ~SessionWatermarkTable();
+  SessionWatermarkTable(const SessionWatermarkTable&) = delete;
+  SessionWatermarkTable& operator=(const SessionWatermarkTable&) = delete;
   SessionWatermarkTable(SessionWatermarkTable&& other) noexcept;
   SessionWatermarkTable& operator=(SessionWatermarkTable&& other) noexcept;
 
   // Keeps the newer of `watermark` and the known one. Positions are rounded up to whole milliseconds, counted
   // from the first one noted. Amortised O(1); touches at most one bucket.
-  void Note(SessionKey key, const WriteWatermark& watermark);
+  void Record(SessionKey key, const WriteWatermark& watermark);
 
   struct Known {
     // The session's newest write, if it is known.
     std::optional<WriteWatermark> watermark;
     // If `watermark` is absent, the session wrote no later than this, or not at all if this is absent too.
-    std::optional<LogPosition> floor;
+    std::optional<LogPosition> conservative_position;
   };
   Known Find(SessionKey key) const;
 
   // Calls `call(SessionKey, const WriteWatermark&)` for each watermark, in the table's order.
   template <typename Call>
   void ForEach(Call call) const {
-    for (std::size_t bucket = 0; bucket < bucket_count_; ++bucket) Visit(bucket, call);
+    for (std::size_t bucket = 0; bucket < bucket_count_; ++bucket) ForEachInBucket(bucket, call);
   }
   // The same for the bucket `index` alone, so that a caller can copy the table a part at a time.
   template <typename Call>
-  void Visit(std::size_t index, Call call) const {
+  void ForEachInBucket(std::size_t index, Call call) const {
     const Bucket& bucket = table_[index];
     for (std::size_t slot = 0; slot < kSlots; ++slot) {
       if (bucket.positions[slot] != 0) call(SessionKey(bucket.keys[slot]), WatermarkOf(bucket, slot));
@@ -55,11 +57,11 @@
   }
 
   // The newest position evicted so far. Absent if none was.
-  std::optional<LogPosition> newest_forgotten() const { return newest_evicted_; }
+  std::optional<LogPosition> newest_evicted() const { return newest_evicted_; }
   // Any session whose own watermark is not known may have written up to `position`.
-  void RaiseFloor(LogPosition position);
+  void RaiseConservativePosition(LogPosition position);
 
-  std::size_t buckets() const { return bucket_count_; }
+  std::size_t bucket_count() const { return bucket_count_; }
   // Watermarks held.
   std::size_t size() const { return size_; }
   // Watermarks evicted so far.
--- a/src/consistency/write_watermark.h
+++ b/src/consistency/write_watermark.h
@@ -23,7 +23,7 @@
   LogPosition position{};
   // The data server that answered as primary. Absent if unknown; it is then treated as the server that would
   // be least favourable to the session.
-  std::optional<ServerId> by{};
+  std::optional<ServerId> server{};
   bool operator==(const WriteWatermark&) const = default;
 };
 
--- a/src/durability/record_format.cpp
+++ b/src/durability/record_format.cpp
@@ -86,7 +86,7 @@
 
 StoredRecord ToStored(const WatermarkRecord& record) {
   StoredRecord stored = Store(RecordType::kWatermark, record.watermark.position);
-  stored.server = record.watermark.by ? static_cast<std::uint32_t>(*record.watermark.by) : 0;
+  stored.server = record.watermark.server ? static_cast<std::uint32_t>(*record.watermark.server) : 0;
   stored.subject = static_cast<std::uint64_t>(record.session);
   return stored;
 }
--- a/src/durability/recovery.cpp
+++ b/src/durability/recovery.cpp
@@ -95,12 +95,13 @@
   explicit RecordApplier(consistency::SessionConsistencyGuard& guard) : guard_(guard) {}
 
   void operator()(const WatermarkRecord& record) const {
-    guard_.Learn(std::nullopt, record.session, record.watermark);
+    guard_.LearnWatermark(std::nullopt, record.session, record.watermark);
   }
   void operator()(const TimelineRecord& record) const {
-    guard_.LearnReign(record.group, record.primary, record.since, record.replicated_until, record.confirmed);
+    guard_.LearnTimeline(record.group, record.primary, record.since, record.replicated_until,
+                         record.confirmed);
   }
-  void operator()(const ConservativePositionRecord& record) const { guard_.LearnForgotten(record.position); }
+  void operator()(const ConservativePositionRecord& record) const { guard_.LearnEviction(record.position); }
   void operator()(const SnapshotEndRecord&) const {}
   void operator()(const CompleteThroughRecord&) const {}
   void operator()(const CleanShutdownRecord&) const {}
--- a/src/durability/snapshot_encoder.cpp
+++ b/src/durability/snapshot_encoder.cpp
@@ -34,16 +34,17 @@
 
 std::string SnapshotEncoder::EncodeNextPart(TimePoint now) {
   const consistency::SessionWatermarkTable& table = guard_.watermark_table();
-  const std::size_t end = std::min(table.buckets(), *next_bucket_ + kBucketsPerPart);
+  const std::size_t end = std::min(table.bucket_count(), *next_bucket_ + kBucketsPerPart);
   std::string part;
   for (std::size_t bucket = *next_bucket_; bucket < end; ++bucket) {
-    table.Visit(bucket, [&](consistency::SessionKey session, const consistency::WriteWatermark& watermark) {
-      if (watermark.position + guard_.write_retention() < now) return;
-      encoder_.Append(part, WatermarkRecord{session, watermark});
-    });
+    table.ForEachInBucket(bucket,
+                          [&](consistency::SessionKey session, const consistency::WriteWatermark& watermark) {
+                            if (watermark.position + guard_.write_retention() < now) return;
+                            encoder_.Append(part, WatermarkRecord{session, watermark});
+                          });
   }
   next_bucket_ = end;
-  if (end == table.buckets()) next_bucket_.reset();
+  if (end == table.bucket_count()) next_bucket_.reset();
   return part;
 }
 
--- a/src/durability/write_ahead_log.cpp
+++ b/src/durability/write_ahead_log.cpp
@@ -74,8 +74,8 @@
   if (!writing_) return;
   for (const auto& [group, timeline] : guard_.timelines()) {
     if (!timeline.primary()) continue;
-    Append(
-        TimelineRecord{group, *timeline.primary(), timeline.since(), timeline.held(), timeline.confirmed()});
+    Append(TimelineRecord{group, *timeline.primary(), timeline.since(), timeline.replicated_through(),
+                          timeline.confirmed()});
   }
 }
 
@@ -99,7 +99,7 @@
   std::string header = encoder_.BeginFile(loop_.Now());
   writer_.Submit({WriteJob::Kind::kCreateFile, std::move(header), encoder_.generation()});
   writing_ = true;
-  if (const auto position = guard_.watermark_table().newest_forgotten()) {
+  if (const auto position = guard_.watermark_table().newest_evicted()) {
     Append(ConservativePositionRecord{*position});
   }
   AppendTimelines();
--- a/src/lease/session_lease_client.cpp
+++ b/src/lease/session_lease_client.cpp
@@ -223,7 +223,7 @@
   LeaseMessage release{LeaseMessage::Kind::kRelease, recall.view, recall.key, recall.group};
   release.serial = recall.serial;
   release.watermark = known.watermark;
-  if (!known.watermark) release.forgotten = known.floor;
+  if (!known.watermark) release.forgotten = known.conservative_position;
   Send(now, {from, release, 1, MayWait(now)}, out);
 }
 
--- a/src/lease/session_lease_client.h
+++ b/src/lease/session_lease_client.h
@@ -10,6 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
+#include "consistency/session_leases.h"
+#include "consistency/session_watermark_table.h"
 #include "lease/bandwidth_budget.h"
 #include "lease/lease_message.h"
 #include "lease/session_lease_manager.h"
@@ -79,7 +81,7 @@
   std::optional<LogPosition> Exact(TimePoint now, consistency::SessionKey key) const;
   // The session is to be held, for a write or for a read; asks its owner unless that has been asked. Where it
   // is held, renews a lease that comes to its end. Whether an answer is expected that may make it so.
-  enum class Use { kRead, kWrite };
+  using Use = consistency::LeaseUse;
   bool Want(TimePoint now, GroupId group, consistency::SessionKey key, Use use, LeaseOutbox& out);
   // What this instance has sent or received, of whichever kind, heads included.
   void Spent(TimePoint now, std::size_t bytes) { budget_.Spend(now, bytes); }
--- a/src/replication/lease_transport.cpp
+++ b/src/replication/lease_transport.cpp
@@ -45,7 +45,7 @@
 
 void LeaseTransport::GuardWatermarks::Learn(consistency::SessionKey key,
                                             const consistency::WriteWatermark& watermark) {
-  consistency_guard_.Learn(std::nullopt, key, watermark);
+  consistency_guard_.LearnWatermark(std::nullopt, key, watermark);
 }
 
 LeaseTransport::LeaseTransport(lease::SessionLeaseClient::Options options,
--- a/src/replication/packet_codec.cpp
+++ b/src/replication/packet_codec.cpp
@@ -57,7 +57,7 @@
                      proto::WriteWatermark& encoded) {
   encoded.set_key(static_cast<std::uint64_t>(key));
   encoded.set_position_us(MicrosecondsOf(watermark.position));
-  encoded.set_by(EncodeServer(watermark.by));
+  encoded.set_by(EncodeServer(watermark.server));
 }
 
 void EncodeTimeline(GroupId group, const consistency::PrimaryTimeline& timeline,
@@ -65,16 +65,16 @@
   encoded.set_group(static_cast<std::int64_t>(group));
   encoded.set_primary(static_cast<std::uint32_t>(*timeline.primary()));
   encoded.set_since_us(MicrosecondsOf(timeline.since()));
-  encoded.set_held_us(MicrosecondsOf(timeline.held()));
+  encoded.set_held_us(MicrosecondsOf(timeline.replicated_through()));
   encoded.set_confirmed_us(MicrosecondsOf(timeline.confirmed()));
 }
 
 void LearnTimelines(const proto::Packet& packet, consistency::SessionConsistencyGuard& consistency_guard) {
   for (const proto::TimelineRecord& timeline : packet.timelines()) {
-    consistency_guard.LearnReign(GroupId(timeline.group()), ServerId(timeline.primary()),
-                                 PositionFromMicroseconds(timeline.since_us()),
-                                 PositionFromMicroseconds(timeline.held_us()),
-                                 PositionFromMicroseconds(timeline.confirmed_us()));
+    consistency_guard.LearnTimeline(GroupId(timeline.group()), ServerId(timeline.primary()),
+                                    PositionFromMicroseconds(timeline.since_us()),
+                                    PositionFromMicroseconds(timeline.held_us()),
+                                    PositionFromMicroseconds(timeline.confirmed_us()));
   }
 }
 
@@ -102,7 +102,7 @@
   }
   if (message.watermark) {
     encoded.set_mark_ms(MillisecondsRoundedUp(message.watermark->position));
-    encoded.set_mark_by(EncodeServer(message.watermark->by));
+    encoded.set_mark_by(EncodeServer(message.watermark->server));
   }
   if (message.forgotten) encoded.set_forgotten_ms(MillisecondsRoundedUp(*message.forgotten));
 }
--- a/src/replication/peer_links.cpp
+++ b/src/replication/peer_links.cpp
@@ -23,7 +23,7 @@
     : swim_(swim), consistency_guard_(consistency_guard), lease_mode_(lease_mode), rotation_(seed) {
   for (const std::string& address : swim_.unheard_seeds()) {
     placeholders_[address] = PeerIdOf("address " + address);
-    consistency_guard_.Covered(placeholders_[address], TimePoint{});
+    consistency_guard_.SetReplicatedThrough(placeholders_[address], TimePoint{});
   }
 }
 
@@ -43,7 +43,7 @@
   const std::set<std::string> unheard(seeds.begin(), seeds.end());
   std::erase_if(placeholders_, [&](const auto& placeholder) {
     if (unheard.contains(placeholder.first)) return false;
-    consistency_guard_.Uncount(placeholder.second);
+    consistency_guard_.RemovePeer(placeholder.second);
     return true;
   });
 }
@@ -73,7 +73,7 @@
   watermark_receivers_.erase(name);
   const auto link = links_.find(name);
   if (link == links_.end()) return;
-  consistency_guard_.Uncount(PeerIdOf(name));
+  consistency_guard_.RemovePeer(PeerIdOf(name));
   Log("peer forgotten: dead for too long, peer=" + name);
   links_.erase(link);
 }
@@ -83,8 +83,9 @@
   if (link == links_.end() || link->second.incarnation_id != member.incarnation_id()) return;
   // It answered its last writes before it announced that it leaves, and their watermarks may have been lost.
   const TimePoint replicated_through = link->second.watermarks.replicated_through;
-  if (replicated_through < now) consistency_guard_.AddGap(PeerIdOf(name), replicated_through, now);
-  consistency_guard_.Uncount(PeerIdOf(name));
+  if (replicated_through < now)
+    consistency_guard_.AddUnknownWriteInterval(PeerIdOf(name), replicated_through, now);
+  consistency_guard_.RemovePeer(PeerIdOf(name));
   links_.erase(link);
   watermark_receivers_.erase(name);
   Log("peer left: peer=" + name);
@@ -95,10 +96,11 @@
   link.dead = member.state() == proto::Member::DEAD;
   link.incarnation_id = member.incarnation_id();
   link.followed_since = now;
-  consistency_guard_.Covered(PeerIdOf(name), TimePoint{});
+  consistency_guard_.SetReplicatedThrough(PeerIdOf(name), TimePoint{});
   // Its earlier incarnations may have answered writes that it does not know any more.
   const TimePoint started = PositionFromMicroseconds(static_cast<std::int64_t>(member.started_us()));
-  consistency_guard_.AddGap(PeerIdOf(name), TimePoint{}, std::min(now, started + kMaxClockSkew));
+  consistency_guard_.AddUnknownWriteInterval(PeerIdOf(name), TimePoint{},
+                                             std::min(now, started + kMaxClockSkew));
   Log("peer added: its writes count from now on, peer=" + name);
 }
 
@@ -111,7 +113,7 @@
   const auto peer = swim_.peers().find(name);
   if (peer == swim_.peers().end() || peer->second.member.incarnation_id() != sender.incarnation_id()) {
     // An older incarnation that still runs is a second instance of the name: nobody knows what it answers.
-    consistency_guard_.AddGap(DuplicateIdOf(name), link.followed_since, now);
+    consistency_guard_.AddUnknownWriteInterval(DuplicateIdOf(name), link.followed_since, now);
     name_shared_until_ = now + swim_.proof() * 2;
     link.followed_since = now;
     return nullptr;
@@ -130,16 +132,18 @@
   link = PeerLink{};
   link.incarnation_id = incarnation_id;
   link.followed_since = now;
-  consistency_guard_.AddGap(PeerIdOf(name), replicated_through, now);
-  consistency_guard_.Uncount(PeerIdOf(name));
-  consistency_guard_.Covered(PeerIdOf(name), TimePoint{});
+  consistency_guard_.AddUnknownWriteInterval(PeerIdOf(name), replicated_through, now);
+  consistency_guard_.RemovePeer(PeerIdOf(name));
+  consistency_guard_.SetReplicatedThrough(PeerIdOf(name), TimePoint{});
 }
 
 void PeerLinks::MarkReplicated(const std::string& name, const PeerLink& link) {
-  consistency_guard_.Covered(PeerIdOf(name), link.watermarks.replicated_through);
+  consistency_guard_.SetReplicatedThrough(PeerIdOf(name), link.watermarks.replicated_through);
 }
 
-void PeerLinks::MarkRecovered(const std::string& name) { consistency_guard_.CloseGaps(PeerIdOf(name)); }
+void PeerLinks::MarkRecovered(const std::string& name) {
+  consistency_guard_.RemoveUnknownWriteIntervals(PeerIdOf(name));
+}
 
 const proto::Member* PeerLinks::WatermarkReceiver(const std::string& name) const {
   const auto peer = swim_.peers().find(name);
--- a/src/replication/snapshot_transfer.cpp
+++ b/src/replication/snapshot_transfer.cpp
@@ -25,22 +25,22 @@
       log_("snapshot transfer started: peer lacks watermarks that are no longer retained, peer=" + name);
   }
   std::uint64_t bucket = progress.next_outgoing_bucket;
-  for (int sent = 0; sent < kChunksPerFlush && bucket < table.buckets(); ++sent) {
+  for (int sent = 0; sent < kChunksPerFlush && bucket < table.bucket_count(); ++sent) {
     proto::Packet packet;
     proto::Chunk& chunk = *packet.mutable_chunk();
     chunk.set_sync(progress.outgoing_id);
     chunk.set_from(bucket);
-    while (bucket < table.buckets() &&
+    while (bucket < table.bucket_count() &&
            static_cast<std::size_t>(chunk.watermarks_size()) < kWatermarksPerPacket) {
-      table.Visit(bucket++,
-                  [&chunk](consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
-                    EncodeWatermark(key, watermark, *chunk.add_watermarks());
-                  });
+      table.ForEachInBucket(
+          bucket++, [&chunk](consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
+            EncodeWatermark(key, watermark, *chunk.add_watermarks());
+          });
     }
     chunk.set_to(bucket);
-    chunk.set_whole(table.buckets());
+    chunk.set_whole(table.bucket_count());
     chunk.set_upto(progress.outgoing_sequence);
-    if (table.newest_forgotten()) chunk.set_forgotten_us(MicrosecondsOf(*table.newest_forgotten()));
+    if (table.newest_evicted()) chunk.set_forgotten_us(MicrosecondsOf(*table.newest_evicted()));
     sender_.Send(address, std::move(packet), outbox);
   }
 }
@@ -57,14 +57,14 @@
   if (chunk.from() == progress.next_incoming_bucket && chunk.to() > chunk.from()) {
     for (const proto::WriteWatermark& watermark : chunk.watermarks()) {
       ++counts_.watermarks_received;
-      consistency_guard_.Learn(std::nullopt, consistency::SessionKey(watermark.key()),
-                               WatermarkFrom(watermark));
+      consistency_guard_.LearnWatermark(std::nullopt, consistency::SessionKey(watermark.key()),
+                                        WatermarkFrom(watermark));
     }
     progress.next_incoming_bucket = chunk.to();
     if (chunk.to() >= chunk.whole()) {
       received_through = chunk.upto();
       if (chunk.forgotten_us() > 0) {
-        consistency_guard_.LearnForgotten(PositionFromMicroseconds(chunk.forgotten_us()));
+        consistency_guard_.LearnEviction(PositionFromMicroseconds(chunk.forgotten_us()));
       }
     }
   }
@@ -79,7 +79,8 @@
                                                           SnapshotProgress& progress) const {
   if (ack.sync() != progress.outgoing_id) return std::nullopt;
   progress.next_outgoing_bucket = std::max(progress.next_outgoing_bucket, ack.next());
-  if (progress.next_outgoing_bucket < consistency_guard_.watermark_table().buckets()) return std::nullopt;
+  if (progress.next_outgoing_bucket < consistency_guard_.watermark_table().bucket_count())
+    return std::nullopt;
   return progress.outgoing_sequence;
 }
 
--- a/src/replication/timeline_gossip.cpp
+++ b/src/replication/timeline_gossip.cpp
@@ -22,11 +22,11 @@
 }  // namespace
 
 bool TimelineGossip::HasNews(const TimelineProgress& progress) const {
-  return progress.reported_losses != consistency_guard_.counts().losses;
+  return progress.reported_losses != consistency_guard_.counts().possible_losses;
 }
 
 void TimelineGossip::AppendTo(TimePoint now, TimelineProgress& progress, proto::Packet& packet) const {
-  progress.reported_losses = consistency_guard_.counts().losses;
+  progress.reported_losses = consistency_guard_.counts().possible_losses;
   const std::map<GroupId, consistency::PrimaryTimeline>& timelines = consistency_guard_.timelines();
   for (const auto& [group, timeline] : timelines) {
     if (IsFull(packet)) return;
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -78,7 +78,7 @@
       complaints_(loop_) {}
 
 UdpReplicationService::~UdpReplicationService() {
-  if (engine_ != nullptr && engine_->lease_client() != nullptr) consistency_guard_.SetHolding(nullptr);
+  if (engine_ != nullptr && engine_->lease_client() != nullptr) consistency_guard_.SetSessionLeases(nullptr);
   if (socket_ != nullptr) loop_.poller().Remove(g_socket_get_fd(socket_.get()));
 }
 
@@ -117,7 +117,7 @@
     lease::SessionLeaseClient::Options& directory = options.leases.emplace();
     directory.owner.recall = consistency_guard_.write_retention();
     directory.owner.entries = directory.holds =
-        std::max(kLeastEntries, consistency_guard_.watermark_table().buckets() * 4);
+        std::max(kLeastEntries, consistency_guard_.watermark_table().bucket_count() * 4);
     if (setup_.owner) directory.owner.entries = std::max(directory.owner.entries, kOwnersEntries);
     directory.reads_per_s = setup_.asks_per_s;
     directory.bytes_per_s = setup_.bytes_per_s;
@@ -140,7 +140,7 @@
       recovered_ ? ReplicationEngine::Recovery::kComplete : ReplicationEngine::Recovery::kIncomplete,
       consistency_guard_, incarnation_id);
   engine_->OnLog([](const std::string& text) { spdlog::info("peers: {}", text); });
-  if (engine_->lease_client() != nullptr) consistency_guard_.SetHolding(this);
+  if (engine_->lease_client() != nullptr) consistency_guard_.SetSessionLeases(this);
   loop_.poller().Add(g_socket_get_fd(socket_.get()), EPOLLIN, *this);
   // Not the pass, or the moment at which the loop was made: reading the state may have taken seconds since,
   // and the others would be given so much less to count this instance.
@@ -267,22 +267,21 @@
   return json.dump();
 }
 
-std::optional<LogPosition> UdpReplicationService::Exact(consistency::SessionKey key) {
+std::optional<LogPosition> UdpReplicationService::CompleteThrough(consistency::SessionKey key) {
   return engine_->CompleteThrough(loop_.Precise(), key);
 }
 
-bool UdpReplicationService::Want(GroupId group, consistency::SessionKey key, bool write) {
-  using Use = lease::SessionLeaseClient::Use;
+bool UdpReplicationService::AcquireLease(GroupId group, consistency::SessionKey key,
+                                         consistency::LeaseUse use) {
   const Timed timed(*this);
-  const bool expected =
-      engine_->AcquireLease(loop_.Precise(), group, key, write ? Use::kWrite : Use::kRead, out_);
+  const bool expected = engine_->AcquireLease(loop_.Precise(), group, key, use, out_);
   Flush();
   return expected;
 }
 
 bool UdpReplicationService::WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) {
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
-  Want(group, key, true);
+  AcquireLease(group, key, consistency::LeaseUse::kWrite);
   // Its owner may be this instance itself.
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
   unheld_.push_back({group, key, std::move(call), loop_.Precise() + kMostWait});
@@ -298,7 +297,7 @@
       one.call();
       continue;
     }
-    Want(one.group, one.key, true);
+    AcquireLease(one.group, one.key, consistency::LeaseUse::kWrite);
     unheld_.push_back(std::move(one));
   }
 }
--- a/src/replication/udp_replication_service.h
+++ b/src/replication/udp_replication_service.h
@@ -60,8 +60,8 @@
     TimePoint until{};
   };
 
-  std::optional<LogPosition> Exact(consistency::SessionKey key) override;
-  bool Want(GroupId group, consistency::SessionKey key, bool write) override;
+  std::optional<LogPosition> CompleteThrough(consistency::SessionKey key) override;
+  bool AcquireLease(GroupId group, consistency::SessionKey key, consistency::LeaseUse use) override;
   // Lets go the answers that may be given now, and goes on asking for the others.
   void AnswerHeld();
   // What came may let reads and answers go on.
--- a/src/replication/watermark_replicator.cpp
+++ b/src/replication/watermark_replicator.cpp
@@ -165,8 +165,8 @@
     ++progress.received;
     progress.owes_ack = true;
     ++counts_.watermarks_received;
-    consistency_guard_.Learn(GroupId(watermark.group()), consistency::SessionKey(watermark.key()),
-                             WatermarkFrom(watermark));
+    consistency_guard_.LearnWatermark(GroupId(watermark.group()), consistency::SessionKey(watermark.key()),
+                                      WatermarkFrom(watermark));
   }
 }
 
--- a/tests/consistency/primary_timeline_test.cpp
+++ b/tests/consistency/primary_timeline_test.cpp
@@ -41,7 +41,7 @@
   timeline.HandleReplicaPosition(kServerB, At(80));
   timeline.HandleReplicaPosition(kServerB, At(5000));  // on the timeline of a successor that was not seen yet
   timeline.HandlePrimaryPosition(kServerB, At(6000));
-  CHECK(timeline.held() == At(80));
+  CHECK(timeline.replicated_through() == At(80));
 }
 
 TEST_CASE("primary timeline: a primary that was a replica in between may have lost its own earlier writes") {
@@ -59,10 +59,10 @@
   timeline.HandlePrimaryPosition(kServerA, At(100));
   timeline.HandlePrimaryPosition(kServerB, At(5000));
   CHECK(timeline.MayBeLost(WriteWatermark{At(80), kServerA}));
-  timeline.Learn(kServerB, At(3000), At(95), At(5000));
+  timeline.Merge(kServerB, At(3000), At(95), At(5000));
   CHECK_FALSE(timeline.MayBeLost(WriteWatermark{At(80), kServerA}));
   CHECK(timeline.MayBeLost(WriteWatermark{At(96), kServerA}));
-  timeline.Learn(kServerC, At(8000), At(7000), At(8200));
+  timeline.Merge(kServerC, At(8000), At(7000), At(8200));
   CHECK(timeline.primary() == kServerC);
   CHECK(timeline.MayBeLost(WriteWatermark{At(7500), kServerB}));
 }
--- a/tests/consistency/session_consistency_guard_test.cpp
+++ b/tests/consistency/session_consistency_guard_test.cpp
@@ -93,7 +93,7 @@
 TEST_CASE("guard: after a start without recovery, any session may have written until the start") {
   GuardFixture fixture;
   fixture.now = At(10'000);
-  fixture.guard.LearnReign(kGroup, kServerA, At(-60'000), At(-60'000), At(9'000));
+  fixture.guard.LearnTimeline(kGroup, kServerA, At(-60'000), At(-60'000), At(9'000));
   fixture.guard.HandleStart(fixture.now, std::nullopt);
   CHECK(*fixture.RequiredPosition("s") == At(10'000));
   CHECK(fixture.rejected.empty());
@@ -145,7 +145,7 @@
   fixture.Write("s", kServerA, At(130));
   fixture.now = At(3000);
   const RequestId read = fixture.Request(kReadClass, "s").id;
-  fixture.guard.LearnReign(kGroup, kServerB, At(2900), At(100), At(2950));
+  fixture.guard.LearnTimeline(kGroup, kServerB, At(2900), At(100), At(2950));
   for (const RejectedRead& read : fixture.guard.DrainRejectedReads()) fixture.rejected.push_back(read);
   REQUIRE(fixture.rejected.size() == 1);
   CHECK(fixture.rejected[0].id == read);
@@ -205,16 +205,17 @@
   GuardFixture fixture;
   fixture.Write("s", kServerA, At(10));
   fixture.now = At(100);
-  fixture.guard.Covered(7, At(90));
+  fixture.guard.SetReplicatedThrough(7, At(90));
   RequestEvent request;
   request.cls = kReadClass;
   CHECK(fixture.guard.ShouldDelayRead(request, fixture.now));
   CHECK(*fixture.RequiredPosition("x") == At(100));
-  fixture.guard.Covered(7, At(100));
+  fixture.guard.SetReplicatedThrough(7, At(100));
   CHECK_FALSE(fixture.RequiredPosition("x"));
-  fixture.guard.Learn(kGroup, SessionKeyOf(kGroup, "x"), {At(95), kServerA});
+  fixture.guard.LearnWatermark(kGroup, SessionKeyOf(kGroup, "x"), {At(95), kServerA});
   CHECK(*fixture.RequiredPosition("x") == At(95));
-  fixture.guard.Learn(kGroup, SessionKeyOf(kGroup, "y"), {At(120), kServerB});  // reveals a new primary
+  fixture.guard.LearnWatermark(kGroup, SessionKeyOf(kGroup, "y"),
+                               {At(120), kServerB});  // reveals a new primary
   fixture.Request(kReadClass, "x");
   CHECK(fixture.rejected.back().reason == RejectionReason::kLostWrite);
 }
--- a/tests/durability/durability_test.cpp
+++ b/tests/durability/durability_test.cpp
@@ -199,7 +199,7 @@
   }
   void Write(std::uint64_t key, LogPosition position) {
     const consistency::WriteWatermark watermark{position, ServerId(1)};
-    consistency_guard.Learn(std::nullopt, KeyNumber(key), watermark);
+    consistency_guard.LearnWatermark(std::nullopt, KeyNumber(key), watermark);
     log.AppendWatermark(KeyNumber(key), watermark);
   }
   void Until(const std::function<bool()>& condition) {
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -94,7 +94,7 @@
     return watermark_table.Find(key);
   }
   void Learn(consistency::SessionKey key, const consistency::WriteWatermark& watermark) override {
-    watermark_table.Note(key, watermark);
+    watermark_table.Record(key, watermark);
   }
 
   void See(TimePoint now) {
@@ -331,7 +331,7 @@
         // Its commit lies a little before its end came here. Data servers' clocks show the true time.
         write.watermark =
             consistency::WriteWatermark{now - Duration(static_cast<std::int64_t>(Draw(1000))), ServerId(7)};
-        node.watermark_table.Note(SessionKeyOf(write.key), *write.watermark);
+        node.watermark_table.Record(SessionKeyOf(write.key), *write.watermark);
       }
       node.See(local);
       const bool may = node.directory->MayAnswer(local, SessionKeyOf(write.key));
@@ -385,7 +385,8 @@
     // The floor is by the reader's clock, marks are by the data servers'.
     LogPosition target = clocks[read.at].True(floor);
     if (known.watermark) target = std::max(target, known.watermark->position);
-    if (!known.watermark && known.floor) target = std::max(target, *known.floor);
+    if (!known.watermark && known.conservative_position)
+      target = std::max(target, *known.conservative_position);
     for (const auto& [by, key, position, at] : answered) {
       if (key != read.key || by == read.at || now - at > kRevoke || position <= target) continue;
       ++stale;
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -57,8 +57,8 @@
 
 struct Node final : consistency::SessionLeases {
   Node(Fleet& fleet, std::size_t number, std::uint64_t incarnation_id, Way way);
-  std::optional<LogPosition> Exact(consistency::SessionKey key) override;
-  bool Want(GroupId group, consistency::SessionKey key, bool write) override;
+  std::optional<LogPosition> CompleteThrough(consistency::SessionKey key) override;
+  bool AcquireLease(GroupId group, consistency::SessionKey key, consistency::LeaseUse use) override;
 
   Fleet& fleet;
   std::size_t number;
@@ -186,7 +186,7 @@
         answered[write.session].push_back({*write.position, now});
         waited_ms.push_back(1e-3 * static_cast<double>((now - write.done).count()));
       } else if (now - write.begun < kSecond * 5) {
-        node.Want(kGroup, key, true);
+        node.AcquireLease(kGroup, key, consistency::LeaseUse::kWrite);
         still.push_back(write);
       } else {
         ++writes_failed;
@@ -391,22 +391,20 @@
   for (std::size_t i = 0; i < fleet.size; ++i) seeds.push_back("a" + std::to_string(i));
   engine = std::make_unique<ReplicationEngine>(options, self, seeds, ReplicationEngine::Recovery::kIncomplete,
                                                consistency_guard, incarnation_id);
-  if (way != Way::kBroadcast) consistency_guard.SetHolding(this);
+  if (way != Way::kBroadcast) consistency_guard.SetSessionLeases(this);
   consistency_guard.OnWrite(
       [this](GroupId group, consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
         engine->RecordWrite(group, key, watermark);
       });
 }
 
-std::optional<LogPosition> Node::Exact(consistency::SessionKey key) {
+std::optional<LogPosition> Node::CompleteThrough(consistency::SessionKey key) {
   return engine->CompleteThrough(fleet.now, key);
 }
 
-bool Node::Want(GroupId group, consistency::SessionKey key, bool write) {
+bool Node::AcquireLease(GroupId group, consistency::SessionKey key, consistency::LeaseUse use) {
   Outbox outs;
-  const bool expected = engine->AcquireLease(
-      fleet.now, group, key,
-      write ? lease::SessionLeaseClient::Use::kWrite : lease::SessionLeaseClient::Use::kRead, outs);
+  const bool expected = engine->AcquireLease(fleet.now, group, key, use, outs);
   fleet.Send(number, outs);
   return expected;
 }
@@ -805,7 +803,7 @@
     CHECK(fleet.reads_done > 100);
     if (at + 1 < fleet.size) {
       // The old ones know what the new ones answered, as before.
-      const auto covered = fleet.nodes[fleet.size - 1]->consistency_guard.CoveredUpTo();
+      const auto covered = fleet.nodes[fleet.size - 1]->consistency_guard.ReplicatedThrough();
       REQUIRE(covered);
       CHECK(fleet.now - *covered < kSecond);
     }
@@ -870,7 +868,7 @@
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   ReplicationEngine& engine = *fleet.nodes[0]->engine;
   const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, "s1");
-  fleet.nodes[0]->Want(kGroup, key, true);
+  fleet.nodes[0]->AcquireLease(kGroup, key, consistency::LeaseUse::kWrite);
   fleet.Pass(kSecond);
   REQUIRE(engine.MayAnswerWrite(fleet.now, key));
   proto::Packet packet;
@@ -957,11 +955,11 @@
     // Written in one group here, and met in the other there.
     Node& node = *fleet.nodes[at];
     Node& other = *fleet.nodes[1 - at];
-    node.consistency_guard.Learn(kGroup, key, {fleet.now, kPrimary});
-    node.Want(kGroup, key, true);
+    node.consistency_guard.LearnWatermark(kGroup, key, {fleet.now, kPrimary});
+    node.AcquireLease(kGroup, key, consistency::LeaseUse::kWrite);
     fleet.Pass(kSecond);
     REQUIRE(node.engine->MayAnswerWrite(fleet.now, key));
-    other.Want(kOther, key, true);
+    other.AcquireLease(kOther, key, consistency::LeaseUse::kWrite);
     fleet.Pass(kSecond);
     REQUIRE(other.engine->MayAnswerWrite(fleet.now, key));
     CHECK_FALSE(node.engine->MayAnswerWrite(fleet.now, key));
@@ -992,7 +990,7 @@
   constexpr int kGroups = 243;
   const auto know = [&](LogPosition confirmed) {
     for (int group = 1; group <= kGroups; ++group) {
-      fleet.nodes[0]->consistency_guard.LearnReign(GroupId(group), kPrimary, since, since, confirmed);
+      fleet.nodes[0]->consistency_guard.LearnTimeline(GroupId(group), kPrimary, since, since, confirmed);
     }
   };
   const auto known = [&](LogPosition confirmed) {
@@ -1013,7 +1011,7 @@
   fleet.Pass(kSecond * 8);
   CHECK(known(later) == kGroups);
   // A new reign goes before the round.
-  fleet.nodes[0]->consistency_guard.LearnReign(GroupId(200), ServerId(8), fleet.now, fleet.now, fleet.now);
+  fleet.nodes[0]->consistency_guard.LearnTimeline(GroupId(200), ServerId(8), fleet.now, fleet.now, fleet.now);
   fleet.Pass(kMs * 200);
   CHECK(fleet.nodes[1]->consistency_guard.timelines().at(GroupId(200)).primary() == ServerId(8));
 }
@@ -1068,9 +1066,9 @@
     "keeper: what is known exactly has neither a gap nor a doubt after its floor, and the rest has as "
     "before") {
   struct Known final : consistency::SessionLeases {
-    std::optional<LogPosition> Exact(consistency::SessionKey) override { return exact; }
-    bool Want(GroupId, consistency::SessionKey, bool write) override {
-      ++(write ? writes : reads);
+    std::optional<LogPosition> CompleteThrough(consistency::SessionKey) override { return exact; }
+    bool AcquireLease(GroupId, consistency::SessionKey, consistency::LeaseUse use) override {
+      ++(use == consistency::LeaseUse::kWrite ? writes : reads);
       return true;
     }
     std::optional<LogPosition> exact;
@@ -1080,7 +1078,7 @@
   consistency::Options options = Everywhere();
   options.reject_uncertain_reads = true;
   consistency::SessionConsistencyGuard consistency_guard(TwoClasses(), options);
-  consistency_guard.SetHolding(&known);
+  consistency_guard.SetSessionLeases(&known);
   TimePoint now{Duration(1'700'000'000'000'000)};
   ListEvent list{ListKind::kPersisted, {}};
   for (const ServerId member : {kPrimary, kSuccessor})
@@ -1088,9 +1086,9 @@
   Event event = std::move(list);
   consistency_guard.PrepareEvent(now, event);
   // A primary of long ago, and its successor two seconds ago, which held the log up to three seconds ago.
-  consistency_guard.LearnReign(kGroup, kPrimary, now - kSecond * 3600, now - kSecond * 3600,
-                               now - kSecond * 3);
-  consistency_guard.LearnReign(kGroup, kSuccessor, now - kSecond * 2, now - kSecond * 3, now);
+  consistency_guard.LearnTimeline(kGroup, kPrimary, now - kSecond * 3600, now - kSecond * 3600,
+                                  now - kSecond * 3);
+  consistency_guard.LearnTimeline(kGroup, kSuccessor, now - kSecond * 2, now - kSecond * 3, now);
   consistency_guard.DrainRejectedReads();
   std::uint32_t last = 0;
   const auto read = [&](const char* session) {
@@ -1120,11 +1118,12 @@
   CHECK(consistency_guard.DrainRejectedReads().size() == 1);
   // Its own mark in the loss is in doubt as ever; one before it is served by itself.
   known.exact = now - kSecond * 20;
-  consistency_guard.Learn(kGroup, consistency::SessionKeyOf(kGroup, "lost"),
-                          {now - kSecond * 2 - kMs * 500, kPrimary});
+  consistency_guard.LearnWatermark(kGroup, consistency::SessionKeyOf(kGroup, "lost"),
+                                   {now - kSecond * 2 - kMs * 500, kPrimary});
   read("lost");
   CHECK(consistency_guard.DrainRejectedReads().size() == 1);
-  consistency_guard.Learn(kGroup, consistency::SessionKeyOf(kGroup, "kept"), {now - kSecond * 4, kPrimary});
+  consistency_guard.LearnWatermark(kGroup, consistency::SessionKeyOf(kGroup, "kept"),
+                                   {now - kSecond * 4, kPrimary});
   CHECK(read("kept") == now - kSecond * 4);
   CHECK(consistency_guard.DrainRejectedReads().empty());
   CHECK(known.reads == 2);
@@ -1212,7 +1211,7 @@
         // The group's reign began long ago, as it mostly has.
         for (const auto& node : fleet.nodes) {
           const LogPosition since = fleet.now - kSecond * 3600;
-          node->consistency_guard.LearnReign(kGroup, kPrimary, since, since, fleet.now);
+          node->consistency_guard.LearnTimeline(kGroup, kPrimary, since, since, fleet.now);
         }
         const bool whole = fleet.UntilWhole(kSecond * 30);
         // News of the start goes round for long in a large fleet.
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -258,7 +258,7 @@
     // One reading: between two a gap of a microsecond may lie, which a read has to wait out at a replica.
     const TimePoint started = loop.Precise();
     proxy.consistency_guard().HandleStart(started, started);
-    proxy.consistency_guard().Covered(1, started);
+    proxy.consistency_guard().SetReplicatedThrough(1, started);
     proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++asked; }});
     ListEvent list{ListKind::kPersisted, {}};
     list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
@@ -285,13 +285,13 @@
   // In one pass: word from the other instance, which then answers a write, and a read of that session.
   InAPass(r.loop, [&] {
     StandStill(10);
-    r.proxy.consistency_guard().Covered(1, r.loop.Precise());
+    r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.Precise());
     StandStill(10);
     r.Read(1000);
   });
   CHECK(r.asked == 1);
   CHECK(r.sends.sent.empty());
-  r.proxy.consistency_guard().Covered(1, r.loop.Precise());
+  r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.Precise());
   r.proxy.Relearnt();
   CHECK(r.sends.sent.size() == 1);
 }
@@ -305,7 +305,7 @@
     r.Read(1000);
   });
   Wait(r.loop, 50);
-  r.proxy.consistency_guard().Covered(1, r.loop.Precise());
+  r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.Precise());
   r.proxy.Relearnt();
   REQUIRE(r.sends.sent.size() == 1);
   CHECK(r.loop.Now() + r.sends.sent[0] == from + 1000 * kMs);
@@ -488,7 +488,7 @@
     const auto write = [&] {
       const consistency::WriteWatermark watermark{loop.Now(), ServerId(1)};
       const consistency::SessionKey key = consistency::SessionKeyOf(GroupId(1), "s");
-      consistency_guard.Learn(std::nullopt, key, watermark);
+      consistency_guard.LearnWatermark(std::nullopt, key, watermark);
       store.AppendWatermark(key, watermark);
     };
     for (int i = 0; i < 500; ++i) write();
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -142,7 +142,8 @@
       : clock(clock), consistency_guard(SessionSettings(), Everywhere()) {
     // What it recovered: one session's write.
     if (session != nullptr)
-      consistency_guard.Learn(std::nullopt, consistency::SessionKeyOf(kGroup, session), {now, ServerId(7)});
+      consistency_guard.LearnWatermark(std::nullopt, consistency::SessionKeyOf(kGroup, session),
+                                       {now, ServerId(7)});
     proto::Member self;
     self.set_name("n" + std::to_string(number));
     self.set_incarnation_id(incarnation_id);
@@ -216,7 +217,7 @@
     const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, "s" + std::to_string(++sessions));
     Node& node = *nodes[static_cast<std::size_t>(by)];
     const consistency::WriteWatermark watermark{now, ServerId(7)};
-    node.consistency_guard.Learn(kGroup, key, watermark);
+    node.consistency_guard.LearnWatermark(kGroup, key, watermark);
     node.engine->RecordWrite(kGroup, key, watermark);
     written.emplace_back(by, key, now);
     return key;
@@ -235,7 +236,7 @@
   // How long the writes of others have not been known, to a read that comes now.
   Duration Behind(int at) const {
     const Node& node = *nodes[static_cast<std::size_t>(at)];
-    return now + node.clock - node.consistency_guard.CoveredUpTo().value_or(now + node.clock);
+    return now + node.clock - node.consistency_guard.ReplicatedThrough().value_or(now + node.clock);
   }
 
   // What a read of a session that is not known has to wait for, beside what is still on its way.
@@ -243,7 +244,7 @@
     consistency::SessionConsistencyGuard& consistency_guard =
         nodes[static_cast<std::size_t>(at)]->consistency_guard;
     Event read = RequestEvent{.id = RequestId(1), .group = kGroup, .cls = 0, .session = "unknown"};
-    std::get<RequestEvent>(read).arrived = consistency_guard.CoveredUpTo();
+    std::get<RequestEvent>(read).arrived = consistency_guard.ReplicatedThrough();
     consistency_guard.PrepareEvent(now, read);
     return std::get<RequestEvent>(read).target;
   }
@@ -311,7 +312,7 @@
     net.nodes[0]->engine->PollPeers(net.now, outs);
     net.Send(0, outs);
     net.Pass(kTick * 5);
-    CHECK(*net.nodes[0]->consistency_guard.CoveredUpTo() >= read);
+    CHECK(*net.nodes[0]->consistency_guard.ReplicatedThrough() >= read);
     CHECK(net.wrongly_covered == 0);
   }
   MESSAGE("eight idle instances, bytes a second each: ", bytes[true] / 16, "; before ", bytes[false] / 16);
