--- a/tests/durability/former_version_test.cpp
+++ b/tests/durability/former_version_test.cpp
@@ -3,10 +3,12 @@
 
 #include <fstream>
 #include <iterator>
+#include <optional>
 #include <string>
+#include <vector>
 
 #include "durability/record_format.h"
-#include "durability/write_ahead_log.h"
+#include "durability/recovery.h"
 
 namespace lynxgrade::durability {
 namespace {
@@ -17,61 +19,65 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-constexpr std::int64_t AtUs(std::int64_t ms) { return 1'700'000'000'000'000 + ms * 1000; }
-TimePoint At(std::int64_t ms) { return TimePoint(Duration(AtUs(ms))); }
+TimePoint TimeAt(std::int64_t ms) { return TimePoint(Duration(1'700'000'000'000'000 + ms * 1000)); }
 
-// One record of each type, and the marks of a session without a known primary.
+WatermarkRecord Watermark(std::uint64_t session, std::int64_t ms, std::optional<ServerId> by) {
+  return {consistency::SessionKey(session), {TimeAt(ms), by}};
+}
+
+// One record of each type, and the watermark of a session without a known primary.
 std::vector<Record> EveryRecordType() {
-  return {{Type::kForgotten, 0, 0, AtUs(-5000)},
-          {Type::kMark, 1, 11, AtUs(10)},
-          {Type::kMark, 0, 12, AtUs(11)},
-          {Type::kReign, 1, static_cast<std::uint64_t>(std::int64_t{-2}), AtUs(1), AtUs(2), AtUs(9)},
-          {Type::kWhole, 0, 0, AtUs(12)},
-          {Type::kMark, 2, 13, AtUs(13)},
-          {Type::kClock, 0, 0, AtUs(14)},
-          {Type::kMark, 1, 14, AtUs(15)},
-          {Type::kMoved, 0, 6, AtUs(16)},
-          {Type::kStopped, 0, 0, AtUs(17)}};
+  return {ConservativePositionRecord{TimeAt(-5000)},
+          Watermark(11, 10, ServerId(1)),
+          Watermark(12, 11, std::nullopt),
+          TimelineRecord{GroupId(-2), ServerId(1), TimeAt(1), TimeAt(2), TimeAt(9)},
+          SnapshotEndRecord{TimeAt(12)},
+          Watermark(13, 13, ServerId(2)),
+          CompleteThroughRecord{TimeAt(14)},
+          Watermark(14, 15, ServerId(1)),
+          ContinuedInRecord{6, TimeAt(16)},
+          CleanShutdownRecord{TimeAt(17)}};
 }
 
 TEST_CASE("a file of the former version is read record by record") {
   const std::string file = ReadFixture("every-record-type");
-  Head head;
-  REQUIRE(ReadHead(file, head) == HeadFault::kNone);
-  CHECK(head.instance == 0x1234);
-  CHECK(head.boot == 77);
-  CHECK(head.generation == 5);
-  CHECK(head.begun == At(0));
-  const Contents contents = ReadRecords(file, head);
+  const auto header = DecodeHeader(file);
+  REQUIRE(header);
+  CHECK(header->instance_hash == 0x1234);
+  CHECK(header->boot_id_hash == 77);
+  CHECK(header->generation == 5);
+  CHECK(header->created == TimeAt(0));
+  const FileContents contents = DecodeRecords(file, *header);
   CHECK(contents.records == EveryRecordType());
-  CHECK(contents.whole);
-  CHECK_FALSE(contents.torn);
-  CHECK(contents.damaged == 0);
-  CHECK(contents.stopped);
-  CHECK(contents.clock == At(17));
+  CHECK(contents.snapshot_complete);
+  CHECK_FALSE(contents.last_record_torn);
+  CHECK(contents.damaged_bytes == 0);
+  CHECK(contents.clean_shutdown);
+  CHECK(contents.complete_through == TimeAt(17));
 }
 
 TEST_CASE("the same records are written with the bytes of the former version") {
-  const Head head{0x1234, 77, 5, At(0)};
+  const FileHeader header{0x1234, 77, 5, TimeAt(0)};
   std::string file;
-  AppendHead(file, head);
+  AppendHeader(file, header);
   std::uint64_t index = 0;
-  for (const Record& record : EveryRecordType()) AppendRecord(file, head, index++, record);
+  for (const Record& record : EveryRecordType()) AppendRecord(file, header, index++, record);
   CHECK(file == ReadFixture("every-record-type"));
 }
 
 TEST_CASE("a folder that the former version left after a clean shutdown is recovered complete") {
-  Head head;
-  REQUIRE(ReadHead(ReadFixture("sessions-1"), head) == HeadFault::kNone);
-  const Recovered found = Recover(DURABILITY_FIXTURES, "n1", head.boot, false);
+  const auto header = DecodeHeader(ReadFixture("sessions-1"));
+  REQUIRE(header);
+  const RecoveredState found = Recover(DURABILITY_FIXTURES, "n1", header->boot_id_hash, CommitMode::kKernel);
   CHECK(found.complete);
   CHECK(found.generation == 1);
+  const TimePoint written{Duration(1'796'290'749'864'028)};
   const std::vector<Record> expected = {
-      {Type::kReign, 1, 2, AtUs(1), AtUs(1), AtUs(10)},
-      {Type::kWhole, 0, 0, 1'796'290'749'864'028},
-      {Type::kMark, 1, 102, AtUs(20)},
-      {Type::kMark, 0, 103, AtUs(21)},
-      {Type::kStopped, 0, 0, 1'796'290'749'864'028},
+      TimelineRecord{GroupId(2), ServerId(1), TimeAt(1), TimeAt(1), TimeAt(10)},
+      SnapshotEndRecord{written},
+      Watermark(102, 20, ServerId(1)),
+      Watermark(103, 21, std::nullopt),
+      CleanShutdownRecord{written},
   };
   CHECK(found.records == expected);
 }
