--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -57,7 +57,7 @@
   if (settings_.sessions.scope != consistency::Scope::kEverywhere) return {};
   const TimePoint now = loop_.Precise();
   const RecoveredKnowledge recovered = StartDurability(now);
-  proxy_.consistency_guard().Started(now, recovered.complete_through);
+  proxy_.consistency_guard().HandleStart(now, recovered.complete_through);
   if (auto started = StartReplication(recovered.complete); !started) return started;
   ConnectProxy();
   return {};
@@ -115,7 +115,7 @@
       return DelayAnswer(group, session, call);
     };
   }
-  if (log_ != nullptr) proxy_.consistency_guard().OnReign([this] { log_->AppendTimelines(); });
+  if (log_ != nullptr) proxy_.consistency_guard().OnTimelineChange([this] { log_->AppendTimelines(); });
   if (replication_ != nullptr) waits.ask_others = [this] { replication_->Solicit(); };
   proxy_.SetWaits(std::move(waits));
 }
--- a/src/pooler.cpp
+++ b/src/pooler.cpp
@@ -169,8 +169,9 @@
     spdlog::info(
         "sessions: reads={} with_watermark={} at_conservative_position={} rejected_possible_loss={} "
         "rejected_unknown_writes={} stale_responses={} known={} evicted={}",
-        sessions.reads, sessions.marked, sessions.floored, sessions.lost, sessions.unknown, sessions.too_old,
-        guard.watermark_table().size(), guard.watermark_table().evicted());
+        sessions.reads, sessions.with_watermark, sessions.conservative, sessions.rejected_lost_write,
+        sessions.rejected_unknown_write, sessions.stale_answers, guard.watermark_table().size(),
+        guard.watermark_table().evicted());
   }
   report_timer_.After(kReportInterval, [this] { LogReport(); });
 }
--- a/src/settings/program_settings.cpp
+++ b/src/settings/program_settings.cpp
@@ -25,11 +25,11 @@
   section.ReadChoice<consistency::Scope>(
       "scope", sessions.scope,
       {{"instance", consistency::Scope::kInstance}, {"everywhere", consistency::Scope::kEverywhere}});
-  section.ReadSize("capacity", sessions.sessions, 64, 100'000'000);
-  section.ReadDuration("recall_s", sessions.recall, 1, 86'400, kSecond);
-  section.ReadDuration("least_failover_ms", sessions.least_failover, 0, 60'000, kMillisecond);
-  section.ReadFlag("refuse_doubt", sessions.refuse_doubt);
-  section.ReadDuration("hold_ms", sessions.hold, 0, 1'000, kMillisecond);
+  section.ReadSize("capacity", sessions.session_capacity, 64, 100'000'000);
+  section.ReadDuration("recall_s", sessions.write_retention, 1, 86'400, kSecond);
+  section.ReadDuration("least_failover_ms", sessions.min_failover_time, 0, 60'000, kMillisecond);
+  section.ReadFlag("refuse_doubt", sessions.reject_uncertain_reads);
+  section.ReadDuration("hold_ms", sessions.max_read_delay, 0, 1'000, kMillisecond);
   section.RejectUnknownKeys();
 }
 
@@ -136,7 +136,7 @@
 tl::expected<ProgramSettings, SettingsError> ReadSettings(const toml::table& root) {
   FirstError errors;
   ProgramSettings settings;
-  settings.sessions.recall = kDefaultWriteRetention;
+  settings.sessions.write_retention = kDefaultWriteRetention;
   RejectUnknownSections(root, errors);
   ReadSessions(root, errors, settings.sessions);
   ReadDurability(root, errors, settings.sessions, settings.durability);
