--- a/tests/durability/former_version_test.cpp
+++ b/tests/durability/former_version_test.cpp
@@ -19,24 +19,24 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-TimePoint TimeAt(std::int64_t ms) { return TimePoint(Duration(1'700'000'000'000'000 + ms * 1000)); }
+TimePoint At(std::int64_t ms) { return TimePoint(Duration(1'700'000'000'000'000 + ms * 1000)); }
 
-WatermarkRecord Watermark(std::uint64_t session, std::int64_t ms, std::optional<ServerId> by) {
-  return {consistency::SessionKey(session), {TimeAt(ms), by}};
+WatermarkRecord Watermark(std::uint64_t session, std::int64_t ms, std::optional<ServerId> written_to) {
+  return {consistency::SessionKey{session}, {At(ms), written_to}};
 }
 
-// One record of each type, and the watermark of a session without a known primary.
+// One record of each type, and the watermark of a session whose primary is not known.
 std::vector<Record> EveryRecordType() {
-  return {ConservativePositionRecord{TimeAt(-5000)},
-          Watermark(11, 10, ServerId(1)),
+  return {ConservativePositionRecord{At(-5000)},
+          Watermark(11, 10, ServerId{1}),
           Watermark(12, 11, std::nullopt),
-          TimelineRecord{GroupId(-2), ServerId(1), TimeAt(1), TimeAt(2), TimeAt(9)},
-          SnapshotEndRecord{TimeAt(12)},
-          Watermark(13, 13, ServerId(2)),
-          CompleteThroughRecord{TimeAt(14)},
-          Watermark(14, 15, ServerId(1)),
-          ContinuedInRecord{6, TimeAt(16)},
-          CleanShutdownRecord{TimeAt(17)}};
+          TimelineRecord{GroupId{-2}, ServerId{1}, At(1), At(2), At(9)},
+          SnapshotEndRecord{At(12)},
+          Watermark(13, 13, ServerId{2}),
+          CompleteThroughRecord{At(14)},
+          Watermark(14, 15, ServerId{1}),
+          ContinuedInRecord{6, At(16)},
+          CleanShutdownRecord{At(17)}};
 }
 
 TEST_CASE("a file of the former version is read record by record") {
@@ -46,18 +46,18 @@
   CHECK(header->instance_hash == 0x1234);
   CHECK(header->boot_id_hash == 77);
   CHECK(header->generation == 5);
-  CHECK(header->created == TimeAt(0));
+  CHECK(header->created == At(0));
   const FileContents contents = DecodeRecords(file, *header);
   CHECK(contents.records == EveryRecordType());
   CHECK(contents.snapshot_complete);
   CHECK_FALSE(contents.last_record_torn);
   CHECK(contents.damaged_bytes == 0);
   CHECK(contents.clean_shutdown);
-  CHECK(contents.complete_through == TimeAt(17));
+  CHECK(contents.complete_through == At(17));
 }
 
 TEST_CASE("the same records are written with the bytes of the former version") {
-  const FileHeader header{0x1234, 77, 5, TimeAt(0)};
+  const FileHeader header{0x1234, 77, 5, At(0)};
   std::string file;
   AppendHeader(file, header);
   std::uint64_t index = 0;
@@ -71,14 +71,10 @@
   const RecoveredState found = Recover(DURABILITY_FIXTURES, "n1", header->boot_id_hash, CommitMode::kKernel);
   CHECK(found.complete);
   CHECK(found.generation == 1);
-  const TimePoint written{Duration(1'796'290'749'864'028)};
-  const std::vector<Record> expected = {
-      TimelineRecord{GroupId(2), ServerId(1), TimeAt(1), TimeAt(1), TimeAt(10)},
-      SnapshotEndRecord{written},
-      Watermark(102, 20, ServerId(1)),
-      Watermark(103, 21, std::nullopt),
-      CleanShutdownRecord{written},
-  };
+  const TimePoint shutdown{Duration(1'796'290'749'864'028)};
+  const std::vector<Record> expected = {TimelineRecord{GroupId{2}, ServerId{1}, At(1), At(1), At(10)},
+                                        SnapshotEndRecord{shutdown}, Watermark(102, 20, ServerId{1}),
+                                        Watermark(103, 21, std::nullopt), CleanShutdownRecord{shutdown}};
   CHECK(found.records == expected);
 }
 
