--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -72,15 +72,14 @@
                                           recovered, consistency_guard, [this] { proxy_.Relearnt(); }};
     auto loaded = host_.make_peers ? host_.make_peers(std::move(parts))
                                    : replication::LoadReplicationModule(std::move(parts));
-    if (const auto* wrong = std::get_if<std::string>(&loaded)) return *wrong;
-    peers_ = std::move(std::get<std::unique_ptr<replication::ReplicationService>>(loaded));
-    const std::string fault = peers_->Start();
-    if (!fault.empty()) return fault;
+    if (!loaded) return Describe(loaded.error());
+    peers_ = std::move(*loaded);
+    if (const auto started = peers_->Start(); !started) return Describe(started.error());
   }
   proxy::Proxy::Waits waits;
   waits.wrote = [this](GroupId group, consistency::SessionKey key,
                        const consistency::WriteWatermark& watermark) {
-    if (peers_ != nullptr) peers_->Wrote(group, key, watermark);
+    if (peers_ != nullptr) peers_->RecordWrite(group, key, watermark);
     if (store_ != nullptr) store_->Wrote(key, watermark);
   };
   // The store first: whether a session is held is to be so when the answer goes out.
@@ -88,15 +87,15 @@
     waits.safe = [this](GroupId group, consistency::SessionKey key, std::function<void()> call) {
       if (peers_ == nullptr) return store_->WhenSafe(std::move(call));
       const bool waits_for_disk = store_ != nullptr && store_->WhenSafe([this, group, key, call] {
-        if (!peers_->WhenHeld(group, key, call)) call();
+        if (!peers_->CallWhenMayAnswer(group, key, call)) call();
       });
-      return waits_for_disk || peers_->WhenHeld(group, key, std::move(call));
+      return waits_for_disk || peers_->CallWhenMayAnswer(group, key, std::move(call));
     };
   }
   if (store_ != nullptr) {
     consistency_guard.OnReign([this] { store_->ReignsChanged(); });
   }
-  if (peers_ != nullptr) waits.ask_others = [this] { peers_->Solicit(); };
+  if (peers_ != nullptr) waits.ask_others = [this] { peers_->PollPeers(); };
   proxy_.SetWaits(std::move(waits));
   return {};
 }
--- a/src/instance.h
+++ b/src/instance.h
@@ -10,7 +10,7 @@
 #include <memory>
 #include <optional>
 #include <string>
-#include <variant>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "discovery/endpoint_list.h"
@@ -21,6 +21,7 @@
 #include "replication/replication_service.h"
 #include "settings/platform_config.h"
 #include "settings/program_settings.h"
+#include "start_error.h"
 
 namespace lynxgrade {
 
@@ -35,7 +36,7 @@
     // A change of the list has been taken in.
     std::function<void()> changed;
     // Makes the exchange with the others; absent: from the module beside the program.
-    std::function<std::variant<std::unique_ptr<replication::ReplicationService>, std::string>(
+    std::function<tl::expected<std::unique_ptr<replication::ReplicationService>, StartError>(
         replication::ReplicationContext)>
         make_peers;
   };
--- a/src/replication/datagram_authenticator.cpp
+++ b/src/replication/datagram_authenticator.cpp
@@ -4,163 +4,112 @@
 #include <openssl/evp.h>
 #include <openssl/hmac.h>
 
+#include <algorithm>
 #include <array>
-#include <charconv>
-#include <fstream>
-#include <iterator>
 
 namespace lynxgrade::replication {
 namespace {
 
+// A datagram: format, number of the key, authentication code, packet.
 constexpr char kFormat = 1;
-constexpr std::size_t kTag = 16;
-constexpr std::size_t kHead = 2 + kTag;  // format, key number, tag
-constexpr std::size_t kLeastSecret = 32;
+constexpr std::size_t kCodeOffset = 2;
+constexpr std::size_t kCodeSize = 16;
+constexpr std::size_t kHeaderSize = kCodeOffset + kCodeSize;
+constexpr std::uint32_t kProtocolVersion = 1;
 
-// Over the format, the key's number and the packet.
-std::array<char, kTag> TagOf(const SharedKey& key, std::string_view packet) {
+// Over the format, the number of the key and the packet.
+std::array<char, kCodeSize> AuthenticationCode(const SharedKey& key, std::string_view packet) {
   std::string text{kFormat, static_cast<char>(key.number)};
   text += packet;
-  std::array<unsigned char, EVP_MAX_MD_SIZE> whole{};
-  unsigned int size = 0;
+  std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
+  unsigned int digest_size = 0;
   HMAC(EVP_sha256(), key.secret.data(), static_cast<int>(key.secret.size()),
-       reinterpret_cast<const unsigned char*>(text.data()), text.size(), whole.data(), &size);
-  std::array<char, kTag> tag{};
-  std::copy_n(whole.begin(), kTag, reinterpret_cast<unsigned char*>(tag.data()));
-  return tag;
+       reinterpret_cast<const unsigned char*>(text.data()), text.size(), digest.data(), &digest_size);
+  std::array<char, kCodeSize> code{};
+  std::copy_n(digest.begin(), kCodeSize, reinterpret_cast<unsigned char*>(code.data()));
+  return code;
 }
 
-std::optional<std::string> FromHex(std::string_view hex) {
-  std::string bytes;
-  if (hex.size() % 2 != 0) return std::nullopt;
-  for (std::size_t i = 0; i < hex.size(); i += 2) {
-    unsigned value = 0;
-    const auto [end, error] = std::from_chars(hex.data() + i, hex.data() + i + 2, value, 16);
-    if (error != std::errc() || end != hex.data() + i + 2) return std::nullopt;
-    bytes += static_cast<char>(value);
-  }
-  return bytes;
-}
-
-std::string_view TakeWord(std::string_view& line) {
-  const std::size_t from = line.find_first_not_of(" \t\r");
-  if (from == std::string_view::npos) return line = {};
-  const std::size_t to = std::min(line.find_first_of(" \t\r", from), line.size());
-  const std::string_view word = line.substr(from, to - from);
-  line.remove_prefix(to);
-  return word;
+bool HasRequiredFields(const proto::Packet& packet) {
+  if (packet.sender().incarnation_id() == 0 || packet.counter() == 0) return false;
+  // A packet of lease messages alone does not name its sender.
+  return !packet.sender().name().empty() || packet.has_directory();
 }
 
 }  // namespace
 
-std::variant<std::vector<SharedKey>, std::string> ReadKeys(std::string_view text) {
-  std::vector<SharedKey> keys;
-  for (int number = 1; !text.empty(); ++number) {
-    const std::size_t end = std::min(text.find('\n'), text.size());
-    std::string_view line = text.substr(0, end);
-    text.remove_prefix(std::min(end + 1, text.size()));
-    line = line.substr(0, line.find('#'));
-    const std::string_view name = TakeWord(line);
-    if (name.empty()) continue;
-    const std::string where = "line " + std::to_string(number) + ": ";
-    unsigned id = 0;
-    const auto [last, error] = std::from_chars(name.data(), name.data() + name.size(), id);
-    if (error != std::errc() || last != name.data() + name.size() || id < 1 || id > 255) {
-      return where + "a key's number is not one from 1 to 255";
-    }
-    const auto secret = FromHex(TakeWord(line));
-    if (!secret || secret->size() < kLeastSecret) return where + "a key is not 64 or more hexadecimal digits";
-    if (!TakeWord(line).empty()) return where + "something stands after the key";
-    for (const SharedKey& key : keys) {
-      if (key.number == id) return where + "a key's number stands twice";
-    }
-    keys.push_back({static_cast<std::uint8_t>(id), *secret});
+const char* Describe(DatagramError error) {
+  switch (error) {
+    case DatagramError::kMalformed:
+      return "malformed datagram";
+    case DatagramError::kUnknownKey:
+      return "unknown key";
+    case DatagramError::kInvalidSignature:
+      return "invalid signature";
+    case DatagramError::kInvalidPacket:
+      return "invalid packet";
+    case DatagramError::kUnsupportedVersion:
+      return "unsupported protocol version";
+    case DatagramError::kReplayed:
+      return "replayed packet";
   }
-  if (keys.empty()) return std::string("it holds no key");
-  return keys;
-}
-
-std::variant<std::vector<SharedKey>, std::string> LoadKeys(const std::string& path) {
-  std::ifstream file(path, std::ios::binary);
-  if (!file) return "the keys " + path + " cannot be opened";
-  const std::string text{std::istreambuf_iterator<char>(file), {}};
-  auto keys = ReadKeys(text);
-  if (auto* wrong = std::get_if<std::string>(&keys)) return "the keys " + path + " are not usable: " + *wrong;
-  return keys;
+  return "";
 }
 
-const SharedKey* DatagramAuthenticator::SessionKeyOf(std::uint8_t number) const {
-  for (const SharedKey& key : keys_) {
-    if (key.number == number) return &key;
-  }
-  return nullptr;
+const SharedKey* DatagramAuthenticator::FindKey(std::uint8_t number) const {
+  const auto found = std::ranges::find(keys_, number, &SharedKey::number);
+  return found == keys_.end() ? nullptr : &*found;
 }
 
-std::string DatagramAuthenticator::Seal(proto::Packet& packet) {
+std::string DatagramAuthenticator::Sign(proto::Packet& packet) {
   packet.set_counter(++counter_);
   const std::string bytes = packet.SerializeAsString();
   const SharedKey& key = keys_.front();
-  const auto tag = TagOf(key, bytes);
+  const auto code = AuthenticationCode(key, bytes);
   std::string datagram{kFormat, static_cast<char>(key.number)};
-  datagram.append(tag.data(), tag.size());
+  datagram.append(code.data(), code.size());
   return datagram + bytes;
 }
 
-const char* DatagramAuthenticator::NameOf(Fault fault) {
-  switch (fault) {
-    case Fault::kNone:
-      return "nothing is wrong";
-    case Fault::kFormat:
-      return "not in the form of a datagram between instances";
-    case Fault::kKey:
-      return "sealed with a key that is not known here";
-    case Fault::kTag:
-      return "sealed wrongly";
-    case Fault::kPacket:
-      return "what it holds cannot be read";
-    case Fault::kVersion:
-      return "of a version that is not spoken here";
-    case Fault::kReplay:
-      return "it came before";
+tl::expected<proto::Packet, DatagramError> DatagramAuthenticator::Verify(std::string_view datagram) {
+  if (datagram.size() <= kHeaderSize || datagram[0] != kFormat) {
+    return tl::unexpected(DatagramError::kMalformed);
+  }
+  const SharedKey* key = FindKey(static_cast<std::uint8_t>(datagram[1]));
+  if (key == nullptr) return tl::unexpected(DatagramError::kUnknownKey);
+  const std::string_view bytes = datagram.substr(kHeaderSize);
+  const auto code = AuthenticationCode(*key, bytes);
+  if (CRYPTO_memcmp(code.data(), datagram.data() + kCodeOffset, kCodeSize) != 0) {
+    return tl::unexpected(DatagramError::kInvalidSignature);
   }
-  return "";
-}
-
-std::variant<proto::Packet, DatagramAuthenticator::Fault> DatagramAuthenticator::Open(
-    std::string_view datagram) {
-  if (datagram.size() <= kHead || datagram[0] != kFormat) return Fault::kFormat;
-  const SharedKey* key = SessionKeyOf(static_cast<std::uint8_t>(datagram[1]));
-  if (key == nullptr) return Fault::kKey;
-  const std::string_view bytes = datagram.substr(kHead);
-  const auto tag = TagOf(*key, bytes);
-  if (CRYPTO_memcmp(tag.data(), datagram.data() + 2, kTag) != 0) return Fault::kTag;
   proto::Packet packet;
-  if (!packet.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return Fault::kPacket;
-  if (packet.version() != 1) return Fault::kVersion;
-  if (packet.sender().incarnation_id() == 0 || packet.counter() == 0) return Fault::kPacket;
-  if (packet.sender().name().empty() && !packet.has_directory()) return Fault::kPacket;
-  if (!Fresh(packet)) return Fault::kReplay;
+  if (!packet.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
+    return tl::unexpected(DatagramError::kInvalidPacket);
+  }
+  if (packet.version() != kProtocolVersion) return tl::unexpected(DatagramError::kUnsupportedVersion);
+  if (!HasRequiredFields(packet)) return tl::unexpected(DatagramError::kInvalidPacket);
+  if (!AcceptCounter(packet)) return tl::unexpected(DatagramError::kReplayed);
   return packet;
 }
 
-// A sender's counters, by life: those far behind the newest, and those that came, are refused.
-bool DatagramAuthenticator::Fresh(const proto::Packet& packet) {
-  // Only holders of the key get here; the bound is for one that starts again all day long.
-  if (seen_.size() >= kMostSenders && !seen_.contains(packet.sender().incarnation_id())) seen_.clear();
-  Seen& seen = seen_[packet.sender().incarnation_id()];
+bool DatagramAuthenticator::AcceptCounter(const proto::Packet& packet) {
+  const std::uint64_t sender = packet.sender().incarnation_id();
+  // Only holders of a key get here; the bound is for an instance that restarts again and again.
+  if (windows_.size() >= kMaxSenders && !windows_.contains(sender)) windows_.clear();
+  ReplayWindow& window = windows_[sender];
   const std::uint64_t counter = packet.counter();
-  if (counter > seen.highest) {
-    const std::uint64_t passed = counter - seen.highest;
-    if (passed >= kWindow) {
-      seen.window.reset();
+  if (counter > window.highest) {
+    const std::uint64_t advance = counter - window.highest;
+    if (advance >= kWindowSize) {
+      window.accepted.reset();
     } else {
-      for (std::uint64_t i = 1; i <= passed; ++i) seen.window.reset((seen.highest + i) % kWindow);
+      for (std::uint64_t i = 1; i <= advance; ++i) window.accepted.reset((window.highest + i) % kWindowSize);
     }
-    seen.highest = counter;
-  } else if (seen.highest - counter >= kWindow || seen.window.test(counter % kWindow)) {
+    window.highest = counter;
+  } else if (window.highest - counter >= kWindowSize || window.accepted.test(counter % kWindowSize)) {
     return false;
   }
-  seen.window.set(counter % kWindow);
+  window.accepted.set(counter % kWindowSize);
   return true;
 }
 
--- a/src/replication/module_loader.cpp
+++ b/src/replication/module_loader.cpp
@@ -7,24 +7,24 @@
 namespace lynxgrade::replication {
 namespace {
 
-constexpr const char* kModule = "lynxgrade_peers.so";
-constexpr const char* kMaker = "lynxgrade_make_peers";
+constexpr const char* kModuleFile = "lynxgrade_peers.so";
+constexpr const char* kFactorySymbol = "lynxgrade_make_peers";
+using Factory = ReplicationService* (*)(ReplicationContext*);
 
 }  // namespace
 
-std::variant<std::unique_ptr<ReplicationService>, std::string> LoadReplicationModule(
-    ReplicationContext parts) {
+tl::expected<std::unique_ptr<ReplicationService>, StartError> LoadReplicationModule(
+    ReplicationContext context) {
   std::error_code unread;
   const auto program = std::filesystem::read_symlink("/proc/self/exe", unread);
-  const std::string path = (program.parent_path() / kModule).string();
+  const std::string path = (program.parent_path() / kModuleFile).string();
   GModule* module = g_module_open(path.c_str(), G_MODULE_BIND_LOCAL);
-  gpointer maker = nullptr;
-  if (module == nullptr || !g_module_symbol(module, kMaker, &maker)) {
-    return std::string("the peers' module cannot be loaded: ") + g_module_error();
+  gpointer factory = nullptr;
+  if (module == nullptr || !g_module_symbol(module, kFactorySymbol, &factory)) {
+    return tl::unexpected(StartError{StartErrorCode::kReplicationModule, {}, g_module_error()});
   }
-  g_module_make_resident(module);  // what it made may be destroyed at the very end
-  return std::unique_ptr<ReplicationService>(
-      reinterpret_cast<ReplicationService* (*)(ReplicationContext*)>(maker)(&parts));
+  g_module_make_resident(module);  // its objects may be destroyed when the program ends
+  return std::unique_ptr<ReplicationService>(reinterpret_cast<Factory>(factory)(&context));
 }
 
 }  // namespace lynxgrade::replication
--- /dev/null
+++ b/src/replication/replication_report.cpp
@@ -0,0 +1,92 @@
+#include "replication/replication_report.h"
+
+#include <spdlog/spdlog.h>
+
+#include <array>
+#include <nlohmann/json.hpp>
+
+#include "replication/engine_options.h"
+
+namespace lynxgrade::replication {
+namespace {
+
+using Json = nlohmann::json;
+
+double Seconds(Duration time) { return static_cast<double>(time.count()) * 1e-6; }
+
+Json LeaseReport(const ReplicationReportInput& input) {
+  const lease::SessionLeaseClient& client = *input.engine.lease_client();
+  const auto& requested = client.counts();
+  const auto& managed = client.owner().counts();
+  const auto& relayed = input.engine.lease_relay()->counts();
+  return {{"owner", input.settings.owner}, {"owners_set_aside", input.engine.swim().owners().size()},
+          {"holds", client.holds()},       {"entries", client.owner().size()},
+          {"asks", requested.asks},        {"grants", requested.grants},
+          {"exact", requested.exact},      {"recalled", requested.recalled},
+          {"capped", requested.capped},    {"over_budget", requested.over_budget},
+          {"granted", managed.grants},     {"denied", managed.denied},
+          {"waited", relayed.waited},      {"passed_on", relayed.passed_on}};
+}
+
+Json PeersReport(const ReplicationReportInput& input, std::uint64_t view) {
+  static constexpr std::array kStates = {"alive", "suspect", "dead", "left"};
+  const membership::Swim& swim = input.engine.swim();
+  Json peers = Json::array();
+  for (const auto& [name, peer] : swim.peers()) {
+    const auto state = static_cast<std::size_t>(peer.member.state());
+    Json report = {{"name", name},
+                   {"address", peer.member.address()},
+                   {"state", state < kStates.size() ? kStates[state] : "unknown"},
+                   {"for_s", Seconds(input.now - peer.changed)},
+                   {"heard_s", nullptr},
+                   {"same_view", peer.view == view},
+                   {"differs", Json::array()}};
+    if (peer.heard != TimePoint{}) report["heard_s"] = Seconds(input.now - peer.heard);
+    const auto differences = swim.differences().find(name);
+    if (differences != swim.differences().end()) report["differs"] = differences->second;
+    peers.push_back(std::move(report));
+  }
+  return peers;
+}
+
+Json TrafficReport(const Traffic& traffic) {
+  Json report;
+  for (std::size_t kind = 0; kind < kTrafficKindNames.size(); ++kind) {
+    const Traffic::Count& out = traffic.out[kind];
+    const Traffic::Count& in = traffic.in[kind];
+    report[kTrafficKindNames[kind]] = {{"packets_out", out.packets},
+                                       {"bytes_out", out.bytes},
+                                       {"packets_in", in.packets},
+                                       {"bytes_in", in.bytes}};
+  }
+  return report;
+}
+
+}  // namespace
+
+std::string FormatReplicationReport(const ReplicationReportInput& input) {
+  const membership::Swim& swim = input.engine.swim();
+  membership::QuorumTracker quorum_tracker = swim.quorum_tracker();  // a copy, as evaluation changes it
+  const membership::QuorumTracker::Value quorum = quorum_tracker.At(input.now);
+  Json report = {{"name", input.name},
+                 {"size", FleetSize(input.settings)},
+                 {"part", membership::NameOf(quorum.part)},
+                 {"for_s", Seconds(input.now - quorum.since)},
+                 {"proven_s", nullptr},
+                 {"view", fmt::format("{:016x}", quorum.view)},
+                 {"in_view", quorum_tracker.count()},
+                 {"doubt", swim.doubt()},
+                 {"most_doubt", swim.options().most_doubt},
+                 {"stalls", swim.stalls()},
+                 {"conflicts", swim.conflicts()},
+                 {"dropped", input.rejected_datagrams},
+                 {"spent_s", Seconds(input.processor_time)},
+                 {"unheard", swim.unheard_seeds()},
+                 {"peers", PeersReport(input, quorum.view)},
+                 {"traffic", TrafficReport(input.traffic)}};
+  if (quorum.until) report["proven_s"] = Seconds(*quorum.until - input.now);
+  if (input.engine.lease_client() != nullptr) report["directory"] = LeaseReport(input);
+  return report.dump();
+}
+
+}  // namespace lynxgrade::replication
--- a/src/replication/traffic.h
+++ b/src/replication/traffic.h
@@ -1,5 +1,5 @@
-// What an instance sends to the others and takes from them, by kind of message. Bytes are those of the IPv4
-// packets: a datagram and the 28 bytes of its heads.
+// What an instance sends to its peers and receives from them, by kind of message. Bytes are those of IPv4
+// packets: a datagram and its headers.
 #pragma once
 
 #include <array>
@@ -8,17 +8,21 @@
 
 namespace lynxgrade::replication {
 
-// What a packet is for (kMarks: what tells of sessions' writes, by whichever way); its reigns and its rumours
-// count under their own kind wherever they travel.
-enum class TrafficKind { kMembership, kMarks, kReigns, kLedger };
+// What a packet is for; kWatermarks: also lease messages. Timelines and piggybacked membership gossip in it
+// count under their own kind.
+enum class TrafficKind { kMembership, kWatermarks, kTimelines, kSnapshots };
+// As operators see them, in the order of TrafficKind.
 constexpr std::array<const char*, 4> kTrafficKindNames = {"membership", "marks", "reigns", "ledger"};
 
 struct Traffic {
-  static constexpr std::size_t kHeads = 28;  // of IPv4 and UDP, without options
+  static constexpr std::size_t kHeaderBytes = 28;  // of IPv4 and UDP, without options
   struct Count {
-    std::uint64_t packets = 0, bytes = 0;
+    std::uint64_t packets = 0;
+    std::uint64_t bytes = 0;
   };
-  std::array<Count, kTrafficKindNames.size()> out{}, in{};
+  using Counts = std::array<Count, kTrafficKindNames.size()>;  // by TrafficKind
+  Counts out{};
+  Counts in{};
 };
 
 }  // namespace lynxgrade::replication
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -5,266 +5,182 @@
 
 #include <algorithm>
 #include <array>
-#include <ctime>
-#include <nlohmann/json.hpp>
 #include <random>
+#include <utility>
+#include <vector>
+
+#include "replication/replication_report.h"
+#include "replication/traffic_counter.h"
 
 namespace lynxgrade::replication {
 namespace {
 
-constexpr std::size_t kTagAndLength = 2;  // of one of a repeated message of under 128 bytes
-// Sessions that an instance keeps in its directory and holds at least, whatever the ledger's capacity: 15 MB
-// when full, 150 bytes an entry and 72 a hold.
-constexpr std::size_t kLeastEntries = 65536;
-// Of one that is set aside to own for all: of 410 poolers that each meet 17 sessions a second for the first
-// time, entries being kept for some 63 s, seven owners have 63,000 each, half as many more in the worst
-// second, and each of three that are left 146,000. 39 MB when full.
-constexpr std::size_t kOwnersEntries = 262144;
+constexpr int kMaxDatagramsPerPass = 64;  // so that a flood does not keep clients waiting
+constexpr std::size_t kMaxDatagramBytes = 65536;
+constexpr Duration kTickInterval{5000};
+constexpr Duration kQuorumLogInterval{50000};
+// Longer than any request may take, whose client waits for the answer.
+constexpr Duration kPendingAnswerLifetime{60000000};
+// A last flush is sent however recent the one before is.
+constexpr Duration kLastPollAdvance{1000000};
 
 std::string TextOf(const net::Address& address) {
-  const bool six = address.host.find(':') != std::string::npos;
-  return (six ? "[" + address.host + "]" : address.host) + ":" + std::to_string(address.port);
+  const bool is_ipv6 = address.host.find(':') != std::string::npos;
+  const std::string host = is_ipv6 ? "[" + address.host + "]" : address.host;
+  return host + ":" + std::to_string(address.port);
 }
 
 std::string TextOf(GSocketAddress* address) {
-  auto* inet = G_INET_SOCKET_ADDRESS(address);
-  char* host = g_inet_address_to_string(g_inet_socket_address_get_address(inet));
-  net::Address read{host, g_inet_socket_address_get_port(inet)};
+  auto* inet_address = G_INET_SOCKET_ADDRESS(address);
+  char* host = g_inet_address_to_string(g_inet_socket_address_get_address(inet_address));
+  const net::Address read{host, g_inet_socket_address_get_port(inet_address)};
   g_free(host);
   return TextOf(read);
 }
 
-std::int64_t ThreadNs() {
-  timespec time{};
-  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
-  return std::int64_t{time.tv_sec} * 1'000'000'000 + time.tv_nsec;
-}
-
-void Note(std::array<Traffic::Count, kTrafficKindNames.size()>& counts, const proto::Packet& packet,
-          std::size_t size) {
-  const auto of = [&](TrafficKind kind) -> Traffic::Count& { return counts[static_cast<std::size_t>(kind)]; };
-  std::size_t timelines = 0, rumours = 0;
-  for (const proto::TimelineRecord& reign : packet.timelines())
-    timelines += reign.ByteSizeLong() + kTagAndLength;
-  for (const proto::Member& rumour : packet.rumours()) rumours += rumour.ByteSizeLong() + kTagAndLength;
-  const TrafficKind kind = packet.has_delta() || packet.has_directory()   ? TrafficKind::kMarks
-                           : packet.has_chunk() || packet.has_chunk_ack() ? TrafficKind::kLedger
-                                                                          : TrafficKind::kMembership;
-  ++of(kind).packets;
-  of(kind).bytes += size + Traffic::kHeads - timelines - rumours;
-  of(TrafficKind::kReigns).bytes += timelines;
-  of(TrafficKind::kMembership).bytes += rumours;
+// Random, as a clock that was set back must not repeat an id; never zero.
+std::uint64_t NewIncarnationId() {
+  std::random_device device;
+  return (std::uint64_t{device()} << 32 | device()) | 1;
 }
 
 }  // namespace
 
-UdpReplicationService::Timed::Timed(UdpReplicationService& of)
-    : of_(of), from_(of.timed_++ == 0 ? ThreadNs() : 0) {}
-UdpReplicationService::Timed::~Timed() {
-  if (--of_.timed_ == 0) of_.spent_ns_ += ThreadNs() - from_;
-}
-
-UdpReplicationService::UdpReplicationService(ReplicationContext parts)
-    : loop_(parts.loop),
-      setup_(parts.setup),
-      name_(setup_.name.empty() ? parts.name : setup_.name),
-      recovered_(parts.recovered),
-      consistency_guard_(parts.consistency_guard),
-      learnt_(std::move(parts.learnt)),
-      passes_(std::move(parts.passes)),
-      members_only_(parts.members_only),
-      tick_(loop_),
-      ask_again_(loop_),
-      complaints_(loop_) {}
+UdpReplicationService::UdpReplicationService(ReplicationContext context)
+    : loop_(context.loop),
+      settings_(context.settings),
+      name_(settings_.name.empty() ? context.name : settings_.name),
+      recovery_(context.recovered ? ReplicationEngine::Recovery::kComplete
+                                  : ReplicationEngine::Recovery::kIncomplete),
+      consistency_guard_(context.consistency_guard),
+      on_learned_(std::move(context.on_learned)),
+      passes_(std::move(context.passes)),
+      scope_(context.membership_only ? ReplicationScope::kMembershipOnly : ReplicationScope::kAll),
+      tick_timer_(loop_),
+      poll_timer_(loop_),
+      log_limit_(loop_) {}
 
 UdpReplicationService::~UdpReplicationService() {
   if (engine_ != nullptr && engine_->lease_client() != nullptr) consistency_guard_.SetHolding(nullptr);
   if (socket_ != nullptr) loop_.poller().Remove(g_socket_get_fd(socket_.get()));
 }
 
-std::string UdpReplicationService::Start() {
-  auto keys = LoadKeys(setup_.key_file);
-  if (auto* wrong = std::get_if<std::string>(&keys)) return *wrong;
-  envelope_ = std::make_unique<DatagramAuthenticator>(std::get<std::vector<SharedKey>>(std::move(keys)));
-  const net::ObjectPtr<GSocketAddress> local = net::SocketAddress(*setup_.listen);
-  if (local == nullptr) return "the address for peers is none of this machine's";
+tl::expected<void, StartError> UdpReplicationService::Start() {
+  auto keys = LoadSharedKeys(settings_.key_file);
+  if (!keys) return tl::unexpected(std::move(keys.error()));
+  authenticator_ = std::make_unique<DatagramAuthenticator>(std::move(*keys));
+  const auto bound = OpenSocket();
+  if (!bound) return tl::unexpected(bound.error());
+  const std::string bound_address = TextOf(bound->get());
+  CreateEngine(bound_address);
+  loop_.poller().Add(g_socket_get_fd(socket_.get()), EPOLLIN, *this);
+  // Not the beginning of this pass, nor that of the loop: recovery may have taken seconds since, which the
+  // peers would lack to count this instance.
+  started_ = loop_.Precise();
+  spdlog::info("peers: instance {} at {}", name_, bound_address);
+  Tick();
+  return {};
+}
+
+// The address to which the socket is bound.
+tl::expected<net::ObjectPtr<GSocketAddress>, StartError> UdpReplicationService::OpenSocket() {
+  const net::ObjectPtr<GSocketAddress> local = net::SocketAddress(*settings_.listen);
+  if (local == nullptr) return tl::unexpected(StartError{StartErrorCode::kPeerAddress, {}, {}});
   net::ErrorSlot error;
   socket_.reset(g_socket_new(g_socket_address_get_family(local.get()), G_SOCKET_TYPE_DATAGRAM,
                              G_SOCKET_PROTOCOL_UDP, error.out()));
   if (socket_ == nullptr || !g_socket_bind(socket_.get(), local.get(), TRUE, error.out())) {
     socket_.reset();
-    return "cannot listen for peers on " + TextOf(*setup_.listen) + ": " + error.text();
+    return tl::unexpected(StartError{StartErrorCode::kPeerListen, TextOf(*settings_.listen), error.text()});
   }
   g_socket_set_blocking(socket_.get(), FALSE);
-  const net::ObjectPtr<GSocketAddress> bound(g_socket_get_local_address(socket_.get(), nullptr));
-  // A life is named by chance: a clock that was set back must not bring an old name again.
-  std::random_device device;
-  const std::uint64_t incarnation_id = (std::uint64_t{device()} << 32 | device()) | 1;
+  return net::ObjectPtr<GSocketAddress>(g_socket_get_local_address(socket_.get(), nullptr));
+}
+
+void UdpReplicationService::CreateEngine(const std::string& bound_address) {
+  const std::uint64_t incarnation_id = NewIncarnationId();
   proto::Member self;
   self.set_name(name_);
   self.set_incarnation_id(incarnation_id);
   self.set_started_us(static_cast<std::uint64_t>(loop_.Now().time_since_epoch().count()));
-  // Where others reach it may not be where it listens: behind a relay, or in another network.
-  self.set_address(setup_.advertise ? TextOf(*setup_.advertise) : TextOf(bound.get()));
+  // Peers may reach it elsewhere than where it listens: behind a relay, or in another network.
+  self.set_address(settings_.advertise ? TextOf(*settings_.advertise) : bound_address);
   std::vector<std::string> seeds;
-  for (const net::Address& seed : setup_.seeds) seeds.push_back(TextOf(seed));
-  ReplicationEngine::Options options;
-  options.flush_interval = setup_.flush;
-  options.membership_only = members_only_;
-  options.swim.period = setup_.probe;
-  options.swim.size = 1 + setup_.seeds.size();  // the settings name all others
-  if (setup_.watermarks != ReplicationMode::kBroadcast) {
-    lease::SessionLeaseClient::Options& directory = options.leases.emplace();
-    directory.owner.recall = consistency_guard_.recall();
-    directory.owner.entries = directory.holds =
-        std::max(kLeastEntries, consistency_guard_.watermark_table().buckets() * 4);
-    if (setup_.owner) directory.owner.entries = std::max(directory.owner.entries, kOwnersEntries);
-    directory.reads_per_s = setup_.asks_per_s;
-    directory.bytes_per_s = setup_.bytes_per_s;
-    directory.coalesce = setup_.coalesce;
-    options.swim.owns = setup_.owner;
-    directory.writes_wait = setup_.watermarks == ReplicationMode::kLeases;
-    directory.owner.recalls = directory.writes_wait;
-    if (!directory.writes_wait) spdlog::warn("peers: sessions have several holders: reads may miss writes");
-  }
-  if (setup_.plain_members) {
-    options.swim.most_doubt = 0;
-    options.swim.unconfirmed = 1;
-    options.swim.ask_lately = 0;
-    options.swim.repeat = false;
-    options.swim.proven = false;
-    spdlog::warn("peers: members are plain: two parts may both hold themselves for the larger");
-  }
-  engine_ = std::make_unique<ReplicationEngine>(
-      options, std::move(self), std::move(seeds),
-      recovered_ ? ReplicationEngine::Recovery::kComplete : ReplicationEngine::Recovery::kIncomplete,
-      consistency_guard_, incarnation_id);
-  engine_->OnLog([](const std::string& text) { spdlog::info("peers: {}", text); });
+  for (const net::Address& seed : settings_.seeds) seeds.push_back(TextOf(seed));
+  WarnOfUnsafeSettings(settings_);
+  engine_ = std::make_unique<ReplicationEngine>(EngineOptionsFrom(settings_, consistency_guard_, scope_),
+                                                std::move(self), std::move(seeds), recovery_,
+                                                consistency_guard_, incarnation_id);
+  engine_->OnLog([](const std::string& line) { spdlog::info("peers: {}", line); });
   if (engine_->lease_client() != nullptr) consistency_guard_.SetHolding(this);
-  loop_.poller().Add(g_socket_get_fd(socket_.get()), EPOLLIN, *this);
-  // Not the pass, or the moment at which the loop was made: reading the state may have taken seconds since,
-  // and the others would be given so much less to count this instance.
-  started_ = loop_.Precise();
-  spdlog::info("peers: instance {} at {}", name_, TextOf(bound.get()));
-  Tick();
-  return {};
 }
 
 void UdpReplicationService::ReloadKeys() {
-  auto keys = LoadKeys(setup_.key_file);
-  if (const auto* wrong = std::get_if<std::string>(&keys)) {
-    spdlog::error("peers: {}; the old keys stay", *wrong);
+  auto keys = LoadSharedKeys(settings_.key_file);
+  if (!keys) {
+    spdlog::error("peers: {}; the old keys stay", lynxgrade::Describe(keys.error()));
     return;
   }
-  envelope_->Replace(std::get<std::vector<SharedKey>>(std::move(keys)));
-  spdlog::info("peers: keys read again");
+  authenticator_->ReplaceKeys(std::move(*keys));
+  spdlog::info("peers: keys reloaded");
 }
 
 bool UdpReplicationService::Ready() const {
-  // What a former life may have promised is over soon, whoever is there.
+  // Whoever is there, the leases of a former incarnation expire soon.
   if (!engine_->MayServe(loop_.Precise())) return false;
   if (engine_->CountedByAllPeers() && engine_->swim().unheard_seeds().empty()) return true;
-  return loop_.Now() - started_ >= setup_.join_within;
+  return loop_.Now() - started_ >= settings_.join_within;
 }
 
 void UdpReplicationService::Tick() {
   {
-    const Timed timed(*this);
-    engine_->Tick(loop_.Precise(), out_);
-    Flush();
-    TellPart();
-    TellConflict();
+    const ProcessorTimeMeter::Scope scope(processor_time_);
+    engine_->Tick(loop_.Precise(), outbox_);
+    SendOutbox();
+    LogQuorumChange();
+    LogDuplicateName();
   }
-  Learnt();
-  tick_.After(kTick, [this] { Tick(); });
+  NotifyLearned();
+  tick_timer_.After(kTickInterval, [this] { Tick(); });
 }
 
-void UdpReplicationService::TellPart() {
-  // A walk over all members: not on each tick.
-  if (loop_.Now() - part_told_ < kTellPartEvery) return;
-  part_told_ = loop_.Now();
-  const membership::QuorumTracker::Value value = engine_->QuorumStateAt(loop_.Precise());
-  if (value.part == part_) return;
-  part_ = value.part;
-  spdlog::info("peers: {}: {} of {} instances in reach, view {:016x}", membership::NameOf(part_), Reached(),
-               1 + setup_.seeds.size(), value.view);
+void UdpReplicationService::LogQuorumChange() {
+  // It walks over all members: not in each tick.
+  if (loop_.Now() - quorum_checked_ < kQuorumLogInterval) return;
+  quorum_checked_ = loop_.Now();
+  const membership::QuorumTracker::Value quorum = engine_->QuorumStateAt(loop_.Precise());
+  if (quorum.part == logged_quorum_) return;
+  logged_quorum_ = quorum.part;
+  spdlog::info("peers: {}: {} of {} instances in reach, view {:016x}", membership::NameOf(logged_quorum_),
+               ReachableInstances(), FleetSize(settings_), quorum.view);
 }
 
-std::size_t UdpReplicationService::Reached() const {
+std::size_t UdpReplicationService::ReachableInstances() const {
   const auto alive = std::ranges::count_if(engine_->swim().peers(), [](const auto& item) {
     return item.second.member.state() == proto::Member::ALIVE;
   });
   return 1 + static_cast<std::size_t>(alive);
 }
 
-void UdpReplicationService::TellConflict() {
+void UdpReplicationService::LogDuplicateName() {
   const std::uint64_t conflicts = engine_->swim().conflicts();
-  std::uint64_t left_out = 0;
-  if (conflicts == conflicts_ || !complaints_.Allows(left_out)) return;
-  conflicts_ = conflicts;
+  std::uint64_t suppressed = 0;
+  if (conflicts == logged_conflicts_ || !log_limit_.Allows(suppressed)) return;
+  logged_conflicts_ = conflicts;
   spdlog::warn(
-      "peers: two running instances share a name, heard {} times; the one that started first stands aside",
+      "peers: duplicate node name: two running instances share it, the older one rejects writes; "
+      "conflicts={}",
       conflicts);
 }
 
 std::string UdpReplicationService::Describe() const {
-  const TimePoint now = loop_.Precise();
-  const membership::Swim& swim = engine_->swim();
-  membership::QuorumTracker quorum_tracker =
-      swim.quorum_tracker();  // a look does not change what is said of it
-  const membership::QuorumTracker::Value value = quorum_tracker.At(now);
-  const auto seconds = [](Duration time) { return static_cast<double>(time.count()) * 1e-6; };
-  nlohmann::json json = {{"name", name_},
-                         {"size", 1 + setup_.seeds.size()},
-                         {"part", membership::NameOf(value.part)},
-                         {"for_s", seconds(now - value.since)},
-                         {"proven_s", nullptr},
-                         {"view", fmt::format("{:016x}", value.view)},
-                         {"in_view", quorum_tracker.count()},
-                         {"doubt", swim.doubt()},
-                         {"most_doubt", swim.options().most_doubt},
-                         {"stalls", swim.stalls()},
-                         {"conflicts", swim.conflicts()},
-                         {"dropped", dropped_},
-                         {"spent_s", seconds(spent())},
-                         {"unheard", swim.unheard_seeds()},
-                         {"peers", nlohmann::json::array()}};
-  if (value.until) json["proven_s"] = seconds(*value.until - now);
-  if (const lease::SessionLeaseClient* directory = engine_->lease_client()) {
-    const auto& counts = directory->counts();
-    const auto& granted = directory->owner().counts();
-    const auto& courier = engine_->lease_relay()->counts();
-    json["directory"] = {{"owner", setup_.owner},       {"owners_set_aside", swim.owners().size()},
-                         {"holds", directory->holds()}, {"entries", directory->owner().size()},
-                         {"asks", counts.asks},         {"grants", counts.grants},
-                         {"exact", counts.exact},       {"recalled", counts.recalled},
-                         {"capped", counts.capped},     {"over_budget", counts.over_budget},
-                         {"granted", granted.grants},   {"denied", granted.denied},
-                         {"waited", courier.waited},    {"passed_on", courier.passed_on}};
-  }
-  static constexpr std::array kStates = {"alive", "suspect", "dead", "left"};
-  for (const auto& [name, peer] : swim.peers()) {
-    const auto differs = swim.differences().find(name);
-    const auto state = static_cast<std::size_t>(peer.member.state());
-    nlohmann::json one = {{"name", name},
-                          {"address", peer.member.address()},
-                          {"state", state < kStates.size() ? kStates[state] : "unknown"},
-                          {"for_s", seconds(now - peer.changed)},
-                          {"heard_s", nullptr},
-                          {"same_view", peer.view == value.view},
-                          {"differs", nlohmann::json::array()}};
-    if (peer.heard != TimePoint{}) one["heard_s"] = seconds(now - peer.heard);
-    if (differs != swim.differences().end()) one["differs"] = differs->second;
-    json["peers"].push_back(std::move(one));
-  }
-  for (std::size_t kind = 0; kind < kTrafficKindNames.size(); ++kind) {
-    const auto &out = traffic_.out[kind], &in = traffic_.in[kind];
-    json["traffic"][kTrafficKindNames[kind]] = {{"packets_out", out.packets},
-                                                {"bytes_out", out.bytes},
-                                                {"packets_in", in.packets},
-                                                {"bytes_in", in.bytes}};
-  }
-  return json.dump();
+  return FormatReplicationReport({.now = loop_.Precise(),
+                                  .name = name_,
+                                  .settings = settings_,
+                                  .engine = *engine_,
+                                  .traffic = traffic_,
+                                  .rejected_datagrams = rejected_datagrams_,
+                                  .processor_time = processor_time()});
 }
 
 std::optional<LogPosition> UdpReplicationService::Exact(consistency::SessionKey key) {
@@ -273,117 +189,112 @@
 
 bool UdpReplicationService::Want(GroupId group, consistency::SessionKey key, bool write) {
   using Use = lease::SessionLeaseClient::Use;
-  const Timed timed(*this);
+  const ProcessorTimeMeter::Scope scope(processor_time_);
   const bool expected =
-      engine_->AcquireLease(loop_.Precise(), group, key, write ? Use::kWrite : Use::kRead, out_);
-  Flush();
+      engine_->AcquireLease(loop_.Precise(), group, key, write ? Use::kWrite : Use::kRead, outbox_);
+  SendOutbox();
   return expected;
 }
 
-bool UdpReplicationService::WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) {
+bool UdpReplicationService::CallWhenMayAnswer(GroupId group, consistency::SessionKey key,
+                                              std::function<void()> call) {
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
   Want(group, key, true);
-  // Its owner may be this instance itself.
+  // This instance may manage the lease itself, and hold it at once.
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
-  unheld_.push_back({group, key, std::move(call), loop_.Precise() + kMostWait});
+  pending_answers_.Add({group, key, std::move(call), loop_.Precise() + kPendingAnswerLifetime});
   return true;
 }
 
-void UdpReplicationService::AnswerHeld() {
-  if (unheld_.empty()) return;
-  const TimePoint now = loop_.Precise();
-  for (Unheld& one : std::exchange(unheld_, {})) {
-    if (now >= one.until) continue;
-    if (engine_->MayAnswerWrite(loop_.Precise(), one.key)) {
-      one.call();
-      continue;
-    }
-    Want(one.group, one.key, true);
-    unheld_.push_back(std::move(one));
-  }
+void UdpReplicationService::ProcessPendingAnswers() {
+  if (pending_answers_.empty()) return;
+  pending_answers_.Process(
+      loop_.Precise(),
+      [this](consistency::SessionKey key) { return engine_->MayAnswerWrite(loop_.Precise(), key); },
+      [this](GroupId group, consistency::SessionKey key) { Want(group, key, true); });
 }
 
-void UdpReplicationService::Learnt() {
-  AnswerHeld();
-  if (learnt_) learnt_();
+void UdpReplicationService::NotifyLearned() {
+  ProcessPendingAnswers();
+  if (on_learned_) on_learned_();
 }
 
-// Word that was asked for before a read came does not cover it: it is asked for again as soon as may be.
-void UdpReplicationService::Solicit() {
-  if (engine_->lease_client() != nullptr) return;  // what there is to ask has been asked
-  if (ask_again_.armed()) return;
-  const Timed timed(*this);
+// Watermarks that were polled before a read came do not serve it: the peers are polled again as soon as
+// possible.
+void UdpReplicationService::PollPeers() {
+  if (engine_->lease_client() != nullptr) return;  // the lease of the session has been requested
+  if (poll_timer_.armed()) return;
+  const ProcessorTimeMeter::Scope scope(processor_time_);
   const TimePoint now = loop_.Precise();
-  if (!engine_->PollPeers(now, out_)) {
-    return ask_again_.Set(now + ReplicationEngine::kMinPollInterval, [this] { Solicit(); });
+  if (!engine_->PollPeers(now, outbox_)) {
+    return poll_timer_.Set(now + ReplicationEngine::kMinPollInterval, [this] { PollPeers(); });
   }
-  Flush();
+  SendOutbox();
 }
 
 void UdpReplicationService::Leave() {
-  engine_->PollPeers(loop_.Precise() + Duration(1000000),
-                     out_);  // the last marks go out whenever the last flush was
-  engine_->Leave(loop_.Precise(), out_);
-  Flush();
+  engine_->PollPeers(loop_.Precise() + kLastPollAdvance, outbox_);
+  engine_->Leave(loop_.Precise(), outbox_);
+  SendOutbox();
 }
 
-void UdpReplicationService::Flush() {
-  for (membership::Out& out : std::exchange(out_, {})) {
-    const auto address = net::ParseAddress(out.address);
+void UdpReplicationService::SendOutbox() {
+  for (membership::Out& outgoing : std::exchange(outbox_, {})) {
+    const auto address = net::ParseAddress(outgoing.address);
     const net::ObjectPtr<GSocketAddress> target = address ? net::SocketAddress(*address) : nullptr;
     if (target == nullptr) continue;
-    if (passes_ && !passes_(out.address)) continue;
-    const std::string datagram = envelope_->Seal(out.packet);
-    Note(traffic_.out, out.packet, datagram.size());
-    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeads);
-    // A datagram that cannot be sent now is a lost one.
+    if (passes_ && !passes_(outgoing.address)) continue;
+    const std::string datagram = authenticator_->Sign(outgoing.packet);
+    CountPacket(outgoing.packet, datagram.size(), traffic_.out);
+    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeaderBytes);
+    // A datagram that cannot be sent now is lost, like one on the network.
     g_socket_send_to(socket_.get(), target.get(), datagram.data(), datagram.size(), nullptr, nullptr);
   }
 }
 
 void UdpReplicationService::OnEvents(std::uint32_t) {
   {
-    const Timed timed(*this);
-    TakeAll();
-    Flush();
+    const ProcessorTimeMeter::Scope scope(processor_time_);
+    ReceiveDatagrams();
+    SendOutbox();
   }
-  Learnt();
+  NotifyLearned();
 }
 
-void UdpReplicationService::TakeAll() {
-  std::array<char, kMostDatagram> buffer;
-  for (int i = 0; i < kDatagramsAtOnce; ++i) {
-    GSocketAddress* from = nullptr;
+void UdpReplicationService::ReceiveDatagrams() {
+  std::array<char, kMaxDatagramBytes> buffer;
+  for (int received = 0; received < kMaxDatagramsPerPass; ++received) {
+    GSocketAddress* address = nullptr;
     const gssize size =
-        g_socket_receive_from(socket_.get(), &from, buffer.data(), buffer.size(), nullptr, nullptr);
-    const net::ObjectPtr<GSocketAddress> sender(from);
+        g_socket_receive_from(socket_.get(), &address, buffer.data(), buffer.size(), nullptr, nullptr);
+    const net::ObjectPtr<GSocketAddress> sender(address);
     if (size < 0) break;
     if (sender == nullptr || !G_IS_INET_SOCKET_ADDRESS(sender.get())) continue;
-    Take({buffer.data(), static_cast<std::size_t>(size)}, TextOf(sender.get()));
+    HandleDatagram({buffer.data(), static_cast<std::size_t>(size)}, TextOf(sender.get()));
   }
 }
 
-void UdpReplicationService::Take(std::string_view datagram, const std::string& from) {
-  if (passes_ && !passes_(from)) return;
-  auto opened = envelope_->Open(datagram);
-  if (const auto* packet = std::get_if<proto::Packet>(&opened)) {
-    Note(traffic_.in, *packet, datagram.size());
-    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeads);
-    // Not the time at which this pass began: the ages of words are told up to the moment of the answer, and
-    // the process may have stood still in between.
-    return engine_->HandlePacket(loop_.Precise(), from, *packet, out_);
+void UdpReplicationService::HandleDatagram(std::string_view datagram, const std::string& sender_address) {
+  if (passes_ && !passes_(sender_address)) return;
+  if (const auto packet = authenticator_->Verify(datagram)) {
+    CountPacket(*packet, datagram.size(), traffic_.in);
+    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeaderBytes);
+    // Not the beginning of this pass: ages of acknowledgements count up to the moment of the response, and
+    // the process may have been suspended in between.
+    engine_->HandlePacket(loop_.Precise(), sender_address, *packet, outbox_);
+  } else {
+    ++rejected_datagrams_;
+    std::uint64_t suppressed = 0;
+    if (!log_limit_.Allows(suppressed)) return;
+    spdlog::warn("peers: datagram rejected: {}; sender={} suppressed={}",
+                 replication::Describe(packet.error()), sender_address, suppressed);
   }
-  ++dropped_;
-  std::uint64_t left_out = 0;
-  if (!complaints_.Allows(left_out)) return;
-  spdlog::warn("peers: a datagram from {} is dropped: {}; {} more lines like this left out", from,
-               DatagramAuthenticator::NameOf(std::get<DatagramAuthenticator::Fault>(opened)), left_out);
 }
 
 }  // namespace lynxgrade::replication
 
-// The module's one door: peers/load.cpp calls it.
+// The module's entry point, called by module_loader.cpp. The caller owns the service.
 extern "C" G_MODULE_EXPORT lynxgrade::replication::ReplicationService* lynxgrade_make_peers(
-    lynxgrade::replication::ReplicationContext* parts) {
-  return new lynxgrade::replication::UdpReplicationService(std::move(*parts));
+    lynxgrade::replication::ReplicationContext* context) {
+  return new lynxgrade::replication::UdpReplicationService(std::move(*context));
 }
--- a/src/replication/udp_replication_service.h
+++ b/src/replication/udp_replication_service.h
@@ -1,5 +1,5 @@
-// The peers' side of this instance on a real socket: one UDP socket, the envelope, and the clock for the
-// exchange.
+// The replication engine of this instance on a real network: one UDP socket, authentication of datagrams, and
+// the clock and timers of the event loop.
 #pragma once
 
 #include <cstdint>
@@ -7,12 +7,16 @@
 #include <memory>
 #include <optional>
 #include <string>
-#include <vector>
+#include <string_view>
 
 #include "net/connection.h"
 #include "net/log_limit.h"
 #include "net/loop.h"
 #include "replication/datagram_authenticator.h"
+#include "replication/engine_options.h"
+#include "replication/outbox.h"
+#include "replication/pending_write_answers.h"
+#include "replication/processor_time.h"
 #include "replication/replication_engine.h"
 #include "replication/replication_service.h"
 #include "settings/program_settings.h"
@@ -23,96 +27,74 @@
                                     private net::Poller::Handler,
                                     private consistency::SessionLeases {
  public:
-  explicit UdpReplicationService(ReplicationContext parts);
+  explicit UdpReplicationService(ReplicationContext context);
   ~UdpReplicationService() override;
   UdpReplicationService(const UdpReplicationService&) = delete;
   UdpReplicationService& operator=(const UdpReplicationService&) = delete;
 
-  std::string Start() override;
+  tl::expected<void, StartError> Start() override;
   void ReloadKeys() override;
-  void Wrote(GroupId group, consistency::SessionKey key,
-             const consistency::WriteWatermark& watermark) override {
+  void RecordWrite(GroupId group, consistency::SessionKey key,
+                   const consistency::WriteWatermark& watermark) override {
     engine_->RecordWrite(group, key, watermark);
   }
-  bool WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) override;
-  void Solicit() override;
+  bool CallWhenMayAnswer(GroupId group, consistency::SessionKey key, std::function<void()> call) override;
+  void PollPeers() override;
   bool Ready() const override;
   std::string Describe() const override;
-  std::size_t Reached() const override;
+  std::size_t ReachableInstances() const override;
   const Traffic& traffic() const override { return traffic_; }
-  Duration spent() const override { return Duration(spent_ns_ / 1000); }
+  Duration processor_time() const override { return processor_time_.total(); }
   void Leave() override;
+
   const ReplicationEngine& engine() const { return *engine_; }
-  std::uint64_t dropped() const { return dropped_; }
+  std::uint64_t rejected_datagrams() const { return rejected_datagrams_; }
 
  private:
-  static constexpr int kDatagramsAtOnce = 64;  // a flood must not keep clients waiting
-  static constexpr std::size_t kMostDatagram = 65536;
-  static constexpr Duration kTick{5000};
-  static constexpr Duration kTellPartEvery{50000};  // a line of the log; who acts on the part looks itself
-  // Requests whose answers wait for longer are long over.
-  static constexpr Duration kMostWait{60000000};
-  // Answered writes of sessions that are not held yet.
-  struct Unheld {
-    GroupId group{};
-    consistency::SessionKey key{};
-    std::function<void()> call;
-    TimePoint until{};
-  };
-
+  // consistency::SessionLeases
   std::optional<LogPosition> Exact(consistency::SessionKey key) override;
   bool Want(GroupId group, consistency::SessionKey key, bool write) override;
-  // Lets go the answers that may be given now, and goes on asking for the others.
-  void AnswerHeld();
-  // What came may let reads and answers go on.
-  void Learnt();
+
+  tl::expected<net::ObjectPtr<GSocketAddress>, StartError> OpenSocket();
+  void CreateEngine(const std::string& bound_address);
+  // Sends the write answers that may be sent now, and requests the leases for the others.
+  void ProcessPendingAnswers();
+  // Packets have come, or time has passed, that may let reads and write answers proceed.
+  void NotifyLearned();
 
   void OnEvents(std::uint32_t events) override;
-  void TakeAll();
-  void Take(std::string_view datagram, const std::string& from);
+  void ReceiveDatagrams();
+  void HandleDatagram(std::string_view datagram, const std::string& sender_address);
+  void SendOutbox();
   void Tick();
-  // Says how large a part of the fleet this instance is with, where that has changed.
-  void TellPart();
-  // That two instances share a name, which nobody can mend but the operators.
-  void TellConflict();
-  void Flush();
-  // Counts a stretch of this thread's processor time; one inside another is counted with it.
-  class Timed {
-   public:
-    explicit Timed(UdpReplicationService& of);
-    ~Timed();
-    Timed(const Timed&) = delete;
-    Timed& operator=(const Timed&) = delete;
-
-   private:
-    UdpReplicationService& of_;
-    std::int64_t from_;
-  };
+  // Logs which part of the fleet this instance belongs to, if that has changed.
+  void LogQuorumChange();
+  // Logs that two instances share a name, which only the operators can mend.
+  void LogDuplicateName();
 
   net::Loop& loop_;
-  ReplicationSettings setup_;
+  ReplicationSettings settings_;
   std::string name_;
-  bool recovered_;
+  ReplicationEngine::Recovery recovery_;
   consistency::SessionConsistencyGuard& consistency_guard_;
-  std::function<void()> learnt_;
+  std::function<void()> on_learned_;
   std::function<bool(const std::string&)> passes_;
-  bool members_only_;
+  ReplicationScope scope_;
   Traffic traffic_;
   net::ObjectPtr<GSocket> socket_;
-  std::unique_ptr<DatagramAuthenticator> envelope_;
+  std::unique_ptr<DatagramAuthenticator> authenticator_;
   std::unique_ptr<ReplicationEngine> engine_;
-  Outbox out_;
-  std::vector<Unheld> unheld_;
-  net::Timer tick_;
-  net::Timer ask_again_;
-  net::LogLimit complaints_;
-  membership::QuorumState part_ = membership::QuorumState::kUnknown;
-  TimePoint part_told_{};
+  Outbox outbox_;
+  PendingWriteAnswers pending_answers_;
+  net::Timer tick_timer_;
+  net::Timer poll_timer_;
+  net::LogLimit log_limit_;
+  membership::QuorumState logged_quorum_ = membership::QuorumState::kUnknown;
+  TimePoint quorum_checked_{};
   TimePoint started_{};
-  std::uint64_t dropped_ = 0;
-  std::int64_t spent_ns_ = 0;
-  int timed_ = 0;                // stretches that are under way, one in another
-  std::uint64_t conflicts_ = 0;  // as last said
+  std::uint64_t rejected_datagrams_ = 0;
+  std::uint64_t logged_conflicts_ = 0;
+  ProcessorTimeMeter processor_time_;
 };
 
 }  // namespace lynxgrade::replication
--- a/testbed/scale_host.cpp
+++ b/testbed/scale_host.cpp
@@ -105,7 +105,7 @@
       traffic.in[kind].packets += more.in[kind].packets;
       traffic.in[kind].bytes += more.in[kind].bytes;
     }
-    if (instance.peers() != nullptr) exchange_us += instance.peers()->spent().count();
+    if (instance.peers() != nullptr) exchange_us += instance.peers()->processor_time().count();
     const consistency::SessionConsistencyCounts& consistency_guard =
         instance.proxy().consistency_guard().counts();
     probes += instance.proxy().counts().probes;
@@ -128,30 +128,30 @@
  public:
   TimedPeers(std::unique_ptr<replication::ReplicationService> peers, Counts& counts)
       : peers_(std::move(peers)), counts_(counts) {}
-  std::string Start() override { return peers_->Start(); }
+  tl::expected<void, StartError> Start() override { return peers_->Start(); }
   void ReloadKeys() override { peers_->ReloadKeys(); }
-  void Wrote(GroupId group, consistency::SessionKey key,
-             const consistency::WriteWatermark& watermark) override {
+  void RecordWrite(GroupId group, consistency::SessionKey key,
+                   const consistency::WriteWatermark& watermark) override {
     const std::int64_t from = ThreadUs();
-    peers_->Wrote(group, key, watermark);
+    peers_->RecordWrite(group, key, watermark);
     counts_.peers_us += ThreadUs() - from;
   }
-  bool WhenHeld(GroupId group, consistency::SessionKey key, std::function<void()> call) override {
+  bool CallWhenMayAnswer(GroupId group, consistency::SessionKey key, std::function<void()> call) override {
     const std::int64_t from = ThreadUs();
-    const bool waits = peers_->WhenHeld(group, key, std::move(call));
+    const bool waits = peers_->CallWhenMayAnswer(group, key, std::move(call));
     counts_.peers_us += ThreadUs() - from;
     return waits;
   }
-  void Solicit() override {
+  void PollPeers() override {
     const std::int64_t from = ThreadUs();
-    peers_->Solicit();
+    peers_->PollPeers();
     counts_.peers_us += ThreadUs() - from;
   }
   bool Ready() const override { return peers_->Ready(); }
   std::string Describe() const override { return peers_->Describe(); }
-  std::size_t Reached() const override { return peers_->Reached(); }
+  std::size_t ReachableInstances() const override { return peers_->ReachableInstances(); }
   const replication::Traffic& traffic() const override { return peers_->traffic(); }
-  Duration spent() const override { return peers_->spent(); }
+  Duration processor_time() const override { return peers_->processor_time(); }
   void Leave() override { peers_->Leave(); }
 
  private:
@@ -285,14 +285,12 @@
   };
   parts.forget = [this](ServerId member) { servers_.erase(member); };
   parts.make_peers = [this](replication::ReplicationContext with)
-      -> std::variant<std::unique_ptr<replication::ReplicationService>, std::string> {
+      -> tl::expected<std::unique_ptr<replication::ReplicationService>, StartError> {
     with.passes = [this](const std::string& address) { return host_.Passes(number_, address); };
-    with.members_only = host_.spec_.watermarks == "none";
+    with.membership_only = host_.spec_.watermarks == "none";
     auto loaded = replication::LoadReplicationModule(std::move(with));
-    if (auto* service = std::get_if<std::unique_ptr<replication::ReplicationService>>(&loaded)) {
-      return std::make_unique<TimedPeers>(std::move(*service), host_.counts_);
-    }
-    return loaded;
+    if (!loaded) return loaded;
+    return std::make_unique<TimedPeers>(std::move(*loaded), host_.counts_);
   };
   instance_ = std::make_unique<Instance>(host.loop_, config_, setup_, *this, std::move(parts));
 }
@@ -581,7 +579,8 @@
     all.Add(instance);
     listed += instance.data_servers() == databases_.size();
     const replication::ReplicationService* peers = instance.peers();
-    reached[number] = peers != nullptr ? peers->Reached() : static_cast<std::size_t>(spec_.poolers);
+    reached[number] =
+        peers != nullptr ? peers->ReachableInstances() : static_cast<std::size_t>(spec_.poolers);
     if (parts && peers != nullptr) {
       const Json said = Json::parse(peers->Describe());
       stalls += said.at("stalls").get<int>();
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -367,9 +367,9 @@
     names.push_back(std::make_unique<std::string>(name));
     auto peer = std::make_unique<replication::UdpReplicationService>(
         replication::ReplicationContext{loop, setup, *names.back(), false, *keepers.back(), [] {}});
-    const std::string fault = peer->Start();
-    CAPTURE(fault);
-    REQUIRE(fault.empty());
+    const auto started = peer->Start();
+    CAPTURE(started ? "" : Describe(started.error()));
+    REQUIRE(started.has_value());
     return peer;
   }
   net::Loop loop;
@@ -401,8 +401,8 @@
   Wait(pair.loop, 50);
   const auto packets = one->engine().counts().packets_sent;
   InAPass(pair.loop, [&] {
-    one->Solicit();
-    one->Solicit();  // for a read that came after the first
+    one->PollPeers();
+    one->PollPeers();  // for a read that came after the first
   });
   CHECK(one->engine().counts().packets_sent == packets + 1);
   Wait(pair.loop, 50);
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -19,9 +19,15 @@
 const std::string kOne(64, 'a'), kTwo(64, 'b');
 
 std::vector<SharedKey> Keys(const std::string& text) {
-  auto keys = ReadKeys(text);
-  REQUIRE(std::holds_alternative<std::vector<SharedKey>>(keys));
-  return std::get<std::vector<SharedKey>>(keys);
+  const auto keys = ParseSharedKeys(text);
+  REQUIRE(keys.has_value());
+  return *keys;
+}
+
+// The error for which a datagram is rejected.
+DatagramError ErrorOf(const tl::expected<proto::Packet, DatagramError>& verified) {
+  REQUIRE_FALSE(verified.has_value());
+  return verified.error();
 }
 
 proto::Packet APacket(std::uint64_t incarnation_id = 9) {
@@ -45,9 +51,9 @@
         Case{"1 " + kOne + " more", "line 1: something stands after"},
         Case{"1 " + std::string(63, 'a') + "g", "line 1: a key is not 64"}}) {
     CAPTURE(c.text);
-    const auto read = ReadKeys(c.text);
-    REQUIRE(std::holds_alternative<std::string>(read));
-    CHECK(std::get<std::string>(read).find(c.says) != std::string::npos);
+    const auto read = ParseSharedKeys(c.text);
+    REQUIRE_FALSE(read.has_value());
+    CHECK(Describe(read.error()).find(c.says) != std::string::npos);
   }
   CHECK(Keys("# first\n 7 " + kOne + " # signs\r\n8\t" + kTwo).size() == 2);
 }
@@ -56,22 +62,21 @@
   DatagramAuthenticator sender(Keys("1 " + kOne)), receiver(Keys("1 " + kOne)), stranger(Keys("1 " + kTwo)),
       other(Keys("2 " + kOne));
   proto::Packet packet = APacket();
-  const std::string datagram = sender.Seal(packet);
-  using Fault = DatagramAuthenticator::Fault;
-  CHECK(std::get<Fault>(stranger.Open(datagram)) == Fault::kTag);
-  CHECK(std::get<Fault>(other.Open(datagram)) == Fault::kKey);
-  CHECK(std::get<Fault>(receiver.Open("")) == Fault::kFormat);
+  const std::string datagram = sender.Sign(packet);
+  CHECK(ErrorOf(stranger.Verify(datagram)) == DatagramError::kInvalidSignature);
+  CHECK(ErrorOf(other.Verify(datagram)) == DatagramError::kUnknownKey);
+  CHECK(ErrorOf(receiver.Verify("")) == DatagramError::kMalformed);
   for (std::size_t i = 0; i < datagram.size(); ++i) {
     std::string changed = datagram;
     changed[i] = static_cast<char>(changed[i] ^ 1);
-    CHECK(std::holds_alternative<Fault>(receiver.Open(changed)));
-    CHECK(std::holds_alternative<Fault>(receiver.Open(datagram.substr(0, i))));
+    CHECK_FALSE(receiver.Verify(changed).has_value());
+    CHECK_FALSE(receiver.Verify(datagram.substr(0, i)).has_value());
   }
-  CHECK(std::holds_alternative<proto::Packet>(receiver.Open(datagram)));
-  CHECK(std::get<Fault>(receiver.Open(datagram)) == Fault::kReplay);
+  CHECK(receiver.Verify(datagram).has_value());
+  CHECK(ErrorOf(receiver.Verify(datagram)) == DatagramError::kReplayed);
   proto::Packet future = APacket();
   future.set_version(2);
-  CHECK(std::get<Fault>(receiver.Open(sender.Seal(future))) == Fault::kVersion);
+  CHECK(ErrorOf(receiver.Verify(sender.Sign(future))) == DatagramError::kUnsupportedVersion);
 }
 
 TEST_CASE("envelope: late and swapped datagrams are taken once each, those from long ago not at all") {
@@ -79,16 +84,15 @@
   std::vector<std::string> sent;
   for (int i = 0; i < 6000; ++i) {
     proto::Packet packet = APacket();
-    sent.push_back(sender.Seal(packet));
+    sent.push_back(sender.Sign(packet));
   }
-  CHECK(std::holds_alternative<proto::Packet>(receiver.Open(sent[5999])));
-  CHECK(std::holds_alternative<proto::Packet>(receiver.Open(sent[3000])));
-  CHECK(std::holds_alternative<DatagramAuthenticator::Fault>(receiver.Open(sent[3000])));
-  CHECK(std::holds_alternative<DatagramAuthenticator::Fault>(receiver.Open(sent[100])));
+  CHECK(receiver.Verify(sent[5999]).has_value());
+  CHECK(receiver.Verify(sent[3000]).has_value());
+  CHECK_FALSE(receiver.Verify(sent[3000]).has_value());
+  CHECK_FALSE(receiver.Verify(sent[100]).has_value());
   proto::Packet next_life = APacket(10);
   next_life.set_counter(1);
-  CHECK(std::holds_alternative<proto::Packet>(
-      receiver.Open(DatagramAuthenticator(Keys("1 " + kOne)).Seal(next_life))));
+  CHECK(receiver.Verify(DatagramAuthenticator(Keys("1 " + kOne)).Sign(next_life)).has_value());
 }
 
 TEST_CASE("envelope: keys are rotated under way, and no datagram is lost by it") {
@@ -97,23 +101,23 @@
   const auto both = [&] {
     for (int i = 0; i < 20; ++i) {
       proto::Packet to_b = APacket(1), to_a = APacket(2);
-      lost += !std::holds_alternative<proto::Packet>(b.Open(a.Seal(to_b)));
-      lost += !std::holds_alternative<proto::Packet>(a.Open(b.Seal(to_a)));
+      lost += !b.Verify(a.Sign(to_b)).has_value();
+      lost += !a.Verify(b.Sign(to_a)).has_value();
     }
   };
   const std::string added = "1 " + kOne + "\n2 " + kTwo, swapped = "2 " + kTwo + "\n1 " + kOne,
                     last = "2 " + kTwo;
   both();
   for (const std::string& step : {added, swapped, last}) {
-    a.Replace(Keys(step));
+    a.ReplaceKeys(Keys(step));
     both();
-    b.Replace(Keys(step));
+    b.ReplaceKeys(Keys(step));
     both();
   }
   CHECK(lost == 0);
   DatagramAuthenticator old(Keys("1 " + kOne));
   proto::Packet packet = APacket(3);
-  CHECK(std::holds_alternative<DatagramAuthenticator::Fault>(b.Open(old.Seal(packet))));
+  CHECK_FALSE(b.Verify(old.Sign(packet)).has_value());
 }
 
 constexpr GroupId kGroup{1};
--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -493,7 +493,7 @@
           asked.insert(address);
           return !cut;
         };
-        parts.members_only = members_only;
+        parts.membership_only = members_only;
         return replication::LoadReplicationModule(std::move(parts));
       };
       instance[i] = std::make_unique<Instance>(loop, config[i], setup[i], backends, host);
@@ -513,7 +513,7 @@
   }
   const replication::Traffic& Of(std::size_t i) const { return instance[i]->peers()->traffic(); }
   static constexpr auto kMembers = static_cast<std::size_t>(replication::TrafficKind::kMembership);
-  static constexpr auto kMarks = static_cast<std::size_t>(replication::TrafficKind::kMarks);
+  static constexpr auto kMarks = static_cast<std::size_t>(replication::TrafficKind::kWatermarks);
 
   net::Loop loop;
   Folder folder;
@@ -529,27 +529,27 @@
 TEST_CASE("an instance counts what it says by kind, and its host cuts its links") {
   Pair pair(false);
   REQUIRE(pair.Until([&] { return pair.instance[0]->Counted() && pair.instance[1]->Counted(); }));
-  CHECK(pair.instance[0]->peers()->Reached() == 2);
+  CHECK(pair.instance[0]->peers()->ReachableInstances() == 2);
   for (const std::size_t kind : {Pair::kMembers, Pair::kMarks}) {
     CHECK(pair.Of(0).out[kind].packets > 0);
     CHECK(pair.Of(1).in[kind].packets > 0);
     CHECK(pair.Of(1).in[kind].packets <= pair.Of(0).out[kind].packets);
     CHECK(pair.Of(1).in[kind].bytes <= pair.Of(0).out[kind].bytes);
-    CHECK(pair.Of(0).out[kind].bytes > pair.Of(0).out[kind].packets * replication::Traffic::kHeads);
+    CHECK(pair.Of(0).out[kind].bytes > pair.Of(0).out[kind].packets * replication::Traffic::kHeaderBytes);
   }
   CHECK(pair.asked.size() == 2);
   pair.cut = true;
   const auto out = pair.Of(0).out[Pair::kMarks].bytes;
-  CHECK(pair.Until([&] { return pair.instance[0]->peers()->Reached() == 1; }));
+  CHECK(pair.Until([&] { return pair.instance[0]->peers()->ReachableInstances() == 1; }));
   CHECK(pair.Of(0).out[Pair::kMarks].bytes == out);
   pair.cut = false;
-  CHECK(pair.Until([&] { return pair.instance[0]->peers()->Reached() == 2; }));
+  CHECK(pair.Until([&] { return pair.instance[0]->peers()->ReachableInstances() == 2; }));
   CHECK(pair.Until([&] { return pair.Of(0).out[Pair::kMarks].bytes > out; }));
 }
 
 TEST_CASE("where a host asks for membership alone, nothing is said of marks") {
   Pair pair(true);
-  REQUIRE(pair.Until([&] { return pair.instance[0]->peers()->Reached() == 2; }));
+  REQUIRE(pair.Until([&] { return pair.instance[0]->peers()->ReachableInstances() == 2; }));
   pair.Pass(Duration(300000));
   CHECK(pair.Of(0).out[Pair::kMembers].packets > 0);
   CHECK(pair.Of(0).out[Pair::kMarks].packets == 0);
