--- a/src/replication/engine_options.cpp
+++ b/src/replication/engine_options.cpp
@@ -23,7 +23,7 @@
   leases.bytes_per_s = settings.bytes_per_s;
   leases.coalesce = settings.coalesce;
   leases.writes_wait = settings.watermarks == ReplicationMode::kLeases;
-  leases.owner.recall = consistency_guard.recall();
+  leases.owner.recall = consistency_guard.write_retention();
   leases.owner.entries = leases.holds;
   if (settings.owner) leases.owner.entries = std::max(leases.owner.entries, kMinLeasesOfDedicatedManager);
   leases.owner.recalls = leases.writes_wait;
