--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -94,20 +94,16 @@
       }};
   auto service = host_.make_peers ? host_.make_peers(std::move(context))
                                   : replication::LoadReplicationModule(std::move(context));
-  if (const auto* cause = std::get_if<std::string>(&service)) {
-    return tl::unexpected(StartError{StartErrorCode::kReplication, {}, *cause});
-  }
-  replication_ = std::move(std::get<std::unique_ptr<replication::ReplicationService>>(service));
-  const std::string cause = replication_->Start();
-  if (!cause.empty()) return tl::unexpected(StartError{StartErrorCode::kReplication, {}, cause});
-  return {};
+  if (!service) return tl::unexpected(service.error());
+  replication_ = std::move(*service);
+  return replication_->Start();
 }
 
 void Instance::ConnectProxy() {
   proxy::Proxy::Waits waits;
   waits.wrote = [this](GroupId group, consistency::SessionKey session,
                        const consistency::WriteWatermark& watermark) {
-    if (replication_ != nullptr) replication_->Wrote(group, session, watermark);
+    if (replication_ != nullptr) replication_->RecordWrite(group, session, watermark);
     if (log_ != nullptr) log_->AppendWatermark(session, watermark);
   };
   if (log_ != nullptr || replication_ != nullptr) {
@@ -116,7 +112,7 @@
     };
   }
   if (log_ != nullptr) proxy_.consistency_guard().OnTimelineChange([this] { log_->AppendTimelines(); });
-  if (replication_ != nullptr) waits.ask_others = [this] { replication_->Solicit(); };
+  if (replication_ != nullptr) waits.ask_others = [this] { replication_->PollPeers(); };
   proxy_.SetWaits(std::move(waits));
 }
 
@@ -125,9 +121,9 @@
                            const std::function<void()>& call) {
   if (replication_ == nullptr) return log_->NotifyWhenDurable(call);
   const bool waits_for_disk = log_ != nullptr && log_->NotifyWhenDurable([this, group, session, call] {
-    if (!replication_->WhenHeld(group, session, call)) call();
+    if (!replication_->CallWhenMayAnswer(group, session, call)) call();
   });
-  return waits_for_disk || replication_->WhenHeld(group, session, call);
+  return waits_for_disk || replication_->CallWhenMayAnswer(group, session, call);
 }
 
 void Instance::StartWatch(std::int64_t revision) {
--- a/src/instance.h
+++ b/src/instance.h
@@ -11,7 +11,6 @@
 #include <optional>
 #include <string>
 #include <tl/expected.hpp>
-#include <variant>
 #include <vector>
 
 #include "discovery/endpoint_list.h"
@@ -36,8 +35,8 @@
     std::function<void(ServerId)> forget;
     // An update of the endpoint list has been applied.
     std::function<void()> changed;
-    // Makes the replication service; if empty, it comes from the module beside the program.
-    std::function<std::variant<std::unique_ptr<replication::ReplicationService>, std::string>(
+    // Makes the exchange with the others; absent: from the module beside the program.
+    std::function<tl::expected<std::unique_ptr<replication::ReplicationService>, StartError>(
         replication::ReplicationContext)>
         make_peers;
   };
--- a/src/start_error.h
+++ b/src/start_error.h
@@ -22,7 +22,6 @@
   kPeerListen,          // subject: the address; cause: what the system says
   kPeerKeysMissing,     // subject: the file
   kPeerKeysInvalid,     // subject: the file; cause: what is wrong with it
-  kReplication,         // cause: a sentence
   kReplicationModule,   // cause: what the loader says
   kStateFolder,         // subject: the folder; cause: what the system says
   kStateWrite,          // cause: what the system says
--- a/tests/replication/former_version_packets_test.cpp
+++ b/tests/replication/former_version_packets_test.cpp
@@ -5,7 +5,6 @@
 #include <fstream>
 #include <map>
 #include <string>
-#include <variant>
 
 #include "replication/datagram_authenticator.h"
 #include "replication/packet.pb.h"
@@ -174,15 +173,16 @@
 }
 
 TEST_CASE("a datagram signed by the former version is accepted, and signed alike") {
-  const auto keys = std::get<std::vector<SharedKey>>(ReadKeys("7 " + std::string(64, 'a')));
-  DatagramAuthenticator receiver(keys), sender(keys);
+  const auto keys = ParseSharedKeys("7 " + std::string(64, 'a'));
+  REQUIRE(keys.has_value());
+  DatagramAuthenticator receiver(*keys), sender(*keys);
   const std::string datagram = ReadFixture("datagram");
-  const auto opened = receiver.Open(datagram);
-  REQUIRE(std::holds_alternative<proto::Packet>(opened));
-  CHECK(std::get<proto::Packet>(opened).ping().nonce() == 11);
+  const auto verified = receiver.Verify(datagram);
+  REQUIRE(verified.has_value());
+  CHECK(verified->ping().nonce() == 11);
   proto::Packet packet = PacketWithSender();
   packet.mutable_ping()->set_nonce(11);
-  CHECK(sender.Seal(packet) == datagram);
+  CHECK(sender.Sign(packet) == datagram);
 }
 
 }  // namespace
