--- a/src/replication/exchange.cpp
+++ b/src/replication/exchange.cpp
@@ -47,8 +47,9 @@
 
 membership::Swim::Options Exchange::SwimOptions(const Options& options) {
   membership::Swim::Options swim = options.swim;
-  if (options.directory) swim.speaks = kDirected;
-  swim.owns = swim.owns && options.directory;  // who knows nothing of a directory owns nothing
+  if (options.directory) swim.protocol_version = kDirected;
+  swim.lease_manager.dedicated =
+      swim.lease_manager.dedicated && options.directory;  // who knows nothing of a directory owns nothing
   return swim;
 }
 
@@ -63,7 +64,7 @@
     lease::SessionLeaseClient::Options& directory = *options_.directory;
     directory.self = swim_.self().incarnation_id();
     directory.proof = swim_.acknowledgement_validity();
-    directory.alone = options_.swim.size == 1;
+    directory.alone = options_.swim.fleet_size == 1;
     const TimePoint started = At(static_cast<std::int64_t>(swim_.self().started_us()));
     lease::KnownWatermarks& watermarks = *this;
     directory_ = std::make_unique<lease::SessionLeaseClient>(directory, watermarks, started);
@@ -484,7 +485,7 @@
 bool Exchange::Whole(TimePoint now) {
   const membership::QuorumTracker& quorum_tracker = swim_.quorum_tracker();
   const std::uint64_t view = quorum_tracker.AcknowledgedView(now);
-  if (view == 0 || now < doubted_until_ || !options_.swim.proven) {
+  if (view == 0 || now < doubted_until_ || !options_.swim.acknowledgements.required) {
     looked_.view = 0;
     return false;
   }
@@ -492,7 +493,7 @@
   // what a directory cost at 205 instances.
   if (looked_.view != view || looked_.changes != swim_.changes()) {
     looked_ = {view, swim_.changes(), std::nullopt};
-    const bool all = quorum_tracker.count() == options_.swim.size && swim_.unheard_seeds().empty() &&
+    const bool all = quorum_tracker.count() == options_.swim.fleet_size && swim_.unheard_seeds().empty() &&
                      std::ranges::all_of(swim_.peers(), [this](const auto& item) {
                        const proto::Member& member = item.second.member;
                        return member.state() == proto::Member::LEFT ||
@@ -531,13 +532,13 @@
 // Of the owners set aside that are heard one that answers pings about as soon as the nearest, so that what
 // goes by way of it crosses no more regions than it has to; each instance finds its own, all get a part.
 lease::IncarnationId Exchange::NearOwner() const {
-  if (swim_.options().owns) return 0;
+  if (swim_.options().lease_manager.dedicated) return 0;
   std::vector<std::pair<lease::IncarnationId, std::optional<Duration>>> heard;
   std::optional<Duration> nearest;
   const std::vector<std::uint64_t>& owners = swim_.dedicated_lease_managers();
   for (const auto& [name, peer] : swim_.peers()) {
     if (std::ranges::find(owners, peer.member.incarnation_id()) == owners.end()) continue;
-    if ((peer.member.capabilities() & membership::Swim::kRelaysLeaseMessages) == 0) return 0;
+    if ((peer.member.capabilities() & membership::capability::kRelaysLeaseMessages) == 0) return 0;
     if (peer.member.state() != proto::Member::ALIVE) continue;
     heard.emplace_back(peer.member.incarnation_id(), peer.round_trip);
     if (peer.round_trip) nearest = std::min(nearest.value_or(*peer.round_trip), *peer.round_trip);
--- a/src/replication/exchange.h
+++ b/src/replication/exchange.h
@@ -56,7 +56,7 @@
   // Asks those peers that are not covered up to now for their word at once. False: the last time was under
   // `kSolicitEvery` ago, and nobody was asked.
   bool Solicit(TimePoint now, std::vector<membership::OutgoingPacket>& out);
-  void Leave(TimePoint now, std::vector<membership::OutgoingPacket>& out) { swim_.Leave(now, out); }
+  void Leave(TimePoint, std::vector<membership::OutgoingPacket>& out) { swim_.Leave(out); }
 
   // With a directory: rules R and W, and what has to be asked for them (see directory::Directory). Without
   // one a write may be answered at any time and nothing is exact.
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -112,7 +112,7 @@
   options.flush = setup_.flush;
   options.members_only = members_only_;
   options.swim.period = setup_.probe;
-  options.swim.size = 1 + setup_.seeds.size();  // the settings name all others
+  options.swim.fleet_size = 1 + setup_.seeds.size();  // the settings name all others
   if (setup_.watermarks != ReplicationMode::kBroadcast) {
     lease::SessionLeaseClient::Options& directory = options.directory.emplace();
     directory.owner.recall = consistency_guard_.recall();
@@ -122,17 +122,17 @@
     directory.reads_per_s = setup_.asks_per_s;
     directory.bytes_per_s = setup_.bytes_per_s;
     directory.coalesce = setup_.coalesce;
-    options.swim.owns = setup_.owner;
+    options.swim.lease_manager.dedicated = setup_.owner;
     directory.writes_wait = setup_.watermarks == ReplicationMode::kLeases;
     directory.owner.recalls = directory.writes_wait;
     if (!directory.writes_wait) spdlog::warn("peers: sessions have several holders: reads may miss writes");
   }
   if (setup_.plain_members) {
-    options.swim.most_doubt = 0;
-    options.swim.unconfirmed = 1;
-    options.swim.ask_lately = 0;
-    options.swim.repeat = false;
-    options.swim.proven = false;
+    options.swim.max_local_health_multiplier = 0;
+    options.swim.suspicion.max_timeout_factor = 1;
+    options.swim.suspicion.verify_deaths_periods = 0;
+    options.swim.probe.repeat_pings = false;
+    options.swim.acknowledgements.required = false;
     spdlog::warn("peers: members are plain: two parts may both hold themselves for the larger");
   }
   exchange_ = std::make_unique<Exchange>(options, std::move(self), std::move(seeds), recovered_,
@@ -220,7 +220,7 @@
                          {"view", fmt::format("{:016x}", value.view)},
                          {"in_view", quorum_tracker.count()},
                          {"doubt", swim.local_health_multiplier()},
-                         {"most_doubt", swim.options().most_doubt},
+                         {"most_doubt", swim.options().max_local_health_multiplier},
                          {"stalls", swim.stalls()},
                          {"conflicts", swim.duplicate_name_reports()},
                          {"dropped", dropped_},
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -40,12 +40,12 @@
 struct World {
   World(std::size_t count, std::uint64_t seed, bool lifeguard = true, bool proven = true)
       : random(seed), proven(proven) {
-    options.size = count;
+    options.fleet_size = count;
     if (!lifeguard) {
-      options.most_doubt = 0;
-      options.unconfirmed = 1;
-      options.ask_lately = 0;
-      options.repeat = false;
+      options.max_local_health_multiplier = 0;
+      options.suspicion.max_timeout_factor = 1;
+      options.suspicion.verify_deaths_periods = 0;
+      options.probe.repeat_pings = false;
     }
     nodes.resize(count);
     stopped.resize(count);
@@ -285,7 +285,7 @@
 // One hears both sides of a cut, and then another does: who is held dead though heard.
 int BetweenSides(std::uint64_t seed, bool ask) {
   World w(7, seed);
-  if (!ask) w.options.ask_lately = 0;
+  if (!ask) w.options.suspicion.verify_deaths_periods = 0;
   for (std::size_t i = 0; i < 7; ++i) w.Begin(i);
   w.Pass(kSecond * 20);
   w.settle = kSecond * 5;  // one that changes sides has to find the other again
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -375,11 +375,12 @@
   self.set_address("a" + std::to_string(number));
   Exchange::Options options;
   options.flush = kMs * 10;
-  options.swim.size = fleet.size;
-  options.swim.owns = fleet.Aside(number);
-  options.swim.owners_named = fleet.options.owners_named;
-  if (fleet.Old(number)) options.swim.understands = 0;
-  if (fleet.old_owner == number) options.swim.understands = membership::Swim::kKnowsDedicatedLeaseManagers;
+  options.swim.fleet_size = fleet.size;
+  options.swim.lease_manager.dedicated = fleet.Aside(number);
+  options.swim.lease_manager.all_must_know = fleet.options.owners_named;
+  if (fleet.Old(number)) options.swim.capabilities = 0;
+  if (fleet.old_owner == number)
+    options.swim.capabilities = membership::capability::kKnowsDedicatedLeaseManagers;
   if (way != Way::kBroadcast) {
     lease::SessionLeaseClient::Options& directory = options.directory.emplace();
     directory.reads_per_s = fleet.options.reads_per_s;
@@ -750,7 +751,7 @@
   self.set_address("a0");
   const auto view = [&](const proto::Member& of) {
     membership::Swim::Options options;
-    options.size = 2;
+    options.fleet_size = 2;
     membership::Swim swim(options, self, {}, 1);
     proto::Packet packet;
     packet.set_version(1);
@@ -767,7 +768,7 @@
   CHECK(known.SerializeAsString().ends_with(std::string("\xa0\x06\x2a", 3)));
   const auto [plain, nobody] = view(known);
   CHECK(nobody.empty());
-  known.set_capabilities(membership::Swim::kKnowsDedicatedLeaseManagers);
+  known.set_capabilities(membership::capability::kKnowsDedicatedLeaseManagers);
   CHECK(view(known) == std::pair(plain, nobody));
   known.set_dedicated_lease_manager(true);
   const auto [named, owners] = view(known);
