--- a/src/membership/anti_entropy.h
+++ b/src/membership/anti_entropy.h
@@ -1,5 +1,5 @@
-// Reconciles members whose views differ: one tells the other what it holds, a part at a time as a membership
-// digest, and the other answers with what it knows better.
+// Reconciles members whose views differ: one sends its member table, a part at a time as a membership digest,
+// and the other answers with what it knows better.
 //
 // Gossip alone does not suffice: it stops after some transmissions, and after a partition both sides have
 // stopped.
@@ -30,7 +30,7 @@
   // part of the digest, at most one part a period to whomever: after a partition all differ from all.
   void CompareViews(TimePoint now, const std::string& sender_address, const proto::Packet& packet,
                     std::uint64_t own_view, Outbox& outbox);
-  // Answers a digest: tells the sender of members that it does not have or has outdated, and pings those that
+  // Answers a digest: sends the members that its sender does not have or has outdated, and pings those that
   // are dead here and running there.
   void HandleDigest(const std::string& sender_address, const proto::Packet& packet, Outbox& outbox);
   // Discards what is noted of a removed member's digests.
@@ -56,7 +56,7 @@
   PacketBuilder& packets_;
   TimePoint next_digest_{};
   std::uint64_t next_part_ = 0;  // the incarnation id at which the next part starts
-  int pings_in_period_ = 0;      // of members that are dead here and running elsewhere
+  int pings_in_period_ = 0;      // of members that are dead here and running in a digest
   std::map<std::string, std::vector<std::string>> differences_;
 };
 
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -134,7 +134,7 @@
   }
   if (dead.empty()) return;
   const Peer& peer = *dead[random_() % dead.size()];
-  // The ping tells it that it is considered dead: its refutation spreads to all.
+  // The ping carries its state: it refutes that, and the refutation spreads to all.
   packets_.SendPing(peer.member.address(), packets_.DrawNonce(), outbox, &peer.member);
 }
 
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -27,15 +27,15 @@
   std::erase(unheard_seeds_, self_.address());
 }
 
-bool MemberTable::ApplyReport(TimePoint now, const proto::Member& reported, ReportSource source) {
-  if (reported.name().empty()) return false;
+ReportEffect MemberTable::ApplyReport(TimePoint now, const proto::Member& reported, ReportSource source) {
+  if (reported.name().empty()) return ReportEffect::kNone;
   if (reported.name() != self_.name()) {
     ApplyReportOfPeer(now, reported, source);
-    return false;
+    return ReportEffect::kNone;
   }
   if (reported.incarnation_id() != self_.incarnation_id()) return ApplyReportOfDuplicate(reported, source);
   Refute(reported.state(), reported.incarnation());
-  return false;
+  return ReportEffect::kNone;
 }
 
 void MemberTable::Refute(proto::Member::State reported_state, std::uint32_t reported_incarnation) {
@@ -47,19 +47,19 @@
 
 // Of two running processes of one name the one that started later stays. A later start of one that has ended
 // is due to a clock that was ahead: this process takes a later start still, or its reports would never apply.
-bool MemberTable::ApplyReportOfDuplicate(const proto::Member& reported, ReportSource source) {
+ReportEffect MemberTable::ApplyReportOfDuplicate(const proto::Member& reported, ReportSource source) {
   if (reported.started_us() < self_.started_us()) {
     duplicate_name_reports_ += source == ReportSource::kMember ? 1 : 0;
-    return false;
+    return ReportEffect::kNone;
   }
   if (!IsRunning(reported)) {
     self_.set_started_us(reported.started_us() + 1);
     superseded_ = false;
-    return false;
+    return ReportEffect::kNone;
   }
   ++duplicate_name_reports_;
   superseded_ = true;
-  return true;
+  return ReportEffect::kSuperseded;
 }
 
 void MemberTable::ApplyReportOfPeer(TimePoint now, const proto::Member& reported, ReportSource source) {
@@ -156,6 +156,11 @@
   return found == peers_.end() ? nullptr : &found->second;
 }
 
+const Peer* MemberTable::Find(const std::string& name) const {
+  const auto found = peers_.find(name);
+  return found == peers_.end() ? nullptr : &found->second;
+}
+
 std::size_t MemberTable::RunningCount() const {
   return static_cast<std::size_t>(
       std::ranges::count_if(peers_, [](const auto& item) { return IsRunning(item.second.member); }));
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -24,15 +24,20 @@
   kGossip,  // another member
 };
 
+// What a report means for this instance itself.
+enum class ReportEffect {
+  kNone,
+  kSuperseded,  // a running process of its name was started later
+};
+
 class MemberTable {
  public:
   // `seeds`: addresses of members to join by. The other arguments outlive the table.
   MemberTable(proto::Member self, std::vector<std::string> seeds, GossipQueue& gossip,
               LocalHealth& local_health, DeathVerifier& death_verifier);
 
-  // Applies what is reported of a member, which may be this instance. Returns whether the report shows that a
-  // running process of this instance's name supersedes it.
-  bool ApplyReport(TimePoint now, const proto::Member& reported, ReportSource source);
+  // Applies what is reported of a member, which may be this instance.
+  ReportEffect ApplyReport(TimePoint now, const proto::Member& reported, ReportSource source);
   // Where another member does not hold this instance alive, with the incarnation number that it knows: takes
   // a higher one, which refutes it.
   void Refute(proto::Member::State reported_state, std::uint32_t reported_incarnation);
@@ -55,6 +60,7 @@
   PeerMap& peers() { return peers_; }
   // Null where there is no such peer.
   Peer* Find(const std::string& name);
+  const Peer* Find(const std::string& name) const;
   // The number of peers that count as running.
   std::size_t RunningCount() const;
   // Seeds at whose address no member has been heard of.
@@ -73,7 +79,7 @@
   bool DrainRunningChanged() { return std::exchange(running_changed_, false); }
 
  private:
-  bool ApplyReportOfDuplicate(const proto::Member& reported, ReportSource source);
+  ReportEffect ApplyReportOfDuplicate(const proto::Member& reported, ReportSource source);
   void ApplyReportOfPeer(TimePoint now, const proto::Member& reported, ReportSource source);
   // Whether the report adds another member that suspects the peer.
   static bool ConfirmsSuspicion(Peer& peer, const proto::Member& reported);
--- a/src/membership/packet_builder.h
+++ b/src/membership/packet_builder.h
@@ -44,14 +44,15 @@
   void AddSenderAndGossip(proto::Packet& packet);
   // Completes the packet by `AddSenderAndGossip`, and queues it.
   void Send(OutgoingPacket packet, Outbox& outbox);
-  // Sends a ping. It tells the receiver of `subject`, a member that may be the receiver, if that is not
-  // alive.
+  // Sends a ping, with the state of `subject` as its first gossip if that is not alive. The subject may be
+  // the receiver, which then can refute it.
   void SendPing(const std::string& address, std::uint64_t nonce, Outbox& outbox,
                 const proto::Member* subject = nullptr);
-  // In a ping or ping request: says in which form this instance wants the ages.
+  // In a ping or ping request: in which form this instance wants the ages.
   void AddAgeFormat(proto::Packet& packet) const;
   // In an answer: adds the ages of acknowledgements.
   void AddAcknowledgementAges(const AgeRequest& request, proto::Packet& packet) const;
+  // By which an answer is matched with its ping.
   std::uint64_t DrawNonce() { return random_(); }
 
  private:
--- a/src/membership/ping_relay.h
+++ b/src/membership/ping_relay.h
@@ -16,7 +16,7 @@
 class PingRelay {
  public:
   // `period`: the protocol period. The references outlive the relay.
-  PingRelay(Duration period, MemberTable& members, PacketBuilder& packets)
+  PingRelay(Duration period, const MemberTable& members, PacketBuilder& packets)
       : period_(period), members_(members), packets_(packets) {}
 
   // Pings the member that the packet, received from `sender_address`, requests to ping.
@@ -40,7 +40,7 @@
   };
 
   Duration period_;
-  MemberTable& members_;
+  const MemberTable& members_;
   PacketBuilder& packets_;
   std::map<std::uint64_t, Request> requests_;  // by the nonce of the relayed ping
 };
--- a/src/membership/probe_schedule.h
+++ b/src/membership/probe_schedule.h
@@ -14,7 +14,7 @@
 class ProbeSchedule {
  public:
   // The arguments outlive the schedule.
-  ProbeSchedule(MemberTable& members, const QuorumTracker& quorum_tracker, std::mt19937_64& random)
+  ProbeSchedule(const MemberTable& members, const QuorumTracker& quorum_tracker, std::mt19937_64& random)
       : members_(members), quorum_tracker_(quorum_tracker), random_(random) {}
 
   // The next member that counts as running; null where there is none. Valid until a member is removed.
@@ -33,7 +33,7 @@
   void StartRound();
   void StartOwnBlockRound();
 
-  MemberTable& members_;
+  const MemberTable& members_;
   const QuorumTracker& quorum_tracker_;
   std::mt19937_64& random_;
   Round round_;
--- a/src/membership/quorum_tracker.h
+++ b/src/membership/quorum_tracker.h
@@ -1,12 +1,13 @@
 // How much of the fleet shares this instance's view, as far as that is proven.
 //
-// A network partition cannot be told from crashes, so a view is compared with the configured size of the
-// fleet, never with the number of instances seen. An instance acknowledges one view at a time, on each answer
-// to a ping, and none for a while after its view changed: for as long as its former acknowledgements may
-// still count. So each instance counts for one view at a time whatever links are cut, and two views cannot
-// both have a majority.
+// A network partition cannot be distinguished from crashes, so a view is compared with the configured size of
+// the fleet, never with the number of instances seen. An instance acknowledges one view at a time, on each
+// answer to a ping, and none for a while after its view changed: for as long as its former acknowledgements
+// may still count. So each instance counts for one view at a time whatever links are cut, and two views
+// cannot both have a majority.
 #pragma once
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <optional>
@@ -26,10 +27,10 @@
 class QuorumTracker {
  public:
   struct Options {
-    std::uint64_t self = 0;                 // this instance's incarnation id
-    std::size_t fleet_size = 1;             // this instance included
-    Duration validity{5000000};             // of an acknowledgement, from when its ping was sent
-    bool acknowledgements_required = true;  // false: members of the view count without one
+    std::uint64_t self = 0;                       // this instance's incarnation id
+    std::size_t fleet_size = 1;                   // this instance included
+    Duration validity = std::chrono::seconds(5);  // of an acknowledgement, from when its ping was sent
+    bool acknowledgements_required = true;        // false: members of the view count without one
   };
   static constexpr int kAgeUnits = ViewAcknowledgements::kAgeUnits;
   static constexpr unsigned char kNoAcknowledgement = ViewAcknowledgements::kNoAcknowledgement;
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -111,7 +111,8 @@
 }
 
 void Swim::ApplyReport(TimePoint now, const proto::Member& reported, ReportSource source) {
-  if (members_.ApplyReport(now, reported, source)) quorum_tracker_.ResetAfterPause(now);
+  const ReportEffect effect = members_.ApplyReport(now, reported, source);
+  if (effect == ReportEffect::kSuperseded) quorum_tracker_.ResetAfterPause(now);
 }
 
 void Swim::HandlePacket(TimePoint now, const std::string& sender_address, const proto::Packet& packet,
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -8,6 +8,7 @@
 // the view.
 #pragma once
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <map>
@@ -44,17 +45,18 @@
 class Swim {
  public:
   struct Options {
-    Duration period{200000};             // the protocol period: one probe each
-    std::size_t fleet_size = 1;          // this instance included
-    std::uint32_t protocol_version = 1;  // of this process: Member.protocol_version
-    std::uint32_t capabilities =         // bits of Member.capabilities
+    Duration period = std::chrono::milliseconds(200);  // the protocol period: one probe each
+    std::size_t fleet_size = 1;                        // this instance included
+    std::uint32_t protocol_version = 1;                // of this process: Member.protocol_version
+    std::uint32_t capabilities =                       // bits of Member.capabilities
         capability::kKnowsDedicatedLeaseManagers | capability::kRelaysLeaseMessages;
     ProbeOptions probe;
     SuspicionOptions suspicion;
     AcknowledgementOptions acknowledgements;
     LeaseManagerOptions lease_manager;
     int max_local_health_multiplier = 8;  // 0: timeouts do not depend on local health
-    Duration dead_retention{600000000};   // dead members, and those that have left, are forgotten after that
+    // Dead members, and those that have left, are forgotten after that.
+    Duration dead_retention = std::chrono::minutes(10);
   };
 
   // `self` names this process; `seeds` are addresses of members to join by; `random_seed` determines all
@@ -69,7 +71,7 @@
   // Handles a packet that was sent by the member that it names as its sender.
   void HandlePacket(TimePoint now, const std::string& sender_address, const proto::Packet& packet,
                     Outbox& outbox);
-  // Tells all running members that this instance leaves the fleet.
+  // Notifies all running members that this instance leaves the fleet.
   void Leave(Outbox& outbox);
   // Adds this instance as the sender, its view, and gossip to a packet that is sent for another purpose.
   void AddSenderAndGossip(proto::Packet& packet) { packets_.AddSenderAndGossip(packet); }
