--- a/src/replication/engine_options.cpp
+++ b/src/replication/engine_options.cpp
@@ -39,17 +39,17 @@
   options.flush_interval = settings.flush;
   options.membership_only = scope == ReplicationScope::kMembershipOnly;
   options.swim.period = settings.probe;
-  options.swim.size = FleetSize(settings);
+  options.swim.fleet_size = FleetSize(settings);
   if (settings.watermarks != ReplicationMode::kBroadcast) {
     options.leases = LeaseOptionsFrom(settings, consistency_guard);
-    options.swim.owns = settings.owner;
+    options.swim.lease_manager.dedicated = settings.owner;
   }
   if (settings.plain_members) {
-    options.swim.most_doubt = 0;
-    options.swim.unconfirmed = 1;
-    options.swim.ask_lately = 0;
-    options.swim.repeat = false;
-    options.swim.proven = false;
+    options.swim.max_local_health_multiplier = 0;
+    options.swim.suspicion.max_timeout_factor = 1;
+    options.swim.suspicion.verify_deaths_periods = 0;
+    options.swim.probe.repeat_pings = false;
+    options.swim.acknowledgements.required = false;
   }
   return options;
 }
--- a/src/replication/lease_view.cpp
+++ b/src/replication/lease_view.cpp
@@ -64,13 +64,13 @@
 // cross no more regions than they have to. Each instance selects its own, by rendezvous hashing, so that all
 // get a share. Zero: none, as this instance is a manager itself or some managers do not relay.
 lease::IncarnationId LeaseView::SelectRelay() const {
-  if (swim_.options().owns) return 0;
+  if (swim_.options().lease_manager.dedicated) return 0;
   std::vector<std::pair<lease::IncarnationId, std::optional<Duration>>> round_trips;
   std::optional<Duration> shortest;
   const std::vector<lease::IncarnationId>& managers = swim_.dedicated_lease_managers();
   for (const auto& [name, peer] : swim_.peers()) {
     if (std::ranges::find(managers, peer.member.incarnation_id()) == managers.end()) continue;
-    if ((peer.member.capabilities() & membership::Swim::kRelaysLeaseMessages) == 0) return 0;
+    if ((peer.member.capabilities() & membership::capability::kRelaysLeaseMessages) == 0) return 0;
     if (peer.member.state() != proto::Member::ALIVE) continue;
     round_trips.emplace_back(peer.member.incarnation_id(), peer.round_trip);
     if (peer.round_trip) shortest = std::min(shortest.value_or(*peer.round_trip), *peer.round_trip);
--- a/src/replication/replication_engine.h
+++ b/src/replication/replication_engine.h
@@ -66,7 +66,7 @@
   // nobody was asked.
   bool PollPeers(TimePoint now, Outbox& outbox);
   // Announces that this instance leaves.
-  void Leave(TimePoint now, Outbox& outbox) { swim_.Leave(now, outbox); }
+  void Leave(TimePoint now, Outbox& outbox) { swim_.Leave(outbox); }
 
   // With leases as SessionLeaseClient has it; without, a write may be answered at any time and no session is
   // known completely.
--- a/src/replication/replication_report.cpp
+++ b/src/replication/replication_report.cpp
@@ -76,7 +76,7 @@
                  {"view", fmt::format("{:016x}", quorum.view)},
                  {"in_view", quorum_tracker.count()},
                  {"doubt", swim.local_health_multiplier()},
-                 {"most_doubt", swim.options().most_doubt},
+                 {"most_doubt", swim.options().max_local_health_multiplier},
                  {"stalls", swim.stalls()},
                  {"conflicts", swim.duplicate_name_reports()},
                  {"dropped", input.rejected_datagrams},
