--- a/src/lease/bandwidth_budget.h
+++ b/src/lease/bandwidth_budget.h
@@ -1,5 +1,4 @@
-// How many bytes an instance may yet spend on what can wait: a token bucket over all that it sends and
-// receives. Owns what is left; no clock.
+// A token bucket over the bytes that this instance sends and receives for control.
 #pragma once
 
 #include <algorithm>
@@ -9,43 +8,47 @@
 
 namespace lynxgrade::lease {
 
+// Tells whether traffic that can be deferred is within the budget. Traffic that cannot be deferred is
+// recorded too and may overdraw it. Not thread-safe; reads no clock.
 class BandwidthBudget {
  public:
-  // Zero: there is none, and all is allowed.
+  // `bytes_per_s` of zero: there is no budget, and everything is allowed.
   BandwidthBudget(double bytes_per_s, TimePoint now)
-      : bytes_per_s_(bytes_per_s), left_(bytes_per_s * kSaved), at_(now) {}
+      : bytes_per_s_(bytes_per_s), available_bytes_(bytes_per_s * kBurstSeconds), refilled_at_(now) {}
 
-  // What was sent or received, whether it could have waited or not.
+  // Records bytes that were sent or received, whether they could have been deferred or not.
   void Spend(TimePoint now, std::size_t bytes) {
-    Fill(now);
-    // A storm of what cannot wait is not paid for by reads long after it.
-    left_ = std::max(left_ - static_cast<double>(bytes), -bytes_per_s_ * kOwed);
+    Refill(now);
+    available_bytes_ =
+        std::max(available_bytes_ - static_cast<double>(bytes), -bytes_per_s_ * kMaxOverdraftSeconds);
   }
-  // Whether so many more would be within it.
+  // Whether `bytes` more are within the budget.
   bool Allows(TimePoint now, std::size_t bytes) {
-    Fill(now);
-    return bytes_per_s_ <= 0 || left_ >= static_cast<double>(bytes);
+    Refill(now);
+    return bytes_per_s_ <= 0 || available_bytes_ >= static_cast<double>(bytes);
   }
-  // Whether under half of what may be saved up is left: what can be said in fewer bytes should be.
-  bool Short(TimePoint now) {
-    Fill(now);
-    return bytes_per_s_ > 0 && left_ < bytes_per_s_ * kSaved / 2;
+  // Whether less than half of the burst is left, so that messages should be batched.
+  bool IsLow(TimePoint now) {
+    Refill(now);
+    return bytes_per_s_ > 0 && available_bytes_ < bytes_per_s_ * kBurstSeconds / 2;
   }
 
  private:
-  // Seconds' worth that may be saved up: more than a period of membership, which speaks in beats, and little
-  // enough that no second takes much over its budget.
-  static constexpr double kSaved = 0.5;
-  static constexpr double kOwed = 2;  // likewise
-  void Fill(TimePoint now) {
-    const double seconds = std::max(0.0, 1e-6 * static_cast<double>((now - at_).count()));
-    left_ = std::min(bytes_per_s_ * kSaved, left_ + seconds * bytes_per_s_);
-    at_ = now;
+  // Longer than a period of membership, which sends in bursts; short enough that no second exceeds its budget
+  // by much.
+  static constexpr double kBurstSeconds = 0.5;
+  // A burst that could not be deferred does not hold back reads for longer than this.
+  static constexpr double kMaxOverdraftSeconds = 2;
+
+  void Refill(TimePoint now) {
+    const double seconds = std::max(0.0, 1e-6 * static_cast<double>((now - refilled_at_).count()));
+    available_bytes_ = std::min(bytes_per_s_ * kBurstSeconds, available_bytes_ + seconds * bytes_per_s_);
+    refilled_at_ = now;
   }
 
   double bytes_per_s_;
-  double left_;
-  TimePoint at_;
+  double available_bytes_;  // negative while overdrawn
+  TimePoint refilled_at_;
 };
 
 }  // namespace lynxgrade::lease
--- a/src/lease/lease_message.h
+++ b/src/lease/lease_message.h
@@ -1,43 +1,49 @@
-// What instances say to each other about who holds a session. Plain data: the exchange puts it into packets.
+// Messages that instances exchange about session leases. Plain data; src/replication encodes it.
 #pragma once
 
 #include <cstdint>
 #include <optional>
 #include <vector>
 
-#include "consistency/session_watermark_table.h"
+#include "consistency/write_watermark.h"
 #include "lease/rendezvous_hash.h"
 #include "routing/balancer.h"
 
 namespace lynxgrade::lease {
 
 struct LeaseMessage {
+  // The numbers are those of the wire.
   enum class Kind {
-    kAcquire,  // to the owner: may I hold it
-    kGrant,    // to who asked: you hold it
-    kRevoke,   // to the holder: give it up
-    kRelease,  // to the owner: I do not hold it, and this is the newest that I know
+    kAcquire,  // to the lease manager: requests the lease
+    kGrant,    // to the requester: it holds the lease
+    kRevoke,   // to the lease holder: it must release the lease
+    kRelease,  // to the lease manager: the lease is not held, with the newest known write
   };
   Kind kind = Kind::kAcquire;
-  std::uint64_t view = 0;  // under which the key has this owner
+  // The membership view under which the receiver or sender manages the key.
+  std::uint64_t view = 0;
   consistency::SessionKey key{};
   GroupId group{};
-  std::uint64_t id = 0;      // kAsk, kGrant: of the ask, by its sender; never used again
-  std::uint64_t serial = 0;  // kGrant, kRecall, kRelease: of the grant, by the owner; ascending
-  // kGrant: the owner is proven whole under the view, and what was answered longer ago than this, before it
-  // was sent, is not known to it. Absent: the grant is good for answering writes alone.
-  std::optional<Duration> floor_age{};
-  // kGrant, kRelease: the newest write known, and up to which position some may have been forgotten.
+  // kAcquire, kGrant: identifies the request; assigned by the requester and never reused.
+  std::uint64_t request_id = 0;
+  // kGrant, kRevoke, kRelease: identifies the grant; assigned by the manager in ascending order.
+  std::uint64_t grant_number = 0;
+  // kGrant: the manager's view is complete, and it may not know writes that were answered longer than this
+  // before it sent the grant. Absent: the lease allows answering writes only.
+  std::optional<Duration> conservative_age{};
+  // kGrant, kRelease: the newest known write of the session.
   std::optional<consistency::WriteWatermark> watermark{};
-  std::optional<LogPosition> forgotten{};
+  // kGrant, kRelease: watermarks up to here may have been evicted by the sender.
+  std::optional<LogPosition> evicted_through{};
 };
 
 struct OutgoingLeaseMessage {
-  IncarnationId to = 0;
+  IncarnationId receiver = 0;
   LeaseMessage message;
-  int tries = 1;  // how often it has been said, this time included, without an answer
-  // Bytes are short here: it may wait a little for others that go the same way.
-  bool may_wait = false;
+  // How often it has been sent without a response, this time included.
+  int attempts = 1;
+  // Bandwidth is low: the message may be delayed to share a packet with others.
+  bool may_batch = false;
 };
 using LeaseOutbox = std::vector<OutgoingLeaseMessage>;
 
--- a/src/lease/lease_message_relay.cpp
+++ b/src/lease/lease_message_relay.cpp
@@ -5,92 +5,112 @@
 
 namespace lynxgrade::lease {
 
-void LeaseMessageRelay::See(std::uint64_t view, const std::vector<IncarnationId>& owners, IncarnationId by) {
-  if (view != view_) owners_ = owners;
+void LeaseMessageRelay::UpdateView(std::uint64_t view, const std::vector<IncarnationId>& managers,
+                                   IncarnationId relay) {
+  if (view != view_) managers_ = managers;
   view_ = view;
-  by_ = by;
+  relay_ = relay;
 }
 
-void LeaseMessageRelay::Post(TimePoint now, const OutgoingLeaseMessage& one, Legs& out) {
-  Leg leg{one.to, one.message, one.tries};
-  if (ForOwner(one.message)) {
-    // A release of another view is for who owned the key there.
-    const bool found = one.message.view == view_ && one.to == OwnerOf(one.message.key, owners_);
-    if (!one.may_wait || by_ == 0 || !found) return out.push_back(std::move(leg));
-    leg.to = by_;
-    leg.by_way = true;
-    return Wait(now, std::move(leg));
+void LeaseMessageRelay::Send(TimePoint now, const OutgoingLeaseMessage& outgoing, Hops& out) {
+  if (IsForManager(outgoing.message)) {
+    SendToManager(now, outgoing, out);
+  } else {
+    SendToHolder(now, outgoing, out);
   }
-  const auto heard = heard_.find(one.to);
-  // What had no answer goes straight: the one by way of which it went may be gone.
-  if (heard == heard_.end() || now > heard->second.until || one.tries > 1 || one.message.view != view_) {
-    return out.push_back(std::move(leg));
-  }
-  if (heard->second.by == options_.self) {
-    leg.by_way = true;
-    return Wait(now, std::move(leg));
-  }
-  leg.pass_to = std::exchange(leg.to, heard->second.by);
-  out.push_back(std::move(leg));
 }
 
-IncarnationId LeaseMessageRelay::Take(TimePoint now, IncarnationId sender, const Leg& leg, Legs& out) {
-  const LeaseMessage& message = leg.message;
-  const bool between = leg.by_way || leg.pass_to != 0;
-  // Whoever stands by another view finds other owners; what is dropped is said again, and then straight.
-  const IncarnationId owner = between && message.view == view_ ? OwnerOf(message.key, owners_) : 0;
-  if (between && owner == 0) {
-    ++counts_.strays;
-    return 0;
+void LeaseMessageRelay::SendToManager(TimePoint now, const OutgoingLeaseMessage& outgoing, Hops& out) {
+  Hop hop{outgoing.receiver, outgoing.message, outgoing.attempts};
+  // The release of a lease of another view goes to the key's manager in that view, which is not known here.
+  const bool manages_key = outgoing.message.view == view_ &&
+                           outgoing.receiver == SelectLeaseManager(outgoing.message.key, managers_);
+  if (!outgoing.may_batch || relay_ == 0 || !manages_key) return out.push_back(std::move(hop));
+  hop.receiver = relay_;
+  hop.via_relay = true;
+  AddToBatch(now, std::move(hop));
+}
+
+void LeaseMessageRelay::SendToHolder(TimePoint now, const OutgoingLeaseMessage& outgoing, Hops& out) {
+  Hop hop{outgoing.receiver, outgoing.message, outgoing.attempts};
+  const auto route = routes_.find(outgoing.receiver);
+  // A retry goes directly: the relay may be gone.
+  if (route == routes_.end() || now > route->second.until || outgoing.attempts > 1 ||
+      outgoing.message.view != view_) {
+    return out.push_back(std::move(hop));
   }
-  if (leg.by_way && !ForOwner(message)) return owner;
-  if (leg.by_way) {
-    if (owner != options_.self) {
-      ++counts_.passed_on;
-      Leg on{owner, message};
-      on.origin = sender;
-      out.push_back(std::move(on));
-      return 0;
-    }
-    heard_[sender] = {options_.self, now + kHeardFor};
-    return sender;
+  if (route->second.relay == options_.self) {
+    hop.via_relay = true;
+    return AddToBatch(now, std::move(hop));
   }
-  if (leg.pass_to != 0) {
-    // Who gets it takes it for the word of the key's owner.
-    if (owner != sender || ForOwner(message)) {
-      ++counts_.strays;
-      return 0;
-    }
-    ++counts_.passed_on;
-    Leg on{leg.pass_to, message};
-    on.by_way = true;
-    Wait(now, std::move(on));
-    return 0;
+  hop.relay_to = std::exchange(hop.receiver, route->second.relay);
+  out.push_back(std::move(hop));
+}
+
+IncarnationId LeaseMessageRelay::Receive(TimePoint now, IncarnationId sender, const Hop& hop, Hops& out) {
+  const LeaseMessage& message = hop.message;
+  if (hop.via_relay || hop.relay_to != 0) {
+    // An instance of another view selects other managers. What is dropped is retried, and then directly.
+    const IncarnationId manager = message.view == view_ ? SelectLeaseManager(message.key, managers_) : 0;
+    if (manager == 0) return Drop();
+    if (hop.via_relay) return ReceiveViaRelay(now, sender, message, manager, out);
+    return ReceiveToRelay(now, sender, hop, manager);
   }
-  if (leg.origin != 0) {
-    heard_[leg.origin] = {sender, now + kHeardFor};
-    return leg.origin;
+  if (hop.origin != 0) {
+    routes_[hop.origin] = {sender, now + kRouteLifetime};
+    return hop.origin;
   }
-  if (ForOwner(message)) heard_.erase(sender);
+  if (IsForManager(message)) routes_.erase(sender);
   return sender;
 }
 
-void LeaseMessageRelay::Wait(TimePoint now, Leg leg) {
-  ++counts_.waited;
-  Waiting& waiting = waiting_[{leg.to, leg.message.view}];
-  if (waiting.legs.empty()) waiting.due = now + options_.coalesce;
-  waiting.legs.push_back(std::move(leg));
+IncarnationId LeaseMessageRelay::ReceiveViaRelay(TimePoint now, IncarnationId sender,
+                                                 const LeaseMessage& message, IncarnationId manager,
+                                                 Hops& out) {
+  if (!IsForManager(message)) return manager;
+  if (manager == options_.self) {
+    routes_[sender] = {options_.self, now + kRouteLifetime};
+    return sender;
+  }
+  ++counts_.relayed;
+  Hop next{manager, message};
+  next.origin = sender;
+  out.push_back(std::move(next));
+  return 0;
+}
+
+IncarnationId LeaseMessageRelay::ReceiveToRelay(TimePoint now, IncarnationId sender, const Hop& hop,
+                                                IncarnationId manager) {
+  // The receiver will take it for a message of the key's manager.
+  if (manager != sender || IsForManager(hop.message)) return Drop();
+  ++counts_.relayed;
+  Hop next{hop.relay_to, hop.message};
+  next.via_relay = true;
+  AddToBatch(now, std::move(next));
+  return 0;
+}
+
+IncarnationId LeaseMessageRelay::Drop() {
+  ++counts_.dropped;
+  return 0;
+}
+
+void LeaseMessageRelay::AddToBatch(TimePoint now, Hop hop) {
+  ++counts_.batched;
+  Batch& batch = batches_[{hop.receiver, hop.message.view}];
+  if (batch.hops.empty()) batch.due = now + options_.batching_delay;
+  batch.hops.push_back(std::move(hop));
 }
 
-void LeaseMessageRelay::Due(TimePoint now, Legs& out) {
-  std::erase_if(waiting_, [&](auto& item) {
+void LeaseMessageRelay::FlushDue(TimePoint now, Hops& out) {
+  std::erase_if(batches_, [&](auto& item) {
     if (now < item.second.due) return false;
-    std::ranges::move(item.second.legs, std::back_inserter(out));
+    std::ranges::move(item.second.hops, std::back_inserter(out));
     return true;
   });
-  if (now - swept_ < kHeardFor) return;
-  swept_ = now;
-  std::erase_if(heard_, [now](const auto& item) { return now > item.second.until; });
+  if (now - routes_expired_at_ < kRouteLifetime) return;
+  routes_expired_at_ = now;
+  std::erase_if(routes_, [now](const auto& item) { return now > item.second.until; });
 }
 
 }  // namespace lynxgrade::lease
--- a/src/lease/lease_message_relay.h
+++ b/src/lease/lease_message_relay.h
@@ -1,10 +1,4 @@
-// Which way the directory's messages go, and which of them wait for company. While bytes are short an
-// instance says all it has to say to owners by way of one of them, and what goes that way waits a little for
-// more: of a message's bytes three in four are the heads of its packet. Owners pass on what is for others,
-// and coalesce what is for one.
-//
-// Owns what waits, and by which owner each instance was last heard; free of sockets and clocks. It changes no
-// message and answers none: to the directory it is a network that delays and loses.
+// Routing and batching of lease messages while bandwidth is low.
 #pragma once
 
 #include <cstdint>
@@ -17,65 +11,88 @@
 
 namespace lynxgrade::lease {
 
+// Most bytes of a lease message are its packet's headers. While bandwidth is low, an instance therefore sends
+// its messages to all lease managers through one of them, its relay, and delays them a little to share a
+// packet. Managers forward what is for others, and batch what is for the same receiver.
+//
+// Owns the delayed messages and which relay each instance was last heard through. Neither changes nor answers
+// a message: to the lease client and manager it is a network that delays and loses. Not thread-safe; reads no
+// clock and does no I/O.
 class LeaseMessageRelay {
  public:
   struct Options {
     IncarnationId self = 0;
-    Duration coalesce{};  // for which a message waits for company, at the most
+    // For how long a message is delayed at most.
+    Duration batching_delay{};
   };
-  // One message on its next leg.
-  struct Leg {
-    IncarnationId to = 0;  // who gets it next
+  // A message on its way to the next instance.
+  struct Hop {
+    IncarnationId receiver = 0;
     LeaseMessage message;
-    int tries = 1;
-    bool by_way = false;        // between an instance and the owner by way of which it speaks
-    IncarnationId origin = 0;   // between two owners: who says it, to the owner of its key
-    IncarnationId pass_to = 0;  // likewise: for whom the owner of its key says it
+    int attempts = 1;
+    // Set between an instance and its relay.
+    bool via_relay = false;
+    // Set between two managers: the instance that sent the message to the manager of its key.
+    IncarnationId origin = 0;
+    // Set between two managers: the instance for which the manager of its key sent the message.
+    IncarnationId relay_to = 0;
   };
-  using Legs = std::vector<Leg>;
+  using Hops = std::vector<Hop>;
   struct Counts {
-    std::uint64_t waited = 0, passed_on = 0, strays = 0;
+    std::uint64_t batched = 0;
+    std::uint64_t relayed = 0;
+    // Relayed messages of another view, or that this instance may not relay.
+    std::uint64_t dropped = 0;
   };
 
   explicit LeaseMessageRelay(const Options& options) : options_(options) {}
 
-  // The view by which this instance stands, its owners, and the one of these by way of which it speaks while
-  // bytes are short; zero: none, as no one is set aside, some do not pass on, or this instance owns itself.
-  void See(std::uint64_t view, const std::vector<IncarnationId>& owners, IncarnationId by);
-  // What this instance says.
-  void Post(TimePoint now, const OutgoingLeaseMessage& one, Legs& out);
-  // A message as it came in from `sender`; `leg.to` is not looked at. Who says it, where it is for this
-  // instance; zero: it goes on, by `out` or later, or is dropped and will be said again.
-  IncarnationId Take(TimePoint now, IncarnationId sender, const Leg& leg, Legs& out);
-  // What has waited long enough. To be called every few milliseconds.
-  void Due(TimePoint now, Legs& out);
+  // Sets the acknowledged view, its lease managers, and the one of them that is this instance's relay. Zero:
+  // it has none, as there are no dedicated managers, some do not relay, or this instance is one itself.
+  void UpdateView(std::uint64_t view, const std::vector<IncarnationId>& managers, IncarnationId relay);
+  // Sends a message of this instance: appends it to `out`, now or in FlushDue.
+  void Send(TimePoint now, const OutgoingLeaseMessage& outgoing, Hops& out);
+  // Handles a hop from `sender`; its `receiver` is ignored. Returns the instance that sent the message if it
+  // is for this instance. Returns zero if it was forwarded (appended to `out`, now or in FlushDue) or
+  // dropped; its sender retries.
+  IncarnationId Receive(TimePoint now, IncarnationId sender, const Hop& hop, Hops& out);
+  // Appends the messages whose delay is over. Call every few milliseconds.
+  void FlushDue(TimePoint now, Hops& out);
 
   const Counts& counts() const { return counts_; }
 
  private:
-  // For which an instance that has spoken by way of an owner is answered, and recalled, by way of it.
-  static constexpr Duration kHeardFor{2000000};
-  struct Heard {
-    IncarnationId by = 0;
+  // How long an instance that has sent through a relay gets its responses and revocations through it.
+  static constexpr Duration kRouteLifetime{2000000};
+  struct Route {
+    IncarnationId relay = 0;
     TimePoint until{};
   };
-  struct Waiting {
+  struct Batch {
     TimePoint due{};
-    Legs legs;
+    Hops hops;
   };
 
-  static bool ForOwner(const LeaseMessage& message) {
+  static bool IsForManager(const LeaseMessage& message) {
     return message.kind == LeaseMessage::Kind::kAcquire || message.kind == LeaseMessage::Kind::kRelease;
   }
-  void Wait(TimePoint now, Leg leg);
+  void SendToManager(TimePoint now, const OutgoingLeaseMessage& outgoing, Hops& out);
+  void SendToHolder(TimePoint now, const OutgoingLeaseMessage& outgoing, Hops& out);
+  // Handles a message that a relay has forwarded or is to forward. `manager` is that of the message's key.
+  IncarnationId ReceiveViaRelay(TimePoint now, IncarnationId sender, const LeaseMessage& message,
+                                IncarnationId manager, Hops& out);
+  IncarnationId ReceiveToRelay(TimePoint now, IncarnationId sender, const Hop& hop, IncarnationId manager);
+  IncarnationId Drop();
+  void AddToBatch(TimePoint now, Hop hop);
 
   Options options_;
   std::uint64_t view_ = 0;
-  std::vector<IncarnationId> owners_;
-  IncarnationId by_ = 0;
-  std::map<std::pair<IncarnationId, std::uint64_t>, Waiting> waiting_;  // by receiver and view: one packet's
-  std::unordered_map<IncarnationId, Heard> heard_;
-  TimePoint swept_{};
+  std::vector<IncarnationId> managers_;
+  IncarnationId relay_ = 0;
+  // By receiver and view, as a packet has one of each.
+  std::map<std::pair<IncarnationId, std::uint64_t>, Batch> batches_;
+  std::unordered_map<IncarnationId, Route> routes_;
+  TimePoint routes_expired_at_{};
   Counts counts_;
 };
 
--- a/src/lease/rendezvous_hash.cpp
+++ b/src/lease/rendezvous_hash.cpp
@@ -3,7 +3,8 @@
 namespace lynxgrade::lease {
 namespace {
 
-std::uint64_t Mixed(std::uint64_t x) {  // the finalizer of splitmix64 (Steele, Lea, Flood, 2014)
+// The finalizer of splitmix64 (Steele, Lea, Flood: "Fast Splittable Pseudorandom Number Generators", 2014).
+std::uint64_t Mixed(std::uint64_t x) {
   x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9ull;
   x = (x ^ (x >> 27)) * 0x94D049BB133111EBull;
   return x ^ (x >> 31);
@@ -11,16 +12,16 @@
 
 }  // namespace
 
-IncarnationId OwnerOf(consistency::SessionKey key, const std::vector<IncarnationId>& incarnation_ids) {
-  IncarnationId owner = 0;
+IncarnationId SelectLeaseManager(consistency::SessionKey key, std::span<const IncarnationId> candidates) {
+  IncarnationId selected = 0;
   std::uint64_t highest = 0;
-  for (const IncarnationId incarnation_id : incarnation_ids) {
-    const std::uint64_t weight = Mixed(static_cast<std::uint64_t>(key) + Mixed(incarnation_id));
-    if (owner != 0 && (weight < highest || (weight == highest && incarnation_id < owner))) continue;
-    owner = incarnation_id;
+  for (const IncarnationId candidate : candidates) {
+    const std::uint64_t weight = Mixed(static_cast<std::uint64_t>(key) + Mixed(candidate));
+    if (selected != 0 && (weight < highest || (weight == highest && candidate < selected))) continue;
+    selected = candidate;
     highest = weight;
   }
-  return owner;
+  return selected;
 }
 
 }  // namespace lynxgrade::lease
--- a/src/lease/rendezvous_hash.h
+++ b/src/lease/rendezvous_hash.h
@@ -1,20 +1,19 @@
-// Which member of a view owns a session's key: rendezvous hashing (Thaler and Ravishankar: "Using Name-Based
-// Mappings to Increase Hit Rates", 1998). Owns nothing.
+// Rendezvous hashing: which instance of a view manages the lease of a session key.
+// Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998.
 #pragma once
 
 #include <cstdint>
-#include <vector>
+#include <span>
 
-#include "consistency/session_watermark_table.h"
+#include "consistency/write_watermark.h"
 
 namespace lynxgrade::lease {
 
-// A run of an instance's process; drawn by chance, never zero.
+// One run of an instance's process: a random number, never zero.
 using IncarnationId = std::uint64_t;
 
-// Of `lives` the one with the highest weight for `key`; zero where there are none. Whoever has the same
-// lives, in whatever order, finds the same one, and where one goes only its own keys move. Linear in the
-// lives.
-IncarnationId OwnerOf(consistency::SessionKey key, const std::vector<IncarnationId>& incarnation_ids);
+// Returns the candidate with the highest weight for `key`, or zero if there are no candidates. The order of
+// the candidates does not matter; when one is removed, only its own keys move. Linear in the candidates.
+IncarnationId SelectLeaseManager(consistency::SessionKey key, std::span<const IncarnationId> candidates);
 
 }  // namespace lynxgrade::lease
--- a/src/lease/session_lease_client.cpp
+++ b/src/lease/session_lease_client.cpp
@@ -1,7 +1,7 @@
 #include "lease/session_lease_client.h"
 
 #include <algorithm>
-#include <utility>
+#include <vector>
 
 namespace lynxgrade::lease {
 
@@ -9,222 +9,206 @@
     : options_(options),
       watermarks_(watermarks),
       started_(started),
-      owner_(options.owner),
-      budget_(options.bytes_per_s, started) {
-  tokens_ = options_.reads_per_s;
-  tokens_at_ = started;
-}
-
-void SessionLeaseClient::See(TimePoint now, const ViewAgreement& standpoint) {
-  const std::uint64_t declares = standpoint.declares;
-  if (declares != 0) {
-    if (declares != view_) {
-      view_ = declares;
-      incarnation_ids_ = *standpoint.incarnation_ids;
-      holds_.clear();
-      wants_.clear();
-      whole_ = false;
-      first_whole_ = TimePoint{};
-    }
-    declared_ = now;
-  }
-  const bool whole = declares != 0 && standpoint.whole.value_or(whole_);
-  if (whole && !whole_) {
-    whole_since_ = now;
-    if (first_whole_ == TimePoint{}) first_whole_ = now;
-  }
-  whole_ = whole;
+      manager_(options.manager),
+      read_limiter_(options.read_requests_per_s, options.bytes_per_s, started) {}
+
+// ---- The acknowledged view ----------------------------------------------------------------------------
+
+void SessionLeaseClient::UpdateView(TimePoint now, const ViewAgreement& agreement) {
+  if (!view_.Update(now, agreement)) return;
+  leases_.clear();
+  requests_.clear();
 }
 
-std::optional<TimePoint> SessionLeaseClient::WholeSince(std::uint64_t view) const {
-  if (!whole_ || view != view_) return std::nullopt;
-  return options_.owner_unbroken ? whole_since_ : first_whole_;
+std::optional<TimePoint> SessionLeaseClient::CompleteSince(std::uint64_t view) const {
+  if (!view_.complete() || view != view_.view()) return std::nullopt;
+  return options_.manager_requires_unbroken_view ? view_.complete_since() : view_.first_complete();
 }
 
-bool SessionLeaseClient::Bound(TimePoint now) const {
-  if (view_ != 0) return now - declared_ <= BoundFor();
-  return options_.start_waits && !options_.alone && now - started_ <= BoundFor();
+bool SessionLeaseClient::IsBoundByView(TimePoint now) const {
+  if (view_.exists()) return now - view_.acknowledged_at() <= BindingDuration();
+  return options_.wait_after_start && !options_.single_instance && now - started_ <= BindingDuration();
 }
 
-const SessionLeaseClient::Hold* SessionLeaseClient::LiveHold(TimePoint now,
-                                                             consistency::SessionKey key) const {
-  const auto it = holds_.find(key);
-  if (it == holds_.end() || now - it->second.leased >= options_.owner.lease) return nullptr;
-  return &it->second;
+// ---- The leases held ----------------------------------------------------------------------------------
+
+const SessionLeaseClient::Lease* SessionLeaseClient::FindLease(TimePoint now,
+                                                               consistency::SessionKey key) const {
+  const auto it = leases_.find(key);
+  if (it == leases_.end()) return nullptr;
+  const bool expired = now - it->second.requested_at >= options_.manager.lease_duration;
+  return expired ? nullptr : &it->second;
 }
 
-bool SessionLeaseClient::MayAnswer(TimePoint now, consistency::SessionKey key) const {
-  if (!options_.writes_wait) return true;
-  if (aside_) return false;
-  return !Bound(now) || LiveHold(now, key) != nullptr;
+bool SessionLeaseClient::MayAnswerWrite(TimePoint now, consistency::SessionKey key) const {
+  if (!options_.writes_require_lease) return true;
+  if (superseded_) return false;
+  return !IsBoundByView(now) || FindLease(now, key) != nullptr;
 }
 
-std::optional<LogPosition> SessionLeaseClient::Exact(TimePoint now, consistency::SessionKey key) const {
-  if (!whole_) return std::nullopt;
-  const Hold* hold = LiveHold(now, key);
-  if (hold == nullptr || !hold->exact) return std::nullopt;
-  if (options_.unbroken && hold->exact_asked < whole_since_) return std::nullopt;
-  return hold->floor;
+std::optional<LogPosition> SessionLeaseClient::CompleteThrough(TimePoint now,
+                                                               consistency::SessionKey key) const {
+  if (!view_.complete()) return std::nullopt;
+  const Lease* lease = FindLease(now, key);
+  if (lease == nullptr || !lease->completeness) return std::nullopt;
+  if (options_.require_unbroken_view && lease->completeness->requested_at < view_.complete_since()) {
+    return std::nullopt;
+  }
+  return lease->completeness->conservative_position;
 }
 
-bool SessionLeaseClient::Token(TimePoint now) {
-  const double seconds = 1e-6 * static_cast<double>((now - tokens_at_).count());
-  tokens_ = std::min(std::max(1.0, options_.reads_per_s), tokens_ + seconds * options_.reads_per_s);
-  tokens_at_ = now;
-  if (tokens_ < 1) return false;
-  tokens_ -= 1;
-  return true;
+bool SessionLeaseClient::IsLeaseSufficient(TimePoint now, consistency::SessionKey key, Use use) const {
+  const Lease* lease = FindLease(now, key);
+  if (lease == nullptr) return false;
+  const bool recent = now - lease->requested_at < options_.manager.lease_duration * 2 / 3;
+  // A lease that is good for writes alone is requested again once a grant could tell more.
+  return recent && (use == Use::kWrite || CompleteThrough(now, key) || !view_.complete());
 }
 
-bool SessionLeaseClient::Admits(TimePoint now) {
-  // What is out already will be answered, and none of that is spent yet.
-  if (!budget_.Allows(now, kAskBytes * (wants_.size() + 1))) {
-    ++counts_.capped;
-    ++counts_.over_budget;
-    return false;
+// ---- Requests -----------------------------------------------------------------------------------------
+
+bool SessionLeaseClient::AcquireLease(TimePoint now, GroupId group, consistency::SessionKey key, Use use,
+                                      LeaseOutbox& out) {
+  if (!IsBoundByView(now) || !view_.exists()) return false;  // without a view there is no manager
+  const TimePoint until = now + (use == Use::kWrite ? kWriteRequestLifetime : kReadRequestLifetime);
+  if (const auto pending = requests_.find(key); pending != requests_.end()) {
+    pending->second.until = std::max(pending->second.until, until);
+    return true;
   }
-  if (Token(now)) return true;
-  ++counts_.capped;
+  if (IsLeaseSufficient(now, key, use)) return false;
+  if (use == Use::kRead && !AdmitReadRequest(now, key)) return false;
+  PendingRequest& request = requests_[key];
+  request = {++last_request_id_, group, now, now, kInitialBackoff, 0, until};
+  // Over a third instance there are two round trips, and each message may be delayed.
+  if (MayBatch(now)) request.backoff = kInitialBackoff * 2 + options_.batching_delay * kMessagesPerMove;
+  SendRequest(now, key, request, out);
+  return true;
+}
+
+bool SessionLeaseClient::AdmitReadRequest(TimePoint now, consistency::SessionKey key) {
+  // While this instance's own view is incomplete, no grant helps a read.
+  if (!view_.complete()) return false;
+  if (SelectLeaseManager(key, view_.managers()) == options_.self) return true;
+  const ReadRequestLimiter::Decision decision = read_limiter_.Admit(now, requests_.size());
+  if (decision == ReadRequestLimiter::Decision::kAdmitted) return true;
+  ++counts_.suppressed_reads;
+  if (decision == ReadRequestLimiter::Decision::kOverBudget) ++counts_.over_budget;
   return false;
 }
 
-bool SessionLeaseClient::Want(TimePoint now, GroupId group, consistency::SessionKey key, Use use,
-                              LeaseOutbox& out) {
-  if (!Bound(now) || view_ == 0) return false;  // nobody owns anything for who stands by nothing
-  const TimePoint until = now + (use == Use::kWrite ? kWantWrite : kWantRead);
-  if (const auto wanted = wants_.find(key); wanted != wants_.end()) {
-    wanted->second.until = std::max(wanted->second.until, until);
-    return true;
+void SessionLeaseClient::SendRequest(TimePoint now, consistency::SessionKey key, PendingRequest& request,
+                                     LeaseOutbox& out) {
+  request.next_attempt = now + request.backoff;
+  request.backoff = std::min(request.backoff * 2, kMaxBackoff);
+  ++counts_.requests;
+  LeaseMessage acquire{LeaseMessage::Kind::kAcquire, view_.view(), key, request.group};
+  acquire.request_id = request.request_id;
+  const int attempts = ++request.attempts;
+  const bool may_batch = attempts == 1 && MayBatch(now);
+  Send(now, {SelectLeaseManager(key, view_.managers()), acquire, attempts, may_batch}, out);
+}
+
+void SessionLeaseClient::Tick(TimePoint now, LeaseOutbox& out) {
+  std::erase_if(requests_, [&](const auto& item) { return item.second.until < now; });
+  // Collected first: a request to this instance itself may be granted at once, which removes it.
+  std::vector<consistency::SessionKey> due;
+  for (const auto& [key, request] : requests_) {
+    if (now >= request.next_attempt) due.push_back(key);
   }
-  if (const Hold* hold = LiveHold(now, key)) {
-    const bool fresh = now - hold->leased < options_.owner.lease * 2 / 3;
-    // One that is good for writes alone is worth asking for again once it would be exact.
-    const bool enough = use == Use::kWrite || Exact(now, key) || !whole_;
-    if (fresh && enough) return false;
+  for (const consistency::SessionKey key : due) {
+    const auto it = requests_.find(key);
+    if (it != requests_.end()) SendRequest(now, key, it->second, out);
   }
-  // Where this instance is not proven whole itself no grant helps a read.
-  if (use == Use::kRead && !whole_) return false;
-  if (use == Use::kRead && OwnerOf(key, incarnation_ids_) != options_.self && !Admits(now)) return false;
-  Want_& want = wants_[key];
-  want = {++last_id_, group, now, now, kFirstRetry, 0, until};
-  // By a third there are two round trips, and each leg may wait.
-  if (MayWait(now)) want.pause = kFirstRetry * 2 + options_.coalesce * kLegs;
-  Ask(now, key, want, out);
-  return true;
+  if (now - expired_at_ < kExpiryInterval) return;
+  expired_at_ = now;
+  manager_.RemoveExpired(now);
+  std::erase_if(leases_, [&](const auto& item) {
+    return now - item.second.requested_at >= options_.manager.lease_duration;
+  });
 }
 
-void SessionLeaseClient::Ask(TimePoint now, consistency::SessionKey key, Want_& want, LeaseOutbox& out) {
-  want.next = now + want.pause;
-  want.pause = std::min(want.pause * 2, kLastRetry);
-  ++counts_.asks;
-  LeaseMessage ask{LeaseMessage::Kind::kAcquire, view_, key, want.group};
-  ask.id = want.id;
-  const int tries = ++want.tries;
-  Send(now, {OwnerOf(key, incarnation_ids_), ask, tries, tries == 1 && MayWait(now)}, out);
-}
+// ---- Messages -----------------------------------------------------------------------------------------
 
-// What goes to this instance itself never leaves it.
-void SessionLeaseClient::Send(TimePoint now, const OutgoingLeaseMessage& one, LeaseOutbox& out) {
-  if (one.to != options_.self) return out.push_back(one);
-  Handle(now, one.to, one.message, out);
+void SessionLeaseClient::Send(TimePoint now, const OutgoingLeaseMessage& outgoing, LeaseOutbox& out) {
+  if (outgoing.receiver != options_.self) return out.push_back(outgoing);
+  HandleMessage(now, outgoing.receiver, outgoing.message, out);
 }
 
-void SessionLeaseClient::Handle(TimePoint now, IncarnationId from, const LeaseMessage& message,
-                                LeaseOutbox& out) {
-  LeaseOutbox said;
+void SessionLeaseClient::HandleMessage(TimePoint now, IncarnationId sender, const LeaseMessage& message,
+                                       LeaseOutbox& out) {
+  LeaseOutbox responses;
   switch (message.kind) {
     case LeaseMessage::Kind::kAcquire:
-      owner_.Ask(now, from, message, WholeSince(message.view), said);
+      manager_.HandleAcquire(now, sender, message, CompleteSince(message.view), responses);
       break;
     case LeaseMessage::Kind::kGrant:
-      TakeGrant(now, from, message);
+      HandleGrant(now, sender, message);
       break;
     case LeaseMessage::Kind::kRevoke:
-      TakeRecall(now, from, message, said);
+      HandleRevoke(now, sender, message, responses);
       break;
     case LeaseMessage::Kind::kRelease:
-      owner_.Release(now, from, message, WholeSince(message.view), said);
+      manager_.HandleRelease(now, sender, message, CompleteSince(message.view), responses);
       break;
   }
-  for (const OutgoingLeaseMessage& one : said) Send(now, one, out);
-}
-
-void SessionLeaseClient::Take(TimePoint now, IncarnationId from, const LeaseMessage& message,
-                              LeaseOutbox& out) {
-  Handle(now, from, message, out);
+  for (const OutgoingLeaseMessage& response : responses) Send(now, response, out);
 }
 
-void SessionLeaseClient::Tick(TimePoint now, LeaseOutbox& out) {
-  std::erase_if(wants_, [&](const auto& item) { return item.second.until < now; });
-  std::vector<consistency::SessionKey> due;  // an ask of this instance's own may end its want
-  for (const auto& [key, want] : wants_) {
-    if (now >= want.next) due.push_back(key);
-  }
-  for (const consistency::SessionKey key : due) {
-    const auto it = wants_.find(key);
-    if (it != wants_.end()) Ask(now, key, it->second, out);
-  }
-  if (now - swept_ < kSweepEvery) return;
-  swept_ = now;
-  owner_.Sweep(now);
-  std::erase_if(holds_, [&](const auto& item) { return now - item.second.leased >= options_.owner.lease; });
-}
-
-void SessionLeaseClient::TakeGrant(TimePoint now, IncarnationId from, const LeaseMessage& grant) {
+void SessionLeaseClient::HandleGrant(TimePoint now, IncarnationId sender, const LeaseMessage& grant) {
   if (grant.watermark) watermarks_.Learn(grant.key, *grant.watermark);
-  const auto wanted = wants_.find(grant.key);
-  if (grant.view != view_) return;
-  const bool asked = wanted != wants_.end() && wanted->second.id == grant.id;
-  if (!asked && options_.serials) return;  // the ask was given up, or answered
-  if (from != OwnerOf(grant.key, incarnation_ids_)) return;
-  const TimePoint asked_at = wanted != wants_.end() ? wanted->second.asked : now;
-  if (wanted != wants_.end()) wants_.erase(wanted);
+  if (grant.view != view_.view()) return;
+  const auto pending = requests_.find(grant.key);
+  const bool requested = pending != requests_.end() && pending->second.request_id == grant.request_id;
+  // Otherwise the request was given up, cancelled by a revocation, or has been granted.
+  if (!requested && options_.revocation_cancels_request) return;
+  if (sender != SelectLeaseManager(grant.key, view_.managers())) return;
+  const TimePoint requested_at = pending != requests_.end() ? pending->second.requested_at : now;
+  if (pending != requests_.end()) requests_.erase(pending);
   ++counts_.grants;
-  // A hold may be forgotten at any time; who lacks one asks.
-  if (holds_.size() >= options_.holds && !holds_.contains(grant.key)) holds_.erase(holds_.begin());
-  const Hold* former = LiveHold(now, grant.key);
-  Hold hold;
-  hold.serial = grant.serial;
-  hold.leased = asked_at;
-  if (grant.floor_age) {
-    ++counts_.exact;
-    hold.exact = true;
-    hold.exact_asked = asked_at;
-    // It was sent before now, so the floor lies further back; by a clock that runs within a tenth of this
-    // one.
-    hold.floor = now - *grant.floor_age + *grant.floor_age / 10;
-    if (grant.forgotten) hold.floor = std::max(hold.floor, *grant.forgotten);
-  } else if (former != nullptr && former->exact) {
-    // Held all the time since an exact grant, as the old lease still runs: nobody else has answered.
-    hold.exact = true;
-    hold.exact_asked = former->exact_asked;
-    hold.floor = former->floor;
+  if (grant.conservative_age) ++counts_.complete_grants;
+  // Any lease may be dropped at any time; an instance that lacks one requests it.
+  if (leases_.size() >= options_.lease_capacity && !leases_.contains(grant.key))
+    leases_.erase(leases_.begin());
+  const Lease lease{grant.grant_number, requested_at, CompletenessOf(now, grant, requested_at)};
+  leases_[grant.key] = lease;
+}
+
+std::optional<SessionLeaseClient::Completeness> SessionLeaseClient::CompletenessOf(
+    TimePoint now, const LeaseMessage& grant, TimePoint requested_at) const {
+  if (grant.conservative_age) {
+    // The grant was sent before now, so its conservative position lies further back, by a clock that runs
+    // within a tenth of this one.
+    LogPosition position = now - *grant.conservative_age + *grant.conservative_age / 10;
+    if (grant.evicted_through) position = std::max(position, *grant.evicted_through);
+    return Completeness{requested_at, position};
   }
-  holds_[grant.key] = hold;
-}
-
-void SessionLeaseClient::TakeRecall(TimePoint now, IncarnationId from, const LeaseMessage& recall,
-                                    LeaseOutbox& out) {
-  if (recall.view == view_) {
-    const auto held = holds_.find(recall.key);
-    if (held != holds_.end()) {
-      if (held->second.serial > recall.serial) return;  // of an earlier grant, and late
-      holds_.erase(held);
+  // If the former lease still runs, nobody else has answered writes since the grant that told it.
+  const Lease* former = FindLease(now, grant.key);
+  return former != nullptr ? former->completeness : std::nullopt;
+}
+
+void SessionLeaseClient::HandleRevoke(TimePoint now, IncarnationId sender, const LeaseMessage& revoke,
+                                      LeaseOutbox& out) {
+  if (revoke.view == view_.view()) {
+    const auto lease = leases_.find(revoke.key);
+    if (lease != leases_.end()) {
+      if (lease->second.grant_number > revoke.grant_number) return;  // of an earlier grant, received late
+      leases_.erase(lease);
     }
-    // The grant that is recalled may still be under way: it is to find nobody.
-    const auto wanted = wants_.find(recall.key);
-    if (wanted != wants_.end() && options_.serials) {
-      wanted->second.id = ++last_id_;
-      wanted->second.asked = now;
+    // The revoked grant may still be on its way; it must not match the pending request.
+    const auto pending = requests_.find(revoke.key);
+    if (pending != requests_.end() && options_.revocation_cancels_request) {
+      pending->second.request_id = ++last_request_id_;
+      pending->second.requested_at = now;
     }
   }
-  ++counts_.recalled;
-  const consistency::SessionWatermarkTable::Known known = watermarks_.Newest(recall.key);
-  LeaseMessage release{LeaseMessage::Kind::kRelease, recall.view, recall.key, recall.group};
-  release.serial = recall.serial;
+  ++counts_.revocations;
+  const consistency::SessionWatermarkTable::Known known = watermarks_.Newest(revoke.key);
+  LeaseMessage release{LeaseMessage::Kind::kRelease, revoke.view, revoke.key, revoke.group};
+  release.grant_number = revoke.grant_number;
   release.watermark = known.watermark;
-  if (!known.watermark) release.forgotten = known.conservative_position;
-  Send(now, {from, release, 1, MayWait(now)}, out);
+  if (!known.watermark) release.evicted_through = known.conservative_position;
+  Send(now, {sender, release, 1, MayBatch(now)}, out);
 }
 
 }  // namespace lynxgrade::lease
--- a/src/lease/session_lease_client.h
+++ b/src/lease/session_lease_client.h
@@ -1,162 +1,167 @@
-// The directory of sessions as one instance takes part in it: which sessions it holds, whether it may answer
-// a write, whether it knows all writes of a session, and what it says to owners and holders.
-//
-// Owns the holder's side, the owner's, and what follows from the view by which the instance stands; free of
-// sockets and clocks. docs/design/session-directory.md has the rules and the argument.
+// Session leases as one instance takes part in them.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <unordered_map>
-#include <vector>
 
 #include "consistency/session_leases.h"
 #include "consistency/session_watermark_table.h"
-#include "lease/bandwidth_budget.h"
+#include "lease/acknowledged_view.h"
 #include "lease/lease_message.h"
+#include "lease/read_request_limiter.h"
 #include "lease/session_lease_manager.h"
 
 namespace lynxgrade::lease {
 
-// The marks that this instance knows, wherever they came from.
+// The watermarks that this instance knows, whatever their source.
 class KnownWatermarks {
  public:
   virtual consistency::SessionWatermarkTable::Known Newest(consistency::SessionKey key) const = 0;
-  // It says nothing of who is primary in which group: names of up to three bytes in two groups may share a
-  // key (XXH3 only adds the seed to so few, and other bytes make up for it).
+  // The group is not passed, as a key does not prove it: XXH3 only adds the seed to names of up to three
+  // bytes, so names of two groups may share a key.
   virtual void Learn(consistency::SessionKey key, const consistency::WriteWatermark& watermark) = 0;
 
  protected:
   ~KnownWatermarks() = default;
 };
 
-// Where this instance stands, by members::QuorumTracker.
-struct ViewAgreement {
-  std::uint64_t declares = 0;  // the view that it says it stands by; zero: none
-  // It has a live word for that view from every instance that may answer writes, and the view has all of
-  // them. Absent: not looked at.
-  std::optional<bool> whole{};
-  const std::vector<IncarnationId>* incarnation_ids =
-      nullptr;  // of that view those that may own, its own included
-};
-
+// The holder's side of session leases: which leases this instance holds, whether it may answer a write, and
+// whether it knows all writes of a session. Also hosts the manager's side for the keys that this instance
+// manages, and applies the acknowledged view to both. docs/design/session-directory.md has the rules and why
+// they are safe.
+//
+// Owns the leases, the pending requests and the manager. Not thread-safe; reads no clock and does no I/O.
 class SessionLeaseClient {
  public:
   struct Options {
     IncarnationId self = 0;
-    Duration proof{5000000};  // how long a word counts: members::QuorumTracker::Options::proof
-    bool alone = false;       // the fleet is this instance: no former life's word counts with anybody
-    SessionLeaseManager::Options owner;
-    std::size_t holds = 65536;
-    double reads_per_s = 50;  // asks for reads; beyond it they take the conservative target
-    // Of all kinds, sent and received: reads ask only while it holds. Zero: there is no such budget.
+    // How long a view acknowledgement is valid: membership::QuorumTracker::Options::proof.
+    Duration view_validity{5000000};
+    // The fleet is this instance alone, so nobody can rely on an earlier incarnation's acknowledgement.
+    bool single_instance = false;
+    SessionLeaseManager::Options manager;
+    std::size_t lease_capacity = 65536;
+    // Lease requests for reads. Beyond it reads use the conservative position.
+    double read_requests_per_s = 50;
+    // Bytes of all kinds, sent and received: leases are requested for reads only within it. Zero: no budget.
     double bytes_per_s = 0;
-    // While that is short, what this instance says may wait so long for company, and what it is told likewise
+    // While the budget is low, for how long messages may be delayed to be batched, here and at the receivers
     // (see LeaseMessageRelay). Zero: never.
-    Duration coalesce{};
-    // Taken out by tests and the laboratory alone: each makes stale reads possible.
-    bool writes_wait = true;     // rule W
-    bool start_waits = true;     // a new life is bound to what its last may have declared
-    bool unbroken = true;        // rule R: whole without a break since before the asking
-    bool owner_unbroken = true;  // the owner's floor is the beginning of its unbroken chain
-    bool serials = true;         // a recall undoes the ask that is out
+    Duration batching_delay{};
+    // For tests and the testbed only: without any of these rules, reads may be stale.
+    bool writes_require_lease = true;            // rule W
+    bool wait_after_start = true;                // an earlier incarnation may have acknowledged a view
+    bool require_unbroken_view = true;           // rule R: complete without a break since before the request
+    bool manager_requires_unbroken_view = true;  // the same for what a manager grants
+    bool revocation_cancels_request = true;      // a revocation invalidates the request that is pending
   };
   struct Counts {
-    std::uint64_t asks = 0, grants = 0, exact = 0, recalled = 0;
-    std::uint64_t capped = 0;       // reads that were not to ask, by whichever bound
-    std::uint64_t over_budget = 0;  // of these by that of bytes
+    std::uint64_t requests = 0;
+    std::uint64_t grants = 0;
+    std::uint64_t complete_grants = 0;
+    std::uint64_t revocations = 0;
+    std::uint64_t suppressed_reads = 0;  // reads for which no lease was requested, by either limit
+    std::uint64_t over_budget = 0;       // of these by the bandwidth budget
   };
 
+  // `watermarks` is not owned. `started`: when this incarnation started.
   SessionLeaseClient(const Options& options, KnownWatermarks& watermarks, TimePoint started);
 
-  // To be called before each word from others is counted, after it, and before each call below, with what
-  // then is so: of a word that lapsed in between nothing would be known. Whenever something is sent that says
-  // by which view this instance stands it is to be called too; there `whole` may be absent.
-  void See(TimePoint now, const ViewAgreement& standpoint);
+  // Applies what QuorumTracker knows at `now`. Call before and after each view acknowledgement of others is
+  // counted, and before each call below: an acknowledgement that expired in between would go unnoticed. Call
+  // it also whenever this instance sends its own acknowledgement; there `complete` may be absent.
+  void UpdateView(TimePoint now, const ViewAgreement& agreement);
 
   // Rule W: whether a write of the session may be answered now.
-  bool MayAnswer(TimePoint now, consistency::SessionKey key) const;
-  // Rule R: all writes of the session that were answered up to now are known here, but for those up to the
-  // position that is returned. Absent: they may not be.
-  std::optional<LogPosition> Exact(TimePoint now, consistency::SessionKey key) const;
-  // The session is to be held, for a write or for a read; asks its owner unless that has been asked. Where it
-  // is held, renews a lease that comes to its end. Whether an answer is expected that may make it so.
+  bool MayAnswerWrite(TimePoint now, consistency::SessionKey key) const;
+  // Rule R: if all writes of the session that were answered so far are known here, except possibly those up
+  // to a position: that position. Absent if later ones may be unknown too.
+  std::optional<LogPosition> CompleteThrough(TimePoint now, consistency::SessionKey key) const;
+  // Requests the session's lease for a write or a read, unless a request is pending, and renews a lease that
+  // is about to expire. Returns whether a grant is expected that may make CompleteThrough return a position.
   using Use = consistency::LeaseUse;
-  bool Want(TimePoint now, GroupId group, consistency::SessionKey key, Use use, LeaseOutbox& out);
-  // What this instance has sent or received, of whichever kind, heads included.
-  void Spent(TimePoint now, std::size_t bytes) { budget_.Spend(now, bytes); }
-  // Asks again where no answer has come.
+  bool AcquireLease(TimePoint now, GroupId group, consistency::SessionKey key, Use use, LeaseOutbox& out);
+  // Records bytes of any kind that this instance has sent or received, headers included.
+  void RecordTraffic(TimePoint now, std::size_t bytes) { read_limiter_.RecordTraffic(now, bytes); }
+  // Retries requests without a response and removes what has expired. Call every few milliseconds.
   void Tick(TimePoint now, LeaseOutbox& out);
-  void Take(TimePoint now, IncarnationId from, const LeaseMessage& message, LeaseOutbox& out);
-  // Whether an instance of the same name, started later, runs: this one answers no writes, free or not.
-  void StandAside(bool aside) { aside_ = aside; }
-
-  bool Bound(TimePoint now) const;
-  // Whether it has stood by any view in its life.
-  bool Declared() const { return view_ != 0; }
-  // Since when it has been whole under `view`, without a break.
-  std::optional<TimePoint> WholeSince(std::uint64_t view) const;
+  void HandleMessage(TimePoint now, IncarnationId sender, const LeaseMessage& message, LeaseOutbox& out);
+  // Whether an instance of the same name that started later is running. Then this one answers no writes.
+  void SetSuperseded(bool superseded) { superseded_ = superseded; }
+
+  // Whether other instances may still rely on this one's acknowledgement of a view, so that it answers writes
+  // only of sessions whose lease it holds.
+  bool IsBoundByView(TimePoint now) const;
+  // Whether this incarnation has acknowledged any view.
+  bool HasAcknowledgedView() const { return view_.exists(); }
+  // Since when `view` has been complete here without a break. Absent if it is not.
+  std::optional<TimePoint> CompleteSince(std::uint64_t view) const;
+
   const Counts& counts() const { return counts_; }
-  const SessionLeaseManager& owner() const { return owner_; }
-  std::size_t holds() const { return holds_.size(); }
+  const SessionLeaseManager& manager() const { return manager_; }
+  std::size_t lease_count() const { return leases_.size(); }
 
  private:
-  static constexpr Duration kFirstRetry{40000};  // more than a round trip between regions
-  static constexpr int kLegs = 4;                // of a move: ask, recall, release, grant
-  static constexpr Duration kLastRetry{640000};
-  static constexpr Duration kWantRead{200000};    // without an answer; a read waits less
-  static constexpr Duration kWantWrite{1000000};  // since it was last wanted
-  static constexpr Duration kSweepEvery{1000000};
-  // An ask and its grant, heads included: 92 and 107 bytes measured.
-  static constexpr std::size_t kAskBytes = 200;
-
-  struct Hold {
-    std::uint64_t serial = 0;
-    TimePoint leased{};  // when it was asked for: the lease is counted from then
-    bool exact = false;
-    TimePoint exact_asked{};
-    LogPosition floor{};
+  static constexpr Duration kInitialBackoff{40000};  // more than a round trip between regions
+  static constexpr Duration kMaxBackoff{640000};
+  // Between two instances over a third: acquire, revoke, release, grant.
+  static constexpr int kMessagesPerMove = 4;
+  // How long a request is retried. A read waits for less; a write is retried since it was last requested.
+  static constexpr Duration kReadRequestLifetime{200000};
+  static constexpr Duration kWriteRequestLifetime{1000000};
+  static constexpr Duration kExpiryInterval{1000000};
+
+  // What a holder knows of the session's writes.
+  struct Completeness {
+    TimePoint requested_at{};  // when the grant was requested that told it
+    LogPosition conservative_position{};
+  };
+  struct Lease {
+    std::uint64_t grant_number = 0;
+    TimePoint requested_at{};                  // the lease is counted from then
+    std::optional<Completeness> completeness;  // absent: good for answering writes alone
   };
-  struct Want_ {
-    std::uint64_t id = 0;
+  struct PendingRequest {
+    std::uint64_t request_id = 0;
     GroupId group{};
-    TimePoint asked{};  // first, under this id
-    TimePoint next{};
-    Duration pause{};
-    int tries = 0;
-    TimePoint until{};
+    TimePoint requested_at{};  // first, with this id
+    TimePoint next_attempt{};
+    Duration backoff{};
+    int attempts = 0;
+    TimePoint until{};  // it is given up after
   };
 
-  const Hold* LiveHold(TimePoint now, consistency::SessionKey key) const;
-  void Ask(TimePoint now, consistency::SessionKey key, Want_& want, LeaseOutbox& out);
-  void Send(TimePoint now, const OutgoingLeaseMessage& one, LeaseOutbox& out);
-  void Handle(TimePoint now, IncarnationId from, const LeaseMessage& message, LeaseOutbox& out);
-  void TakeGrant(TimePoint now, IncarnationId from, const LeaseMessage& grant);
-  void TakeRecall(TimePoint now, IncarnationId from, const LeaseMessage& recall, LeaseOutbox& out);
-  bool Token(TimePoint now);
-  bool MayWait(TimePoint now) { return options_.coalesce > Duration{0} && budget_.Short(now); }
-  // Whether a read may ask another instance.
-  bool Admits(TimePoint now);
-  Duration BoundFor() const { return options_.proof + options_.proof / 10; }
+  const Lease* FindLease(TimePoint now, consistency::SessionKey key) const;
+  // Whether a lease that is held makes a request for `use` unnecessary.
+  bool IsLeaseSufficient(TimePoint now, consistency::SessionKey key, Use use) const;
+  bool AdmitReadRequest(TimePoint now, consistency::SessionKey key);
+  void SendRequest(TimePoint now, consistency::SessionKey key, PendingRequest& request, LeaseOutbox& out);
+  // Sends a message, or handles it here if this instance is the receiver.
+  void Send(TimePoint now, const OutgoingLeaseMessage& outgoing, LeaseOutbox& out);
+  void HandleGrant(TimePoint now, IncarnationId sender, const LeaseMessage& grant);
+  // What `grant` proves, or else the lease that it replaces.
+  std::optional<Completeness> CompletenessOf(TimePoint now, const LeaseMessage& grant,
+                                             TimePoint requested_at) const;
+  void HandleRevoke(TimePoint now, IncarnationId sender, const LeaseMessage& revoke, LeaseOutbox& out);
+  bool MayBatch(TimePoint now) {
+    return options_.batching_delay > Duration{0} && read_limiter_.IsBandwidthLow(now);
+  }
+  // An acknowledgement binds for longer than others count it, as clocks run within a tenth of each other.
+  Duration BindingDuration() const { return options_.view_validity + options_.view_validity / 10; }
 
   Options options_;
   KnownWatermarks& watermarks_;
   TimePoint started_;
-  SessionLeaseManager owner_;
-  std::uint64_t view_ = 0;                      // that was last declared
-  std::vector<IncarnationId> incarnation_ids_;  // of it
-  TimePoint declared_{};                        // when it last was
-  bool whole_ = false;
-  TimePoint whole_since_{};
-  TimePoint first_whole_{};  // under this view
-  bool aside_ = false;
-  std::unordered_map<consistency::SessionKey, Hold> holds_;   // under `view_`
-  std::unordered_map<consistency::SessionKey, Want_> wants_;  // likewise
-  std::uint64_t last_id_ = 0;
-  BandwidthBudget budget_;
-  double tokens_ = 0;
-  TimePoint tokens_at_{};
-  TimePoint swept_{};
+  SessionLeaseManager manager_;
+  AcknowledgedView view_;
+  bool superseded_ = false;
+  std::unordered_map<consistency::SessionKey, Lease> leases_;             // under `view_`
+  std::unordered_map<consistency::SessionKey, PendingRequest> requests_;  // likewise
+  std::uint64_t last_request_id_ = 0;
+  ReadRequestLimiter read_limiter_;
+  TimePoint expired_at_{};
   Counts counts_;
 };
 
--- a/src/lease/session_lease_manager.cpp
+++ b/src/lease/session_lease_manager.cpp
@@ -5,107 +5,120 @@
 namespace lynxgrade::lease {
 namespace {
 
-constexpr Duration kRoomEvery{100000};  // a full table is not looked through for each ask
+constexpr Duration kMakeRoomInterval{100000};  // a full table is not scanned for every request
 
 }  // namespace
 
-void SessionLeaseManager::Ask(TimePoint now, IncarnationId from, const LeaseMessage& ask,
-                              std::optional<TimePoint> whole_since, LeaseOutbox& out) {
-  const Place place{ask.view, ask.key};
-  auto it = table_.find(place);
-  if (it == table_.end()) {
-    if (!options_.records && !whole_since) {
-      Entry passing;
-      return Grant(now, from, ask.id, ask.group, place, passing, whole_since, out);
-    }
-    if (table_.size() >= options_.entries && !Room(now)) {
-      ++counts_.denied;
-      return;
-    }
-    it = table_.try_emplace(place).first;
-    it->second.floor = evicted_floor_;
+void SessionLeaseManager::HandleAcquire(TimePoint now, IncarnationId requester, const LeaseMessage& acquire,
+                                        std::optional<TimePoint> complete_since, LeaseOutbox& out) {
+  const Request request{requester, acquire.request_id, acquire.group, {acquire.view, acquire.key}};
+  if (!options_.record_incomplete_grants && !complete_since && !table_.contains(request.entry_key)) {
+    Entry unrecorded;
+    return Grant(now, request, unrecorded, complete_since, out);
   }
-  Entry& entry = it->second;
-  if (entry.holder != 0 && entry.holder != from) {
-    if (now < entry.expires && options_.recalls) {
-      entry.waiter = from;
-      entry.waiter_id = ask.id;
-      ++counts_.recalls;
-      LeaseMessage recall{LeaseMessage::Kind::kRevoke, ask.view, ask.key, ask.group};
-      recall.serial = entry.serial;
-      out.push_back({entry.holder, recall, ++entry.recalls});
-      return;
+  Entry* entry = FindOrAddEntry(now, request.entry_key);
+  if (entry == nullptr) {
+    ++counts_.denied;
+    return;
+  }
+  if (entry->holder != 0 && entry->holder != requester) {
+    if (now < entry->expires && options_.revoke_before_grant) return Revoke(request, *entry, out);
+    // The holder may have answered writes until its lease expired, and never released it.
+    ++counts_.expired;
+    if (options_.expiry_is_conservative) {
+      entry->conservative_position =
+          std::max(entry->conservative_position.value_or(entry->expires), entry->expires);
     }
-    // Its lease ran out: it may have answered up to the end of it, and what it knows never came.
-    ++counts_.lapsed;
-    if (options_.lease_floor) entry.floor = std::max(entry.floor.value_or(entry.expires), entry.expires);
   }
-  Grant(now, from, ask.id, ask.group, place, entry, whole_since, out);
+  Grant(now, request, *entry, complete_since, out);
+}
+
+SessionLeaseManager::Entry* SessionLeaseManager::FindOrAddEntry(TimePoint now, const EntryKey& entry_key) {
+  const auto found = table_.find(entry_key);
+  if (found != table_.end()) return &found->second;
+  if (table_.size() >= options_.entry_capacity && !MakeRoom(now)) return nullptr;
+  Entry& entry = table_[entry_key];
+  entry.conservative_position = evicted_conservative_position_;
+  return &entry;
+}
+
+void SessionLeaseManager::Revoke(const Request& request, Entry& entry, LeaseOutbox& out) {
+  entry.waiter = request.requester;
+  entry.waiter_request_id = request.request_id;
+  ++counts_.revocations;
+  LeaseMessage revoke{LeaseMessage::Kind::kRevoke, request.entry_key.view, request.entry_key.key,
+                      request.group};
+  revoke.grant_number = entry.grant_number;
+  out.push_back({entry.holder, revoke, ++entry.revocations});
 }
 
-void SessionLeaseManager::Grant(TimePoint now, IncarnationId to, std::uint64_t id, GroupId group,
-                                const Place& place, Entry& entry, std::optional<TimePoint> whole_since,
-                                LeaseOutbox& out) {
-  entry.holder = to;
-  entry.serial = ++serial_;
-  entry.expires = now + Lease();
+void SessionLeaseManager::Grant(TimePoint now, const Request& request, Entry& entry,
+                                std::optional<TimePoint> complete_since, LeaseOutbox& out) {
+  entry.holder = request.requester;
+  entry.grant_number = ++last_grant_number_;
+  entry.expires = now + MaxLeaseDuration();
   entry.waiter = 0;
-  entry.recalls = 0;
+  entry.revocations = 0;
   ++counts_.grants;
-  LeaseMessage grant{LeaseMessage::Kind::kGrant, place.view, place.key, group};
-  grant.id = id;
-  grant.serial = entry.serial;
+  LeaseMessage grant{LeaseMessage::Kind::kGrant, request.entry_key.view, request.entry_key.key,
+                     request.group};
+  grant.request_id = request.request_id;
+  grant.grant_number = entry.grant_number;
   grant.watermark = entry.watermark;
-  grant.forgotten = entry.forgotten;
-  if (whole_since) {
-    ++counts_.exact;
-    const TimePoint floor = std::max(*whole_since, entry.floor.value_or(*whole_since));
-    grant.floor_age = std::max(Duration{0}, now - floor);
+  grant.evicted_through = entry.evicted_through;
+  if (complete_since) {
+    ++counts_.complete_grants;
+    const TimePoint conservative_position =
+        std::max(*complete_since, entry.conservative_position.value_or(*complete_since));
+    grant.conservative_age = std::max(Duration{0}, now - conservative_position);
   }
-  out.push_back({to, grant, 1});
+  out.push_back({request.requester, grant, 1});
 }
 
-void SessionLeaseManager::Merge(Entry& entry, const LeaseMessage& release) {
+void SessionLeaseManager::MergeRelease(Entry& entry, const LeaseMessage& release) {
   if (release.watermark && (!entry.watermark || release.watermark->position > entry.watermark->position)) {
     entry.watermark = release.watermark;
   }
-  if (release.forgotten) {
-    entry.forgotten = std::max(entry.forgotten.value_or(*release.forgotten), *release.forgotten);
+  if (release.evicted_through) {
+    entry.evicted_through =
+        std::max(entry.evicted_through.value_or(*release.evicted_through), *release.evicted_through);
   }
 }
 
-void SessionLeaseManager::Release(TimePoint now, IncarnationId from, const LeaseMessage& release,
-                                  std::optional<TimePoint> whole_since, LeaseOutbox& out) {
-  const Place place{release.view, release.key};
-  const auto it = table_.find(place);
+void SessionLeaseManager::HandleRelease(TimePoint now, IncarnationId holder, const LeaseMessage& release,
+                                        std::optional<TimePoint> complete_since, LeaseOutbox& out) {
+  const EntryKey entry_key{release.view, release.key};
+  const auto it = table_.find(entry_key);
   if (it == table_.end()) return;
   Entry& entry = it->second;
-  Merge(entry, release);  // knowing more does no harm, whichever grant it speaks of
-  if (entry.holder != from || entry.serial != release.serial) return;
+  MergeRelease(entry, release);  // knowing more writes does no harm, whichever grant is released
+  if (entry.holder != holder || entry.grant_number != release.grant_number) return;
   entry.holder = 0;
   entry.expires = now;
   if (entry.waiter == 0) return;
-  Grant(now, entry.waiter, entry.waiter_id, release.group, place, entry, whole_since, out);
+  const Request waiting{entry.waiter, entry.waiter_request_id, release.group, entry_key};
+  Grant(now, waiting, entry, complete_since, out);
 }
 
-void SessionLeaseManager::Sweep(TimePoint now) {
-  std::erase_if(table_, [&](const auto& item) { return item.second.expires + options_.recall < now; });
+void SessionLeaseManager::RemoveExpired(TimePoint now) {
+  std::erase_if(table_,
+                [&](const auto& item) { return item.second.expires + options_.write_retention < now; });
 }
 
-bool SessionLeaseManager::Room(TimePoint now) {
-  if (now - made_room_ < kRoomEvery) return false;
-  made_room_ = now;
+bool SessionLeaseManager::MakeRoom(TimePoint now) {
+  if (now - made_room_at_ < kMakeRoomInterval) return false;
+  made_room_at_ = now;
   std::erase_if(table_, [&](const auto& item) {
     const Entry& entry = item.second;
     if (now < entry.expires) return false;
-    // What was known of it is forgotten: the next who asks takes the end of its lease for a floor, and so
-    // does everybody else whose key is not recorded.
-    const TimePoint until = std::max(entry.expires, entry.floor.value_or(entry.expires));
-    evicted_floor_ = std::max(evicted_floor_.value_or(until), until);
+    // The next request for this key takes the end of the evicted lease as its conservative position, and so
+    // does that for any other key without an entry.
+    const TimePoint through = std::max(entry.expires, entry.conservative_position.value_or(entry.expires));
+    evicted_conservative_position_ = std::max(evicted_conservative_position_.value_or(through), through);
     ++counts_.evicted;
     return true;
   });
-  return table_.size() < options_.entries;
+  return table_.size() < options_.entry_capacity;
 }
 
 }  // namespace lynxgrade::lease
--- a/src/lease/session_lease_manager.h
+++ b/src/lease/session_lease_manager.h
@@ -1,11 +1,7 @@
-// The owner's side of the directory of sessions: who holds which session of those that this instance owns,
-// and with which mark it is handed on.
-//
-// Owns the table of entries, in bounded memory; no clock, no I/O. At most one lease of a key runs at a time
-// under one view, and an entry is kept for as long as its lease may run, also while this instance stands by
-// another view. docs/design/session-directory.md has the argument.
+// The manager's side of session leases.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <unordered_map>
@@ -14,71 +10,97 @@
 
 namespace lynxgrade::lease {
 
+// Grants the leases of the session keys that this instance manages, revokes them, and passes the newest known
+// write of a session from one holder to the next. At most one lease of a key runs at a time under one view;
+// an entry is kept for as long as its lease may run, even after this instance has acknowledged another view.
+// docs/design/session-directory.md has the rules and why they are safe.
+//
+// Owns the table of leases, in bounded memory. Not thread-safe; reads no clock and does no I/O.
 class SessionLeaseManager {
  public:
   struct Options {
-    Duration lease{30000000};   // as the holder counts it
-    Duration recall{30000000};  // how long after its answer a write is guarded
-    std::size_t entries = 65536;
-    // Taken out by tests and the laboratory alone: each makes stale reads possible.
-    bool recalls = true;      // a holder is recalled before another is granted
-    bool lease_floor = true;  // the end of a lease that ran out is a floor
-    bool records = true;      // grants that are not exact are recorded
+    // As the holder counts it.
+    Duration lease_duration{30000000};
+    // How long after its answer a write is guarded.
+    Duration write_retention{30000000};
+    std::size_t entry_capacity = 65536;
+    // For tests and the testbed only: without any of these rules, reads may be stale.
+    bool revoke_before_grant = true;       // another holder's lease is revoked before a grant
+    bool expiry_is_conservative = true;    // writes up to the end of an expired lease may be unknown
+    bool record_incomplete_grants = true;  // grants for writes alone have an entry too
   };
   struct Counts {
-    std::uint64_t grants = 0, exact = 0, recalls = 0, lapsed = 0, denied = 0, evicted = 0;
+    std::uint64_t grants = 0;
+    std::uint64_t complete_grants = 0;
+    std::uint64_t revocations = 0;
+    std::uint64_t expired = 0;  // leases that expired without a release
+    std::uint64_t denied = 0;   // requests for which there was no capacity
+    std::uint64_t evicted = 0;
   };
 
   explicit SessionLeaseManager(const Options& options) : options_(options) {}
 
-  // `whole_since`: since when this instance has been proven whole under the view that the ask names, without
-  // a break; absent if it is not.
-  void Ask(TimePoint now, IncarnationId from, const LeaseMessage& ask, std::optional<TimePoint> whole_since,
-           LeaseOutbox& out);
-  // `whole_since` likewise, for the grant to who waits for it.
-  void Release(TimePoint now, IncarnationId from, const LeaseMessage& release,
-               std::optional<TimePoint> whole_since, LeaseOutbox& out);
-  // Forgets what is no longer guarded. To be called now and then.
-  void Sweep(TimePoint now);
+  // Handles a kAcquire from `requester`. `complete_since`: since when this instance's knowledge of the
+  // message's view has been complete without a break; absent if it is not.
+  void HandleAcquire(TimePoint now, IncarnationId requester, const LeaseMessage& acquire,
+                     std::optional<TimePoint> complete_since, LeaseOutbox& out);
+  // Handles a kRelease from `holder`; grants the lease to the instance that waits for it, if any.
+  void HandleRelease(TimePoint now, IncarnationId holder, const LeaseMessage& release,
+                     std::optional<TimePoint> complete_since, LeaseOutbox& out);
+  // Removes entries whose writes are no longer guarded. Call every second or so.
+  void RemoveExpired(TimePoint now);
 
   const Counts& counts() const { return counts_; }
+  // Entries in the table.
   std::size_t size() const { return table_.size(); }
 
  private:
-  struct Place {
+  struct EntryKey {
     std::uint64_t view = 0;
     consistency::SessionKey key{};
-    bool operator==(const Place&) const = default;
+    bool operator==(const EntryKey&) const = default;
   };
-  struct Hash {  // views and keys are hashes already
-    std::size_t operator()(const Place& place) const {
-      return static_cast<std::size_t>(place.view * 31 + static_cast<std::uint64_t>(place.key));
+  struct EntryKeyHash {  // views and keys are hashes already
+    std::size_t operator()(const EntryKey& entry) const {
+      return static_cast<std::size_t>(entry.view * 31 + static_cast<std::uint64_t>(entry.key));
     }
   };
   struct Entry {
     IncarnationId holder = 0;  // zero: released
-    std::uint64_t serial = 0;
-    TimePoint expires{};             // of the lease, as late as the holder's clock may make it
-    std::optional<TimePoint> floor;  // others may have answered up to then what nobody handed on
+    std::uint64_t grant_number = 0;
+    TimePoint expires{};  // of the lease, as late as the holder's clock may make it
+    // Holders may have answered writes up to here that they did not pass on.
+    std::optional<TimePoint> conservative_position;
     std::optional<consistency::WriteWatermark> watermark;
-    std::optional<LogPosition> forgotten;
+    std::optional<LogPosition> evicted_through;
     IncarnationId waiter = 0;
-    std::uint64_t waiter_id = 0;
-    int recalls = 0;  // of this grant
+    std::uint64_t waiter_request_id = 0;
+    int revocations = 0;  // sent for this grant
+  };
+  struct Request {
+    IncarnationId requester = 0;
+    std::uint64_t request_id = 0;
+    GroupId group{};
+    EntryKey entry_key;
   };
 
-  void Grant(TimePoint now, IncarnationId to, std::uint64_t id, GroupId group, const Place& place,
-             Entry& entry, std::optional<TimePoint> whole_since, LeaseOutbox& out);
-  static void Merge(Entry& entry, const LeaseMessage& release);
-  // Makes room where the table is full; false if all leases run.
-  bool Room(TimePoint now);
-  Duration Lease() const { return options_.lease + options_.lease / 10; }  // clocks run within a tenth
+  // The entry of the key; a new one if there is none. Null if there is no capacity for it.
+  Entry* FindOrAddEntry(TimePoint now, const EntryKey& entry_key);
+  // Revokes the lease of the entry's holder for `request`, which waits for the release.
+  void Revoke(const Request& request, Entry& entry, LeaseOutbox& out);
+  void Grant(TimePoint now, const Request& request, Entry& entry, std::optional<TimePoint> complete_since,
+             LeaseOutbox& out);
+  static void MergeRelease(Entry& entry, const LeaseMessage& release);
+  // Evicts entries whose lease does not run. Returns whether the table has capacity now.
+  bool MakeRoom(TimePoint now);
+  // Clocks of two instances are assumed to run within a tenth of each other.
+  Duration MaxLeaseDuration() const { return options_.lease_duration + options_.lease_duration / 10; }
 
   Options options_;
-  std::unordered_map<Place, Entry, Hash> table_;
-  std::optional<TimePoint> evicted_floor_;  // of what had to be forgotten for want of room
-  TimePoint made_room_{};
-  std::uint64_t serial_ = 0;
+  std::unordered_map<EntryKey, Entry, EntryKeyHash> table_;
+  std::optional<TimePoint> evicted_conservative_position_;  // of all evicted entries
+  TimePoint made_room_at_{};
+  std::uint64_t last_grant_number_ = 0;
   Counts counts_;
 };
 
--- a/src/replication/lease_transport.cpp
+++ b/src/replication/lease_transport.cpp
@@ -19,8 +19,8 @@
 lease::SessionLeaseClient::Options ClientOptions(lease::SessionLeaseClient::Options options,
                                                  const membership::Swim& swim, std::size_t fleet_size) {
   options.self = swim.self().incarnation_id();
-  options.proof = swim.proof();
-  options.alone = fleet_size == 1;
+  options.view_validity = swim.proof();
+  options.single_instance = fleet_size == 1;
   return options;
 }
 
@@ -28,7 +28,7 @@
                                                const membership::Swim& swim) {
   lease::LeaseMessageRelay::Options relay;
   relay.self = swim.self().incarnation_id();
-  relay.coalesce = options.coalesce;
+  relay.batching_delay = options.batching_delay;
   return relay;
 }
 
@@ -67,32 +67,32 @@
   lease::LeaseOutbox messages;
   client_.Tick(now, messages);
   SendMessages(now, messages, outbox);
-  Legs due;
-  relay_.Due(now, due);
-  SendLegs(now, due, outbox);
+  Hops due;
+  relay_.FlushDue(now, due);
+  SendHops(now, due, outbox);
   bootstrap_.Tick(now, outbox);
 }
 
 std::optional<LogPosition> LeaseTransport::CompleteThrough(TimePoint now, consistency::SessionKey key) {
   view_.Update(now, LeaseView::Completeness::kCheck);
-  return client_.Exact(now, key);
+  return client_.CompleteThrough(now, key);
 }
 
 bool LeaseTransport::MayAnswerWrite(TimePoint now, consistency::SessionKey key) {
   view_.Update(now, LeaseView::Completeness::kSkip);
-  return client_.MayAnswer(now, key);
+  return client_.MayAnswerWrite(now, key);
 }
 
 bool LeaseTransport::MayServe(TimePoint now) {
   view_.Update(now, LeaseView::Completeness::kSkip);
-  return client_.Declared() || !client_.Bound(now);
+  return client_.HasAcknowledgedView() || !client_.IsBoundByView(now);
 }
 
 bool LeaseTransport::Acquire(TimePoint now, GroupId group, consistency::SessionKey key,
                              lease::SessionLeaseClient::Use use, Outbox& outbox) {
   view_.Update(now, LeaseView::Completeness::kCheck);
   lease::LeaseOutbox messages;
-  const bool expected = client_.Want(now, group, key, use, messages);
+  const bool expected = client_.AcquireLease(now, group, key, use, messages);
   SendMessages(now, messages, outbox);
   return expected;
 }
@@ -122,36 +122,36 @@
   LearnTimelines(packet, consistency_guard_);
   const std::uint64_t view = BindViewTo(links_.self_incarnation_id(), batch.view_for_incarnation_id());
   lease::LeaseOutbox responses;
-  Legs legs;
+  Hops hops;
   for (const proto::LeaseBatch::Entry& entry : batch.entries()) {
     if (!IsKnownKind(entry.kind())) continue;
-    Leg leg;
-    leg.message = LeaseMessageFrom(entry, view);
-    leg.by_way = batch.by_way();
-    leg.origin = entry.origin();
-    leg.pass_to = entry.to();
-    const lease::IncarnationId author = relay_.Take(now, origin, leg, legs);
-    if (author != 0) client_.Take(now, author, leg.message, responses);
+    Hop hop;
+    hop.message = LeaseMessageFrom(entry, view);
+    hop.via_relay = batch.by_way();
+    hop.origin = entry.origin();
+    hop.relay_to = entry.to();
+    const lease::IncarnationId author = relay_.Receive(now, origin, hop, hops);
+    if (author != 0) client_.HandleMessage(now, author, hop.message, responses);
   }
-  SendLegs(now, legs, outbox);
+  SendHops(now, hops, outbox);
   SendMessages(now, responses, outbox);
   if (batch.reigns_wanted()) bootstrap_.SendAll(sender_address, outbox);
 }
 
 void LeaseTransport::SendMessages(TimePoint now, const lease::LeaseOutbox& messages, Outbox& outbox) {
-  Legs legs;
-  for (const lease::OutgoingLeaseMessage& message : messages) relay_.Post(now, message, legs);
-  SendLegs(now, legs, outbox);
+  Hops hops;
+  for (const lease::OutgoingLeaseMessage& message : messages) relay_.Send(now, message, hops);
+  SendHops(now, hops, outbox);
 }
 
-void LeaseTransport::SendLegs(TimePoint now, const Legs& legs, Outbox& outbox) {
+void LeaseTransport::SendHops(TimePoint now, const Hops& hops, Outbox& outbox) {
   using Destination =
       std::tuple<lease::IncarnationId, std::uint64_t, bool>;  // receiver, view, whether relayed
-  std::map<Destination, std::vector<const Leg*>> batches;
+  std::map<Destination, std::vector<const Hop*>> batches;
   std::set<lease::IncarnationId> unanswered;
-  for (const Leg& leg : legs) {
-    batches[{leg.to, leg.message.view, leg.by_way}].push_back(&leg);
-    if (leg.tries >= kDirectAttempts) unanswered.insert(leg.to);
+  for (const Hop& hop : hops) {
+    batches[{hop.receiver, hop.message.view, hop.via_relay}].push_back(&hop);
+    if (hop.attempts >= kDirectAttempts) unanswered.insert(hop.receiver);
   }
   for (const auto& [destination, batch] : batches) {
     const lease::IncarnationId receiver = std::get<0>(destination);
@@ -164,22 +164,22 @@
   }
 }
 
-// One packet for the receiver of `legs`, from number `next` on, which it moves forward.
+// One packet for the receiver of `hops`, from number `next` on, which it moves forward.
 membership::Out LeaseTransport::Pack(TimePoint now, const std::string& address,
-                                     const std::vector<const Leg*>& legs, std::size_t& next) const {
-  const Leg& first = *legs[next];
+                                     const std::vector<const Hop*>& hops, std::size_t& next) const {
+  const Hop& first = *hops[next];
   membership::Out packed = LeasePacketTo(address, links_.self_incarnation_id());
   proto::LeaseBatch& batch = *packed.packet.mutable_directory();
-  batch.set_view_for_incarnation_id(BindViewTo(first.to, first.message.view));
-  batch.set_by_way(first.by_way);
-  for (; next < legs.size() && static_cast<std::size_t>(batch.entries_size()) < kLeaseMessagesPerPacket;
+  batch.set_view_for_incarnation_id(BindViewTo(first.receiver, first.message.view));
+  batch.set_by_way(first.via_relay);
+  for (; next < hops.size() && static_cast<std::size_t>(batch.entries_size()) < kLeaseMessagesPerPacket;
        ++next) {
-    const Leg& leg = *legs[next];
+    const Hop& hop = *hops[next];
     proto::LeaseBatch::Entry& entry = *batch.add_entries();
-    entry.set_origin(leg.origin);
-    entry.set_to(leg.pass_to);
-    EncodeLeaseMessage(leg.message, entry);
-    if (leg.message.watermark) timelines_.AppendIfRecent(now, leg.message.group, packed.packet);
+    entry.set_origin(hop.origin);
+    entry.set_to(hop.relay_to);
+    EncodeLeaseMessage(hop.message, entry);
+    if (hop.message.watermark) timelines_.AppendIfRecent(now, hop.message.group, packed.packet);
   }
   return packed;
 }
--- a/src/replication/lease_transport.h
+++ b/src/replication/lease_transport.h
@@ -45,7 +45,7 @@
   bool Acquire(TimePoint now, GroupId group, consistency::SessionKey key, lease::SessionLeaseClient::Use use,
                Outbox& outbox);
   // `bytes` were sent or received, including the headers of IP and UDP.
-  void ChargeBandwidth(TimePoint now, std::size_t bytes) { client_.Spent(now, bytes); }
+  void ChargeBandwidth(TimePoint now, std::size_t bytes) { client_.RecordTraffic(now, bytes); }
 
   LeaseView& view() { return view_; }
   const lease::SessionLeaseClient& client() const { return client_; }
@@ -68,14 +68,14 @@
     std::string address;
     TimePoint until{};
   };
-  using Leg = lease::LeaseMessageRelay::Leg;
-  using Legs = lease::LeaseMessageRelay::Legs;
+  using Hop = lease::LeaseMessageRelay::Hop;
+  using Hops = lease::LeaseMessageRelay::Hops;
 
   void Forward(const proto::Packet& packet, Outbox& outbox) const;
   void SendMessages(TimePoint now, const lease::LeaseOutbox& messages, Outbox& outbox);
   // Packs messages into packets, one or more for each receiver, view and way.
-  void SendLegs(TimePoint now, const Legs& legs, Outbox& outbox);
-  membership::Out Pack(TimePoint now, const std::string& address, const std::vector<const Leg*>& legs,
+  void SendHops(TimePoint now, const Hops& hops, Outbox& outbox);
+  membership::Out Pack(TimePoint now, const std::string& address, const std::vector<const Hop*>& hops,
                        std::size_t& next) const;
   void Send(TimePoint now, lease::IncarnationId receiver, bool unanswered, membership::Out packet,
             Outbox& outbox);
--- a/src/replication/lease_view.cpp
+++ b/src/replication/lease_view.cpp
@@ -7,17 +7,17 @@
 namespace lynxgrade::replication {
 
 void LeaseView::Update(TimePoint now, Completeness completeness) {
-  client_.StandAside(swim_.aside());
+  client_.SetSuperseded(swim_.aside());
   const std::uint64_t view = swim_.quorum_tracker().Declares(now);
   const bool changed = view != 0 && view != managers_view_;
   if (changed) SelectManagers(view);
   if (changed || now - relay_selected_ >= kRelaySelectionInterval) {
     relay_selected_ = now;
-    relay_.See(managers_view_, managers_, SelectRelay());
+    relay_.UpdateView(managers_view_, managers_, SelectRelay());
   }
   std::optional<bool> complete;
   if (completeness == Completeness::kCheck) complete = IsComplete(now);
-  client_.See(now, {view, complete, &managers_});
+  client_.UpdateView(now, {view, complete, managers_});
 }
 
 void LeaseView::SelectManagers(std::uint64_t view) {
@@ -80,7 +80,7 @@
     const bool is_near = !shortest || (round_trip && *round_trip <= *shortest * 2 + kRoundTripTolerance);
     if (is_near) near.push_back(incarnation_id);
   }
-  return lease::OwnerOf(consistency::SessionKey(links_.self_incarnation_id()), near);
+  return lease::SelectLeaseManager(consistency::SessionKey(links_.self_incarnation_id()), near);
 }
 
 }  // namespace lynxgrade::replication
--- a/src/replication/packet_codec.cpp
+++ b/src/replication/packet_codec.cpp
@@ -94,17 +94,18 @@
   encoded.set_kind(static_cast<proto::LeaseBatch::Kind>(message.kind));
   encoded.set_key(static_cast<std::uint64_t>(message.key));
   encoded.set_group(static_cast<std::int64_t>(message.group));
-  encoded.set_id(message.id);
-  encoded.set_serial(message.serial);
-  if (message.floor_age) {
-    const auto age_ms = static_cast<std::uint64_t>(message.floor_age->count()) / kMicrosecondsPerMillisecond;
+  encoded.set_id(message.request_id);
+  encoded.set_serial(message.grant_number);
+  if (message.conservative_age) {
+    const auto age_ms =
+        static_cast<std::uint64_t>(message.conservative_age->count()) / kMicrosecondsPerMillisecond;
     encoded.set_floor_age_ms(std::min(age_ms, kLargestAgeMs));
   }
   if (message.watermark) {
     encoded.set_mark_ms(MillisecondsRoundedUp(message.watermark->position));
     encoded.set_mark_by(EncodeServer(message.watermark->server));
   }
-  if (message.forgotten) encoded.set_forgotten_ms(MillisecondsRoundedUp(*message.forgotten));
+  if (message.evicted_through) encoded.set_forgotten_ms(MillisecondsRoundedUp(*message.evicted_through));
 }
 
 lease::LeaseMessage LeaseMessageFrom(const proto::LeaseBatch::Entry& encoded, std::uint64_t view) {
@@ -113,17 +114,17 @@
   message.view = view;
   message.key = consistency::SessionKey(encoded.key());
   message.group = GroupId(encoded.group());
-  message.id = encoded.id();
-  message.serial = encoded.serial();
+  message.request_id = encoded.id();
+  message.grant_number = encoded.serial();
   if (encoded.has_floor_age_ms()) {
     const std::uint64_t age_ms = std::min(std::uint64_t{encoded.floor_age_ms()}, kLargestAgeMs);
-    message.floor_age = Duration(static_cast<std::int64_t>(age_ms) * kMicrosecondsPerMillisecond);
+    message.conservative_age = Duration(static_cast<std::int64_t>(age_ms) * kMicrosecondsPerMillisecond);
   }
   if (encoded.mark_ms() != 0) {
     message.watermark = consistency::WriteWatermark{PositionFromMilliseconds(encoded.mark_ms()),
                                                     ServerFrom(encoded.mark_by())};
   }
-  if (encoded.forgotten_ms() != 0) message.forgotten = PositionFromMilliseconds(encoded.forgotten_ms());
+  if (encoded.forgotten_ms() != 0) message.evicted_through = PositionFromMilliseconds(encoded.forgotten_ms());
   return message;
 }
 
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -115,17 +115,19 @@
   options.swim.size = 1 + setup_.seeds.size();  // the settings name all others
   if (setup_.watermarks != ReplicationMode::kBroadcast) {
     lease::SessionLeaseClient::Options& directory = options.leases.emplace();
-    directory.owner.recall = consistency_guard_.write_retention();
-    directory.owner.entries = directory.holds =
+    directory.manager.write_retention = consistency_guard_.write_retention();
+    directory.manager.entry_capacity = directory.lease_capacity =
         std::max(kLeastEntries, consistency_guard_.watermark_table().bucket_count() * 4);
-    if (setup_.owner) directory.owner.entries = std::max(directory.owner.entries, kOwnersEntries);
-    directory.reads_per_s = setup_.asks_per_s;
+    if (setup_.owner)
+      directory.manager.entry_capacity = std::max(directory.manager.entry_capacity, kOwnersEntries);
+    directory.read_requests_per_s = setup_.asks_per_s;
     directory.bytes_per_s = setup_.bytes_per_s;
-    directory.coalesce = setup_.coalesce;
+    directory.batching_delay = setup_.coalesce;
     options.swim.owns = setup_.owner;
-    directory.writes_wait = setup_.watermarks == ReplicationMode::kLeases;
-    directory.owner.recalls = directory.writes_wait;
-    if (!directory.writes_wait) spdlog::warn("peers: sessions have several holders: reads may miss writes");
+    directory.writes_require_lease = setup_.watermarks == ReplicationMode::kLeases;
+    directory.manager.revoke_before_grant = directory.writes_require_lease;
+    if (!directory.writes_require_lease)
+      spdlog::warn("peers: sessions have several holders: reads may miss writes");
   }
   if (setup_.plain_members) {
     options.swim.most_doubt = 0;
@@ -232,15 +234,22 @@
   if (value.until) json["proven_s"] = seconds(*value.until - now);
   if (const lease::SessionLeaseClient* directory = engine_->lease_client()) {
     const auto& counts = directory->counts();
-    const auto& granted = directory->owner().counts();
+    const auto& granted = directory->manager().counts();
     const auto& courier = engine_->lease_relay()->counts();
-    json["directory"] = {{"owner", setup_.owner},       {"owners_set_aside", swim.owners().size()},
-                         {"holds", directory->holds()}, {"entries", directory->owner().size()},
-                         {"asks", counts.asks},         {"grants", counts.grants},
-                         {"exact", counts.exact},       {"recalled", counts.recalled},
-                         {"capped", counts.capped},     {"over_budget", counts.over_budget},
-                         {"granted", granted.grants},   {"denied", granted.denied},
-                         {"waited", courier.waited},    {"passed_on", courier.passed_on}};
+    json["directory"] = {{"owner", setup_.owner},
+                         {"owners_set_aside", swim.owners().size()},
+                         {"holds", directory->lease_count()},
+                         {"entries", directory->manager().size()},
+                         {"asks", counts.requests},
+                         {"grants", counts.grants},
+                         {"exact", counts.complete_grants},
+                         {"recalled", counts.revocations},
+                         {"capped", counts.suppressed_reads},
+                         {"over_budget", counts.over_budget},
+                         {"granted", granted.grants},
+                         {"denied", granted.denied},
+                         {"waited", courier.batched},
+                         {"passed_on", courier.relayed}};
   }
   static constexpr std::array kStates = {"alive", "suspect", "dead", "left"};
   for (const auto& [name, peer] : swim.peers()) {
--- a/tests/capacity/capacity_test.cpp
+++ b/tests/capacity/capacity_test.cpp
@@ -716,9 +716,10 @@
   CHECK(set.peers.asks_per_s == kAsksPerS);
   CHECK(set.peers.bytes_per_s == 0);  // rows of the directory are what is asked for without a budget
   const lease::SessionLeaseManager::Options owner;
-  CHECK(owner.lease == Duration(static_cast<std::int64_t>(kLeaseS * 1e6)));
-  CHECK(owner.lease * 11 / 10 + owner.recall == Duration(static_cast<std::int64_t>(kOwnedForS * 1e6)));
-  CHECK(static_cast<double>(lease::SessionLeaseClient::Options().holds) == kSessionsHeld);
+  CHECK(owner.lease_duration == Duration(static_cast<std::int64_t>(kLeaseS * 1e6)));
+  CHECK(owner.lease_duration * 11 / 10 + owner.write_retention ==
+        Duration(static_cast<std::int64_t>(kOwnedForS * 1e6)));
+  CHECK(static_cast<double>(lease::SessionLeaseClient::Options().lease_capacity) == kSessionsHeld);
   // A probe, and a row of one column `body` as the lab's data servers answer it.
   std::string query, answer;
   pg::AppendQuery(query, "SHOW pressure");
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -382,10 +382,10 @@
   if (fleet.old_owner == number) options.swim.understands = membership::Swim::kUnderstandsOwners;
   if (way != Way::kBroadcast) {
     lease::SessionLeaseClient::Options& directory = options.leases.emplace();
-    directory.reads_per_s = fleet.options.reads_per_s;
+    directory.read_requests_per_s = fleet.options.reads_per_s;
     directory.bytes_per_s = fleet.options.bytes_per_s;
-    directory.coalesce = fleet.options.coalesce;
-    directory.writes_wait = way == Way::kLeases;
+    directory.batching_delay = fleet.options.coalesce;
+    directory.writes_require_lease = way == Way::kLeases;
   }
   std::vector<std::string> seeds;
   for (std::size_t i = 0; i < fleet.size; ++i) seeds.push_back("a" + std::to_string(i));
@@ -497,7 +497,7 @@
   CHECK(fleet.reads_done > 200);
   CHECK(fleet.conservative * 50 < fleet.reads_done);
   const auto grants = [&](std::size_t at) {
-    return fleet.nodes[at]->engine->lease_client()->owner().counts().grants;
+    return fleet.nodes[at]->engine->lease_client()->manager().counts().grants;
   };
   for (std::size_t at = 0; at < fleet.size; ++at) {
     CAPTURE(at);
@@ -567,7 +567,7 @@
   CHECK(fleet.writes_failed == 0);
   CHECK(fleet.conservative * 20 < fleet.reads_done);
   const auto grants = [&](std::size_t at) {
-    return fleet.nodes[at]->engine->lease_client()->owner().counts().grants;
+    return fleet.nodes[at]->engine->lease_client()->manager().counts().grants;
   };
   for (std::size_t at = 0; at < fleet.size; ++at) CHECK(grants(at) > 20);
   // With the last one replaced those set aside are the only ones.
@@ -621,9 +621,9 @@
     std::uint64_t waited = 0, passed_on = 0;
     for (std::size_t at = 0; at < fleet.size; ++at) {
       const lease::LeaseMessageRelay& courier = *fleet.nodes[at]->engine->lease_relay();
-      waited += courier.counts().waited;
-      passed_on += courier.counts().passed_on;
-      CHECK((courier.counts().passed_on > 0) == (fleet.Aside(at) && coalesce > Duration{0}));
+      waited += courier.counts().batched;
+      passed_on += courier.counts().relayed;
+      CHECK((courier.counts().relayed > 0) == (fleet.Aside(at) && coalesce > Duration{0}));
       if (fleet.Aside(at)) continue;
       sum += static_cast<double>(fleet.bytes_out[at] + fleet.bytes_in[at]) / 10;
     }
@@ -658,7 +658,7 @@
     }
     Crowd(fleet);
     fleet.Pass(kSecond * 6);
-    for (const auto& node : fleet.nodes) CHECK(node->engine->lease_relay()->counts().waited == 0);
+    for (const auto& node : fleet.nodes) CHECK(node->engine->lease_relay()->counts().batched == 0);
     CHECK(fleet.stale == 0);
     CHECK(fleet.writes_failed == 0);
     if (!short_of_bytes) continue;
@@ -669,7 +669,7 @@
     Crowd(fleet);
     fleet.Pass(kSecond * 6);
     for (std::size_t at = 0; at < 6; ++at) {
-      CHECK(fleet.nodes[at]->engine->lease_relay()->counts().waited > 100);
+      CHECK(fleet.nodes[at]->engine->lease_relay()->counts().batched > 100);
     }
     CHECK(fleet.stale == 0);
     CHECK(fleet.writes_failed == 0);
@@ -681,7 +681,7 @@
   Crowd(fleet);
   fleet.Pass(kSecond);
   const auto passed_on = [&](std::size_t at) {
-    return fleet.nodes[at]->engine->lease_relay()->counts().passed_on;
+    return fleet.nodes[at]->engine->lease_relay()->counts().relayed;
   };
   const std::size_t most = std::ranges::max(std::vector<std::size_t>{6, 7, 8}, {}, passed_on);
   MESSAGE("passed on: ", passed_on(6), ", ", passed_on(7), ", ", passed_on(8));
@@ -722,7 +722,7 @@
     conservative += fleet.conservative;
     answered += static_cast<int>(fleet.waited_ms.size());
     failed += fleet.writes_failed;
-    for (const auto& node : fleet.nodes) waited += node->engine->lease_relay()->counts().waited;
+    for (const auto& node : fleet.nodes) waited += node->engine->lease_relay()->counts().batched;
   }
   MESSAGE(done, " reads, ", conservative, " on a conservative target; ", answered, " writes answered, ",
           failed, " not in time; ", waited, " messages waited");
@@ -897,8 +897,8 @@
   }
   fleet.Pass(kSecond);
   const auto& counts = fleet.nodes[0]->engine->lease_client()->counts();
-  CHECK(counts.capped > 50);
-  CHECK(fleet.conservative >= static_cast<int>(counts.capped));
+  CHECK(counts.suppressed_reads > 50);
+  CHECK(fleet.conservative >= static_cast<int>(counts.suppressed_reads));
   CHECK(fleet.stale == 0);
 }
 
