--- a/src/replication/engine_options.cpp
+++ b/src/replication/engine_options.cpp
@@ -18,15 +18,15 @@
 lease::SessionLeaseClient::Options LeaseOptionsFrom(
     const ReplicationSettings& settings, const consistency::SessionConsistencyGuard& consistency_guard) {
   lease::SessionLeaseClient::Options leases;
-  leases.holds = std::max(kMinLeases, consistency_guard.watermark_table().buckets() * 4);
-  leases.reads_per_s = settings.asks_per_s;
+  leases.lease_capacity = std::max(kMinLeases, consistency_guard.watermark_table().buckets() * 4);
+  leases.read_requests_per_s = settings.asks_per_s;
   leases.bytes_per_s = settings.bytes_per_s;
-  leases.coalesce = settings.coalesce;
-  leases.writes_wait = settings.watermarks == ReplicationMode::kLeases;
-  leases.owner.recall = consistency_guard.write_retention();
-  leases.owner.entries = leases.holds;
-  if (settings.owner) leases.owner.entries = std::max(leases.owner.entries, kMinLeasesOfDedicatedManager);
-  leases.owner.recalls = leases.writes_wait;
+  leases.batching_delay = settings.coalesce;
+  leases.writes_require_lease = settings.watermarks == ReplicationMode::kLeases;
+  leases.manager.write_retention = consistency_guard.write_retention();
+  leases.manager.entry_capacity = leases.lease_capacity;
+  if (settings.owner) leases.manager.entry_capacity = std::max(leases.manager.entry_capacity, kMinLeasesOfDedicatedManager);
+  leases.manager.revoke_before_grant = leases.writes_require_lease;
   return leases;
 }
 
--- a/src/replication/replication_report.cpp
+++ b/src/replication/replication_report.cpp
@@ -17,15 +17,15 @@
 Json LeaseReport(const ReplicationReportInput& input) {
   const lease::SessionLeaseClient& client = *input.engine.lease_client();
   const auto& requested = client.counts();
-  const auto& managed = client.owner().counts();
+  const auto& managed = client.manager().counts();
   const auto& relayed = input.engine.lease_relay()->counts();
   return {{"owner", input.settings.owner}, {"owners_set_aside", input.engine.swim().dedicated_lease_managers().size()},
-          {"holds", client.holds()},       {"entries", client.owner().size()},
+          {"holds", client.lease_count()},       {"entries", client.manager().size()},
           {"asks", requested.asks},        {"grants", requested.grants},
           {"exact", requested.exact},      {"recalled", requested.recalled},
           {"capped", requested.capped},    {"over_budget", requested.over_budget},
           {"granted", managed.grants},     {"denied", managed.denied},
-          {"waited", relayed.waited},      {"passed_on", relayed.passed_on}};
+          {"waited", relayed.batched},      {"passed_on", relayed.relayed}};
 }
 
 Json PeersReport(const ReplicationReportInput& input, std::uint64_t view) {
