--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -14,17 +14,17 @@
 Settings Site() {
   Settings s;
   RequestClass read;
-  read.kind = ReadKind::kBounded;
-  read.bound = Duration(500000);
-  read.aim = Duration(400000);
+  read.kind = AccessKind::kBoundedRead;
+  read.staleness_bound = Duration(500000);
+  read.latency_objective = Duration(400000);
   read.deadline = Duration(1600000);
   s.classes = {read};
   s.peers_total = 300;
   s.max_attempts = 8;
-  s.answers_tell_position = s.may_cancel = s.may_probe = true;
-  s.price_probe = 0.01;
-  s.lag_check = LagCheck::kRefuse;
-  s.reports = Reports::kAnswers;
+  s.responses_report_position = s.may_cancel = s.may_health_check = true;
+  s.health_check_price = 0.01;
+  s.position_check = PositionCheck::kReject;
+  s.load_reporting = LoadReporting::kWithResponses;
   return s;
 }
 
@@ -54,15 +54,15 @@
     ask.time_left = Duration(1600000);
     now += Duration(1000);
     Feed(ask);
-    OutcomeEvent end;
+    AttemptEndedEvent end;
     end.id = ask.id;
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) end.server = send->server;
+      if (const auto* send = std::get_if<StartAttempt>(&action)) end.server = send->server;
     }
-    end.taken = Duration(30000);
+    end.elapsed = Duration(30000);
     end.request_done = true;
-    end.note = {now, false};
-    now += end.taken;
+    end.metadata = {now, false};
+    now += end.elapsed;
     Feed(end);
   }
 
--- a/src/consistency/session_consistency_guard.cpp
+++ b/src/consistency/session_consistency_guard.cpp
@@ -26,7 +26,7 @@
 
 SessionConsistencyGuard::SessionConsistencyGuard(const Settings& settings, Options options)
     : classes_(settings.classes),
-      carried_(settings.sessions_carried),
+      carried_(settings.clients_carry_watermarks),
       options_(options),
       watermark_table_(options.sessions) {}
 
@@ -36,7 +36,7 @@
     if (Everywhere()) Take(now, *list);
   } else if (auto* request = std::get_if<RequestEvent>(&event)) {
     Take(now, *request);
-  } else if (auto* outcome = std::get_if<OutcomeEvent>(&event)) {
+  } else if (auto* outcome = std::get_if<AttemptEndedEvent>(&event)) {
     Take(now, *outcome);
   } else if (auto* probe = std::get_if<HealthCheckEvent>(&event)) {
     if (Everywhere()) Take(now, *probe);
@@ -85,24 +85,26 @@
 // ---- Reads and writes ---------------------------------------------------------------------------------
 
 void SessionConsistencyGuard::Take(TimePoint now, RequestEvent& event) {
-  if (event.cls >= classes_.size()) return;
-  const ReadKind kind = classes_[event.cls].kind;
-  if (kind != ReadKind::kWrite && kind != ReadKind::kSession) return;
+  if (event.request_class >= classes_.size()) return;
+  const AccessKind kind = classes_[event.request_class].kind;
+  if (kind != AccessKind::kWrite && kind != AccessKind::kSessionRead) return;
   Open open;
   open.group = event.group;
   open.key = SessionKeyOf(event.group, event.session);
   open.arrived = event.arrived.value_or(now);
-  open.write = kind == ReadKind::kWrite;
+  open.write = kind == AccessKind::kWrite;
   if (open.write) {
     open_[event.id] = open;
     if (holding_ != nullptr && !carried_) holding_->Want(open.group, open.key, true);
     return;
   }
   ++counts_.reads;
-  if (!carried_ && !Everywhere()) event.target.reset();  // where sessions carry nothing, it is noise
+  if (!carried_ && !Everywhere())
+    event.required_position.reset();  // where sessions carry nothing, it is noise
   if (carried_) {
-    if (event.since_write)
-      event.target = std::max(event.target.value_or(TimePoint{}), now - *event.since_write);
+    if (event.time_since_write)
+      event.required_position =
+          std::max(event.required_position.value_or(TimePoint{}), now - *event.time_since_write);
     if (!Everywhere()) return;
   }
   const SessionWatermarkTable::Known known = watermark_table_.Find(open.key);
@@ -115,18 +117,19 @@
     floor = known.floor;
   }
   if (open.watermark)
-    event.target = std::max(event.target.value_or(open.watermark->position), open.watermark->position);
-  if (floor) event.target = std::max(event.target.value_or(*floor), *floor);
+    event.required_position =
+        std::max(event.required_position.value_or(open.watermark->position), open.watermark->position);
+  if (floor) event.required_position = std::max(event.required_position.value_or(*floor), *floor);
   if (!Everywhere()) return;
   if (holding_ != nullptr && !carried_) open.exact = holding_->Exact(open.key);
   counts_.exact += open.exact.has_value();
   for (const Gap& gap : GapsOf(open)) floor = std::max(floor.value_or(gap.to), gap.to);
   if (floor) {
     ++counts_.floored;
-    event.target = std::max(event.target.value_or(*floor), *floor);
+    event.required_position = std::max(event.required_position.value_or(*floor), *floor);
   }
-  event.proven_only = true;
-  open.target = event.target;
+  event.require_proven_position = true;
+  open.target = event.required_position;
   if (const auto reason = Doubt(open, now)) {
     return Turn(event.id, *reason);
   }
@@ -156,7 +159,7 @@
   return std::nullopt;
 }
 
-void SessionConsistencyGuard::Take(TimePoint now, OutcomeEvent& event) {
+void SessionConsistencyGuard::Take(TimePoint now, AttemptEndedEvent& event) {
   const auto it = open_.find(event.id);
   const bool known = it != open_.end();
   const bool write = known && it->second.write;
@@ -164,8 +167,8 @@
     const auto group = groups_.find(event.server);
     if (known || group != groups_.end()) {
       // A write's answer gives its commit, which only its primary has.
-      TakeRole(known ? it->second.group : group->second, event.server, event.note.primary,
-               event.note.position, now);
+      TakeRole(known ? it->second.group : group->second, event.server, event.metadata.primary,
+               event.metadata.position, now);
     }
     if (event.report && group != groups_.end()) {
       TakeRole(group->second, event.server, event.report->primary, event.report->position, now);
@@ -176,19 +179,19 @@
   const auto open = open_.find(event.id);
   if (open == open_.end()) return;
   const bool served = event.outcome == Outcome::kOk;
-  if (served && write && event.note.position && !carried_) {
-    const WriteWatermark watermark{*event.note.position, event.server};
+  if (served && write && event.metadata.position && !carried_) {
+    const WriteWatermark watermark{*event.metadata.position, event.server};
     watermark_table_.Note(open->second.key, watermark);
     if (wrote_) wrote_(open->second.group, open->second.key, watermark);
   }
   // A primary stands at the present, and its position is rounded down: only one that speaks of the past has
   // been replaced.
-  const Duration rounding = event.note.primary.value_or(false) ? kRounding : Duration{0};
-  if (served && !write && Everywhere() && open->second.target && event.note.position &&
-      *event.note.position + rounding < *open->second.target) {
+  const Duration rounding = event.metadata.primary.value_or(false) ? kRounding : Duration{0};
+  if (served && !write && Everywhere() && open->second.target && event.metadata.position &&
+      *event.metadata.position + rounding < *open->second.target) {
     // No data server that goes by the rules answers like this; whoever does has lost part of its log.
     ++counts_.too_old;
-    event.outcome = Outcome::kMiss;
+    event.outcome = Outcome::kMisrouted;
   }
   if (event.request_done || event.outcome == Outcome::kOk) open_.erase(open);
 }
@@ -293,8 +296,8 @@
 }
 
 bool SessionConsistencyGuard::WorthHolding(const RequestEvent& event, TimePoint arrived) {
-  if (!Everywhere() || event.cls >= classes_.size()) return false;
-  if (classes_[event.cls].kind != ReadKind::kSession) return false;
+  if (!Everywhere() || event.request_class >= classes_.size()) return false;
+  if (classes_[event.request_class].kind != AccessKind::kSessionRead) return false;
   if (holding_ != nullptr && !carried_) {
     const SessionKey key = SessionKeyOf(event.group, event.session);
     // A read of a session that is held is also what keeps its lease.
--- a/src/consistency/session_consistency_guard.h
+++ b/src/consistency/session_consistency_guard.h
@@ -151,7 +151,7 @@
   void Take(TimePoint now, ListEvent& event);
   void Drop(ServerId server);
   void Take(TimePoint now, RequestEvent& event);
-  void Take(TimePoint now, OutcomeEvent& event);
+  void Take(TimePoint now, AttemptEndedEvent& event);
   void Take(TimePoint now, HealthCheckEvent& event);
   void TakeRole(GroupId group, ServerId server, std::optional<bool> primary,
                 std::optional<LogPosition>& position, TimePoint now);
--- a/src/frontend/client_session.cpp
+++ b/src/frontend/client_session.cpp
@@ -311,7 +311,7 @@
     return AnswerError("22023", "the tenant is not known here");
   }
   const RequestClass& kind = front_.kinds_[*cls];
-  if (kind.effect == Effect::kKeyed && comment.key.empty()) {
+  if (kind.idempotency == Idempotency::kIdempotencyKey && comment.key.empty()) {
     return AnswerError("22023", "the class is keyed, and the comment names no key");
   }
   // The answers could not be told apart, and data servers would take the second for a repeat of the first.
@@ -319,15 +319,16 @@
   if (front_.open_ids_.contains(id)) return AnswerError("22023", "a request of this id is open already");
   proxy::Ask ask;
   ask.event.group = GroupId(*comment.cluster);
-  ask.event.cls = *cls;
+  ask.event.request_class = *cls;
   ask.event.tenant = tenant.value_or(0);
-  if (kind.kind == ReadKind::kWrite || kind.kind == ReadKind::kSession) ask.event.session = comment.object;
+  if (kind.kind == AccessKind::kWrite || kind.kind == AccessKind::kSessionRead)
+    ask.event.session = comment.object;
   // Of a session that carries its newest write; a time that has not come is nobody's write.
-  if (kind.kind == ReadKind::kSession && comment.after_ms) {
+  if (kind.kind == AccessKind::kSessionRead && comment.after_ms) {
     const LogPosition after{std::chrono::milliseconds(std::min(*comment.after_ms, kMostMs))};
-    ask.event.target = std::min(after, front_.loop_.Now());
+    ask.event.required_position = std::min(after, front_.loop_.Now());
   }
-  ask.event.repeat = comment.retry;
+  ask.event.is_retry = comment.retry;
   // Its client's time has run since its last byte came, however long it waited here behind others. Where that
   // is over the module turns it away at once.
   ask.event.waited = std::max(Duration{0}, front_.loop_.Now() - came_);
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -31,7 +31,7 @@
   if (!fault.empty()) return fault;
   proxy_.ListChanged(std::move(first));
   const Settings& settings = config_.settings;
-  const discovery::Watch::Callers callers{settings.list_on_request, fleet::Size(settings.peers_total),
+  const discovery::Watch::Callers callers{settings.poll_endpoint_list, fleet::Size(settings.peers_total),
                                           settings.drain_grace};
   if (settings.peers_total == 0) {
     spdlog::warn("the settings do not say how many poolers there are (peers_total): taken for {}",
@@ -131,7 +131,7 @@
   }
   proxy_.ListChanged({change.whole ? ListKind::kComplete : ListKind::kPartial, Entries(change)});
   // Where being gone does not bind, requests may still be sent there.
-  if (!config_.settings.gone_not_binding) {
+  if (!config_.settings.unlisted_stay_usable) {
     for (const ServerId server : reader_.Prune(change)) host_.forget(server);
   }
   if (host_.changed) host_.changed();
--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -50,8 +50,8 @@
   AttemptNumber attempt = 0;
   ServerId server{};
   Outcome outcome = Outcome::kError;
-  Duration taken{0};
-  ResponseMetadata note{};
+  Duration elapsed{0};
+  ResponseMetadata metadata{};
   std::optional<LoadReport> report{};
   std::optional<Answer> answer{};
   bool unusable = false;  // with kVoid: the data server has not run it, and no other would
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -20,8 +20,8 @@
     : loop_(loop),
       backends_(backends),
       consistency_guard_(settings, sessions),
-      turned_away_(settings.clients_wait_as_told ? std::min(kTurnedAway, settings.longest_client_wait)
-                                                 : Duration{0}),
+      turned_away_(settings.clients_honor_retry_after ? std::min(kTurnedAway, settings.max_retry_after)
+                                                      : Duration{0}),
       margin_(settings.tick * 2),
       held_until_(loop),
       balancer_(std::move(settings), seed) {
@@ -180,9 +180,10 @@
 }
 
 void Proxy::OnAttemptEnd(AttemptEnd end) {
-  Event event = OutcomeEvent{end.request, end.attempt, end.server,          end.outcome,
-                             end.taken,   false,       std::move(end.note), std::move(end.report)};
-  auto& outcome = std::get<OutcomeEvent>(event);
+  Event event = AttemptEndedEvent{
+      end.request,          end.attempt, end.server, end.outcome, end.elapsed, false, std::move(end.metadata),
+      std::move(end.report)};
+  auto& outcome = std::get<AttemptEndedEvent>(event);
   // What the answer tells of its member comes before the answer: it may show that it cannot be trusted.
   wrote_.reset();
   Look(event);
@@ -240,7 +241,7 @@
     balancer_.Handle(loop_.Now(), event, fresh_);
     consistency_guard_.After(fresh_);
     if (const auto* gone = std::get_if<ClientDisconnectedEvent>(&event)) requests_.erase(gone->id);
-    const auto* outcome = std::get_if<OutcomeEvent>(&event);
+    const auto* outcome = std::get_if<AttemptEndedEvent>(&event);
     if (outcome != nullptr && outcome->request_done) requests_.erase(outcome->id);
     for (Action& action : fresh_) actions_.push_back(std::move(action));
     while (!actions_.empty()) {
@@ -252,7 +253,7 @@
   feeding_ = false;
 }
 
-void Proxy::Do(const Send& action) {
+void Proxy::Do(const StartAttempt& action) {
   const auto it = requests_.find(action.id);
   if (it == requests_.end()) {
     spdlog::error("module: a send for request {}, which is over", static_cast<std::uint32_t>(action.id));
@@ -262,17 +263,17 @@
   if (it->second.client == nullptr) {
     // The client has just gone and the module has not heard yet. Every send has an end, or the module would
     // count this one as out for ever.
-    OutcomeEvent never;
+    AttemptEndedEvent never;
     never.id = action.id;
     never.attempt = number;
     never.server = action.server;
-    never.outcome = Outcome::kVoid;
+    never.outcome = Outcome::kNotRun;
     never.request_done = true;
     events_.emplace_back(std::move(never));
     return;
   }
   ++counts_.attempts;
-  backends_.Send(action.id, number, action.server, it->second.work, {action.limit, action.write_within});
+  backends_.Send(action.id, number, action.server, it->second.work, {action.timeout, action.write_within});
 }
 
 void Proxy::Do(const Reject& action) {
@@ -281,7 +282,7 @@
   backends_.Drop(action.id);
   if (client == nullptr) return;
   ++counts_.refused;
-  client->Refused(action.stay_away);
+  client->Refused(action.retry_after);
 }
 
 void Proxy::Do(const Fail& action) {
@@ -299,7 +300,7 @@
   });
 }
 
-void Proxy::Do(const Probe& action) {
+void Proxy::Do(const StartHealthCheck& action) {
   ++counts_.probes;
   backends_.Probe(action.server);
 }
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -79,17 +79,17 @@
   Client* Close(RequestId request);
   bool Over(RequestId request) const;
 
-  void Do(const Send& action);
+  void Do(const StartAttempt& action);
   void Do(const Reject& action);
   void Do(const Fail& action);
   void Do(const Cancel& action) { backends_.Cancel(action.id, action.attempt); }
   void Do(const SetTimer& action);
-  void Do(const Probe& action);
-  void Do(const CloseIdle& action) { backends_.CloseIdle(action.server); }
+  void Do(const StartHealthCheck& action);
+  void Do(const CloseIdleConnections& action) { backends_.CloseIdle(action.server); }
   void Do(const Log& action);
-  void Do(const Watch&) {}      // the watch is always on
-  void Do(const FetchList&) {}  // and brings the whole list where something was missed
-  void Do(const TellPeers&) {}  // poolers have no way to talk to each other
+  void Do(const WatchEndpointList&) {}  // the watch is always on
+  void Do(const FetchEndpointList&) {}  // and brings the whole list where something was missed
+  void Do(const SendToPeers&) {}        // poolers have no way to talk to each other
 
   net::Loop& loop_;
   Backends& backends_;
--- a/src/routing/balancer.cpp
+++ b/src/routing/balancer.cpp
@@ -140,7 +140,8 @@
 class Balancer::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed) : s_(std::move(settings)), random_(seed) {
-    for (const RequestClass& cls : s_.classes) class_latency_.push_back(std::max(1e-3, Seconds(cls.aim) / 4));
+    for (const RequestClass& cls : s_.classes)
+      class_latency_.push_back(std::max(1e-3, Seconds(cls.latency_objective) / 4));
   }
 
   void Handle(TimePoint now, const Event& event, Actions& actions) {
@@ -157,11 +158,11 @@
   void On(const ListEvent& event) {
     if (event.kind == ListKind::kPersisted) {
       SetTimer(TimerKind::kBeat, Jittered(kPause));  // proxies that start together do not beat together
-      if (s_.list_on_request) SetTimer(TimerKind::kWatch, Jittered(kPause));
+      if (s_.poll_endpoint_list) SetTimer(TimerKind::kWatch, Jittered(kPause));
     }
     if (event.kind == ListKind::kError) {
       watch_failures_ = std::min(watch_failures_ + 1, kMostDoublings);
-      if (s_.list_on_request) SetTimer(TimerKind::kWatch, Jittered(kPause * 4 * (1 << watch_failures_)));
+      if (s_.poll_endpoint_list) SetTimer(TimerKind::kWatch, Jittered(kPause * 4 * (1 << watch_failures_)));
       return;
     }
     watch_failures_ = 0;
@@ -172,7 +173,7 @@
     }
     if (event.kind != ListKind::kPartial) {
       for (auto& [id, m] : members_) {
-        if (!named.contains(id) && !s_.gone_not_binding) {
+        if (!named.contains(id) && !s_.unlisted_stay_usable) {
           m.leaving = true;
           if (!m.gone) m.gone = now_;
         }
@@ -193,15 +194,15 @@
     m.weight = entry.weight > 0 ? entry.weight : 1;
     // What was told to drain is out until it is listed as serving again: gone after that changes nothing.
     m.leaving = entry.lifecycle == Lifecycle::kDraining ||
-                (entry.lifecycle == Lifecycle::kDeleted && (m.leaving || !s_.gone_not_binding));
+                (entry.lifecycle == Lifecycle::kDeleted && (m.leaving || !s_.unlisted_stay_usable));
     if (!m.leaving || entry.lifecycle != Lifecycle::kDeleted)
       m.gone.reset();
     else if (!m.gone)
       m.gone = now_;
     if (entry.started && (!m.started || *entry.started > *m.started)) StartedAt(m, *entry.started);
-    if (s_.list_role == ListRole::kNone) return;
+    if (s_.listed_role == ListedRole::kNone) return;
     // A list's word on the role is as old as the list may be: any answer or report outweighs it.
-    const TimePoint age = old || s_.list_role == ListRole::kStart ? TimePoint{} : now_ - kListAge;
+    const TimePoint age = old || s_.listed_role == ListedRole::kInitial ? TimePoint{} : now_ - kListAge;
     if (entry.primary && (!m.primary_at || *m.primary_at < age)) RoleSeen(m, true, age);
   }
 
@@ -222,7 +223,7 @@
     return true;
   }
 
-  bool Cold(const Member& m) const { return m.started && now_ < *m.started + s_.cold_time; }
+  bool Cold(const Member& m) const { return m.started && now_ < *m.started + s_.slow_start_duration; }
 
   double WarmShare(const Member& m) const { return Cold(m) ? warm_up_.Share(now_ - *m.started) : 1; }
 
@@ -323,23 +324,23 @@
   // Whether a read may be expected to find its target there; members that check guard the rule themselves.
   bool Reached(const Member& m, const std::optional<LogPosition>& target) const {
     return Proven(m, target) ||
-           (s_.lag_check != LagCheck::kNone && Known(m, target) && Expected(m) >= *target);
+           (s_.position_check != PositionCheck::kNone && Known(m, target) && Expected(m) >= *target);
   }
 
   std::optional<LogPosition> Target(const Request& r) const {
     const RequestClass& cls = Class(r);
-    if (cls.kind == ReadKind::kBounded) return now_ - cls.bound;
-    if (cls.kind == ReadKind::kSession) return r.ask.target;
+    if (cls.kind == AccessKind::kBoundedRead) return now_ - cls.staleness_bound;
+    if (cls.kind == AccessKind::kSessionRead) return r.ask.required_position;
     return std::nullopt;
   }
 
   // ---- Eligibility ----------------------------------------------------------------------------------
-  const RequestClass& Class(const Request& r) const { return s_.classes[r.ask.cls]; }
+  const RequestClass& Class(const Request& r) const { return s_.classes[r.ask.request_class]; }
   static bool NeedsPrimary(const RequestClass& cls) {
-    return cls.kind == ReadKind::kWrite || cls.kind == ReadKind::kFresh;
+    return cls.kind == AccessKind::kWrite || cls.kind == AccessKind::kStrongRead;
   }
   bool NeedsPrimary(const Request& r) const { return NeedsPrimary(Class(r)); }
-  double Cost(const Request& r) const { return class_latency_[r.ask.cls]; }
+  double Cost(const Request& r) const { return class_latency_[r.ask.request_class]; }
 
   static bool Proven(const Member& m, const std::optional<LogPosition>& target) {
     return !target || m.position.Proven(Since(*target));
@@ -356,20 +357,22 @@
     const RequestClass& cls = Class(r);
     if (m.group != r.ask.group || m.leaving) return false;
     if (r.attempts.size() >= s_.max_attempts || r.deadline <= now_) return false;
-    if (Pending(r) && (!s_.may_duplicate || cls.effect != Effect::kSafe)) return false;
-    if (!MayRepeat(r) || (cls.repeats_in_zone && RanElsewhere(r, m.zone))) return false;
+    if (Pending(r) && (!s_.may_hedge || cls.idempotency != Idempotency::kIdempotent)) return false;
+    if (!MayRepeat(r) || (cls.deduplicated_in_zone && RanElsewhere(r, m.zone))) return false;
     if (MustProve(r) && !IsPrimary(m)) {
-      if (cls.kind == ReadKind::kFresh || !Proven(m, Target(r))) return false;
+      if (cls.kind == AccessKind::kStrongRead || !Proven(m, Target(r))) return false;
     }
     return HasRoom(r, m);
   }
 
-  bool MustProve(const Request& r) const { return s_.lag_check == LagCheck::kNone || r.ask.proven_only; }
+  bool MustProve(const Request& r) const {
+    return s_.position_check == PositionCheck::kNone || r.ask.require_proven_position;
+  }
 
   bool HasRoom(const Request& r, Member& m) {
     if (!Cold(m) || ColdByChance(m)) return true;  // by chance: as it is drawn
     // Held writes come at once when a primary is found, reads as they come: what they did not use adds up.
-    const double count = IsPrimary(m) ? warm_up_.Hold() : Seconds(s_.cold_time);
+    const double count = IsPrimary(m) ? warm_up_.Hold() : Seconds(s_.slow_start_duration);
     const double most = m.cold.Fill(now_.time_since_epoch(), ColdRate(m), warm_up_.Hold(), count);
     return m.cold.work() >= std::min(Cost(r), most);
   }
@@ -421,7 +424,8 @@
   // every replica of a group, so all proxies draw the same one, the first by id that is not busy already.
   // Costs an uneven load where such reads halt nothing.
   bool LongAny(const Request& r) const {
-    return Class(r).kind == ReadKind::kAny && class_latency_[r.ask.cls] > kLongRead * ShortestWork();
+    return Class(r).kind == AccessKind::kEventualRead &&
+           class_latency_[r.ask.request_class] > kLongRead * ShortestWork();
   }
 
   // The replica that takes the long reads: the first by id.
@@ -439,7 +443,8 @@
     const std::optional<LogPosition> target = Target(r);
     const Member* host = HostOf(groups_[r.ask.group]);
     const bool together = LongAny(r) && host != nullptr &&
-                          class_latency_[r.ask.cls] * Slowness(*host) <= kSpareAim * Seconds(Class(r).aim);
+                          class_latency_[r.ask.request_class] * Slowness(*host) <=
+                              kSpareAim * Seconds(Class(r).latency_objective);
     std::vector<fleet::WeightedCandidate> lots;
     const double wanted = Wanted(r);
     for (const Member* m : from) {
@@ -449,7 +454,7 @@
       // missed lately is told apart only by whether they take the long reads.
       if (target && !Known(*m, target)) o *= 1 - miss_share_[m == host];
       o = std::pow(o, kSharpness) * WarmShare(*m);
-      const bool behind = target && Known(*m, target) && Expected(*m) + s_.patience / 2 < *target;
+      const bool behind = target && Known(*m, target) && Expected(*m) + s_.replica_wait_limit / 2 < *target;
       if (behind || Tried(r, m->id)) o *= kFarBehind;
       if (together && m == host) o *= kTogether;
       lots.push_back({o, ColdByChance(*m) ? fleet::Odds(ColdRate(*m), wanted) : 1});
@@ -509,7 +514,7 @@
     for (ServerId id : groups_[r.ask.group].servers) {
       const Member& m = members_.at(id);
       if (m.leaving || IsPrimary(m)) continue;
-      const bool moves = Class(r).kind == ReadKind::kBounded;
+      const bool moves = Class(r).kind == AccessKind::kBoundedRead;
       if (!target || m.position.MayReach(Since(now_), within, Since(*target), moves)) return true;
       none = false;
     }
@@ -557,10 +562,11 @@
     for (ServerId id : groups_[r.ask.group].servers) {
       const Member& m = members_.at(id);
       if (!Usable(m) || IsPrimary(m)) continue;
-      if (!target || !s_.may_probe) return true;
+      if (!target || !s_.may_health_check) return true;
       // Where little is heard a miss is news too: the member that missed this read is not asked blindly
       // again.
-      if (!Known(m, target) ? !r.missed.contains(id) : Expected(m) + s_.patience >= *target) return true;
+      if (!Known(m, target) ? !r.missed.contains(id) : Expected(m) + s_.replica_wait_limit >= *target)
+        return true;
     }
     return false;
   }
@@ -577,7 +583,7 @@
   bool HasSpare(Member& m) {
     for (std::size_t i = 0; i < s_.classes.size(); ++i) {
       if (!NeedsPrimary(s_.classes[i])) continue;
-      if (class_latency_[i] * Slowness(m) <= kSpareAim * Seconds(s_.classes[i].aim)) continue;
+      if (class_latency_[i] * Slowness(m) <= kSpareAim * Seconds(s_.classes[i].latency_objective)) continue;
       m.spare.Cut(Since(now_));
       return false;
     }
@@ -617,22 +623,22 @@
     double sum = 0, count = 0;
     for (std::size_t i = 0; i < s_.classes.size(); ++i) {
       if (NeedsPrimary(s_.classes[i]) != NeedsPrimary(Class(r))) continue;
-      sum += s_.classes[i].worth / class_latency_[i];
+      sum += s_.classes[i].priority_weight / class_latency_[i];
       ++count;
     }
-    const double own = std::max(1e-9, Class(r).worth / class_latency_[r.ask.cls]);
+    const double own = std::max(1e-9, Class(r).priority_weight / class_latency_[r.ask.request_class]);
     return std::clamp(std::sqrt(sum / count / own), kCheapLow, kCheapHigh);
   }
 
   // Clients may leave long before their word; an answer after that is work wasted, and they come back.
-  Duration Aim(const Request& r) const { return Times(Class(r).aim, stay_.Part()); }
+  Duration Aim(const Request& r) const { return Times(Class(r).latency_objective, stay_.Part()); }
 
   void StaySeen(const Request& r, bool left) {
-    stay_.Seen(Seconds(now_ - r.arrived) / std::max(1e-6, Seconds(Class(r).aim)), left);
+    stay_.Seen(Seconds(now_ - r.arrived) / std::max(1e-6, Seconds(Class(r).latency_objective)), left);
   }
 
   TimePoint UsefulUntil(const Request& r) const {
-    if (Class(r).late_value >= kLateMatters) return r.deadline;
+    if (Class(r).late_response_value >= kLateMatters) return r.deadline;
     return std::min(r.deadline, r.asked + Aim(r));
   }
 
@@ -648,7 +654,7 @@
   // How long the request would take there. What is in flight now tells of a queue before its latencies do.
   double Expects(const Request& r, const Member& m) const {
     const double queue = m.latency.each() * static_cast<double>(m.out.size() + 1);
-    return class_latency_[r.ask.cls] * std::max(Slowness(m), queue);
+    return class_latency_[r.ask.request_class] * std::max(Slowness(m), queue);
   }
 
   // ---- Attempts and outcomes ------------------------------------------------------------------------
@@ -657,27 +663,28 @@
     if (Cold(m) && !ColdByChance(m)) m.cold.Take(Cost(r));
     const auto target = Target(r);
     m.out[{r.ask.id, static_cast<AttemptNumber>(r.attempts.size())}] = {
-        now_, r.ask.cls, spill, target, !Known(m, target), m.out.size()};
+        now_, r.ask.request_class, spill, target, !Known(m, target), m.out.size()};
     if (spill) m.spare.Take();
-    out_->push_back(Send{r.ask.id, m.id, r.deadline - now_, RepeatWithin(r)});
+    out_->push_back(StartAttempt{r.ask.id, m.id, r.deadline - now_, RepeatWithin(r)});
     r.attempts.push_back({m.id, m.zone, now_});
   }
 
   void On(const RequestEvent& event) {
-    if (event.cls >= s_.classes.size()) throw std::out_of_range("request of an unknown class");
+    if (event.request_class >= s_.classes.size()) throw std::out_of_range("request of an unknown class");
     // A group that no list has named has no members, and clients could fill the table with such.
     if (!groups_.contains(event.group)) {
-      out_->push_back(Reject{event.id, s_.clients_wait_as_told ? kPause : Duration{0}});
+      out_->push_back(Reject{event.id, s_.clients_honor_retry_after ? kPause : Duration{0}});
       return;
     }
     Request& r = requests_[event.id];
     r.ask = event;
     r.arrived = now_ - event.waited;
-    estimation::FirstAttemptEstimator& first = first_tries_[event.cls];
+    estimation::FirstAttemptEstimator& first = first_tries_[event.request_class];
     r.deadline = now_ + event.time_left;
-    r.asked = r.arrived - first.Age(Class(r).deadline, r.deadline - r.arrived, event.repeat);
+    r.asked = r.arrived - first.Age(Class(r).deadline, r.deadline - r.arrived, event.is_retry);
     retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + kRetryShare);
-    probe_tokens_ += std::min({kFreeProbes, kProbePoints / s_.price_probe, kRetryBurst - probe_tokens_});
+    probe_tokens_ +=
+        std::min({kFreeProbes, kProbePoints / s_.health_check_price, kRetryBurst - probe_tokens_});
     Group& g = groups_[event.group];
     r.missed_at_change = g.role_changes;
     const Duration left = event.time_left - s_.tick * 2;
@@ -686,7 +693,7 @@
     Route(r);
   }
 
-  void On(const OutcomeEvent& event) {
+  void On(const AttemptEndedEvent& event) {
     const auto found = members_.find(event.server);
     if (found == members_.end() || !found->second.out.contains({event.id, event.attempt})) return;
     Member& m = found->second;
@@ -695,29 +702,31 @@
       m.spare.Return(event.outcome == Outcome::kOk && HasSpare(m));
       stirred_ = true;
     }
-    if (was.target && !IsPrimary(m) && (event.outcome == Outcome::kOk || event.outcome == Outcome::kMiss)) {
+    if (was.target && !IsPrimary(m) &&
+        (event.outcome == Outcome::kOk || event.outcome == Outcome::kMisrouted)) {
       double& share = miss_share_[&m == HostOf(groups_[m.group])];
-      if (was.blind) share += kMissGain * ((event.outcome == Outcome::kMiss ? 1 : 0) - share);
+      if (was.blind) share += kMissGain * ((event.outcome == Outcome::kMisrouted ? 1 : 0) - share);
       // Members that check answer only from the target on.
-      if (event.outcome == Outcome::kOk && s_.lag_check != LagCheck::kNone) PositionSeen(m, *was.target);
+      if (event.outcome == Outcome::kOk && s_.position_check != PositionCheck::kNone)
+        PositionSeen(m, *was.target);
     }
-    if (event.note.primary) RoleSeen(m, *event.note.primary, now_);
-    const bool write = s_.classes[was.cls].kind == ReadKind::kWrite;
-    if (event.note.position && (s_.answers_tell_position || write)) {
-      if (!write || event.note.primary.value_or(true)) PositionSeen(m, *event.note.position);
+    if (event.metadata.primary) RoleSeen(m, *event.metadata.primary, now_);
+    const bool write = s_.classes[was.cls].kind == AccessKind::kWrite;
+    if (event.metadata.position && (s_.responses_report_position || write)) {
+      if (!write || event.metadata.primary.value_or(true)) PositionSeen(m, *event.metadata.position);
     }
     if (event.report) TakeReport(m, *event.report);
-    Judge(m, was, event.outcome, std::min(event.taken, now_ - was.sent));
-    if (now_ < m.short_until && m.out.empty()) out_->push_back(CloseIdle{m.id});
+    Judge(m, was, event.outcome, std::min(event.elapsed, now_ - was.sent));
+    if (now_ < m.short_until && m.out.empty()) out_->push_back(CloseIdleConnections{m.id});
     const auto it = requests_.find(event.id);
     if (it == requests_.end()) return;
     Request& r = it->second;
     if (event.attempt < r.attempts.size()) {
       Attempt& a = r.attempts[event.attempt];
       a.pending = false;
-      a.arrived = event.outcome != Outcome::kUnreachable && event.outcome != Outcome::kVoid;
-      a.may_have_run = event.outcome != Outcome::kFull && event.outcome != Outcome::kUnreachable &&
-                       event.outcome != Outcome::kVoid && event.outcome != Outcome::kMiss;
+      a.arrived = event.outcome != Outcome::kUnreachable && event.outcome != Outcome::kNotRun;
+      a.may_have_run = event.outcome != Outcome::kOverloaded && event.outcome != Outcome::kUnreachable &&
+                       event.outcome != Outcome::kNotRun && event.outcome != Outcome::kMisrouted;
     }
     if (event.outcome == Outcome::kOk) StaySeen(r, false);
     if (event.request_done) return Forget(r);
@@ -744,23 +753,24 @@
     }
     // Called off, it would have taken longer still. But where later ones were answered, or where answers tell
     // of queues and the last told of none, its answer was lost.
-    const bool queue = s_.reports != Reports::kAnswers || m.queued >= 1;
+    const bool queue = s_.load_reporting != LoadReporting::kWithResponses || m.queued >= 1;
     if (outcome == Outcome::kCancelled && was.sent > m.answered && queue) {
       const double late = std::min(kLate, Seconds(time) / usual);
       m.latency.Overdue(now, late);
       if (late > crowd.Mean(now, 1)) crowd.Add(now, late);
     }
-    if (outcome == Outcome::kMiss || outcome == Outcome::kCancelled || outcome == Outcome::kVoid) return;
+    if (outcome == Outcome::kMisrouted || outcome == Outcome::kCancelled || outcome == Outcome::kNotRun)
+      return;
     ++m.failures;
-    const bool lost = outcome == Outcome::kUnreachable || outcome == Outcome::kBroken;
+    const bool lost = outcome == Outcome::kUnreachable || outcome == Outcome::kConnectionLost;
     m.lost = lost || outcome == Outcome::kTimeout ? m.lost + 1 : 0;
     if (IsPrimary(m) && (lost || outcome == Outcome::kTimeout)) groups_[m.group].searching = true;
-    if (outcome == Outcome::kFull && now_ >= m.resting_until) {
+    if (outcome == Outcome::kOverloaded && now_ >= m.resting_until) {
       // Its queue is full or it drains: more work would be turned away too, and counts as load.
       m.resting_until = now_ + Jittered(kPause * std::min(m.failures, kMostFull));
     }
     if (lost) {
-      m.down = m.down || outcome == Outcome::kBroken;
+      m.down = m.down || outcome == Outcome::kConnectionLost;
       // A process that broke off and cannot be reached may be starting anew, long before the list says so.
       if (m.failures > 1 && m.down) StartedAt(m, now_);
       if (!m.down && time < s_.connect_timeout / 2) {
@@ -809,11 +819,11 @@
   // What becomes of a request whose attempt ended without an answer.
   void After(Request& r, Member& m, Outcome outcome) {
     if (Pending(r)) return;
-    if (outcome == Outcome::kMiss) {
+    if (outcome == Outcome::kMisrouted) {
       r.missed.insert(m.id);
       if (!NeedsPrimary(r)) {
         stirred_ = true;
-        return Wait(r, s_.lag_check == LagCheck::kWait ? Duration{0} : kPause);
+        return Wait(r, s_.position_check == PositionCheck::kWait ? Duration{0} : kPause);
       }
       const Group& g = groups_[r.ask.group];
       r.role_misses = g.role_changes == r.missed_at_change ? r.role_misses + 1 : 1;
@@ -821,7 +831,7 @@
       RoleSeen(m, false, now_);
       return Route(r);
     }
-    if (outcome == Outcome::kVoid || !MayRepeat(r)) return Finish(r);
+    if (outcome == Outcome::kNotRun || !MayRepeat(r)) return Finish(r);
     if (outcome != Outcome::kUnreachable) {  // which is no load
       if (retry_tokens_ < 1) return Finish(r);
       retry_tokens_ -= 1;
@@ -836,9 +846,9 @@
   Duration RepeatWithin(const Request& r) const {
     Duration within = Duration::max();
     for (const Attempt& a : r.attempts) {
-      if (!a.may_have_run || Class(r).effect == Effect::kSafe) continue;
-      const bool keyed = Class(r).effect == Effect::kKeyed;
-      within = std::min(within, keyed ? a.sent + Class(r).repeat_window - s_.tick - now_ : Duration{0});
+      if (!a.may_have_run || Class(r).idempotency == Idempotency::kIdempotent) continue;
+      const bool keyed = Class(r).idempotency == Idempotency::kIdempotencyKey;
+      within = std::min(within, keyed ? a.sent + Class(r).idempotency_window - s_.tick - now_ : Duration{0});
     }
     return within;
   }
@@ -847,7 +857,7 @@
     return std::ranges::any_of(r.attempts, [=](const auto& a) { return a.may_have_run && a.zone != zone; });
   }
 
-  void On(const StreamEvent& event) {
+  void On(const ResponseStartedEvent& event) {
     const auto it = requests_.find(event.id);
     if (it != requests_.end()) Forget(it->second);
   }
@@ -866,7 +876,9 @@
   // Refusing promises that a new try does no harm.
   bool MayRefuse(const Request& r) const {
     const RequestClass& cls = Class(r);
-    if (cls.effect == Effect::kSafe || (cls.effect == Effect::kKeyed && cls.repeats_anywhere)) return true;
+    if (cls.idempotency == Idempotency::kIdempotent ||
+        (cls.idempotency == Idempotency::kIdempotencyKey && cls.deduplicated_everywhere))
+      return true;
     return std::none_of(r.attempts.begin(), r.attempts.end(),
                         [](const Attempt& a) { return a.may_have_run; });
   }
@@ -875,7 +887,7 @@
   // makes it too slow for this class. Where none is known to take it, after a pause: what is held for a
   // member costs none of them anything. Never under what one answer takes, in which little changes.
   Duration ComeBack(const Request& r) {
-    if (!s_.clients_wait_as_told) return Duration{0};
+    if (!s_.clients_honor_retry_after) return Duration{0};
     std::optional<Duration> soonest;
     for (ServerId id : groups_[r.ask.group].servers) {
       const Member& m = members_.at(id);
@@ -885,12 +897,12 @@
       const Duration ready = rest + Times(Duration(1000000), kWorkedOff * over);
       soonest = std::min(soonest.value_or(ready), ready);
     }
-    const Duration least = std::min(kPause, Times(Duration(1000000), class_latency_[r.ask.cls]));
-    return std::min(s_.longest_client_wait, std::max(least, soonest.value_or(kPause)));
+    const Duration least = std::min(kPause, Times(Duration(1000000), class_latency_[r.ask.request_class]));
+    return std::min(s_.max_retry_after, std::max(least, soonest.value_or(kPause)));
   }
 
   void Finish(Request& r) {
-    first_tries_[r.ask.cls].Unserved(now_ - r.asked);
+    first_tries_[r.ask.request_class].Unserved(now_ - r.asked);
     StaySeen(r, false);
     CancelPending(r);
     out_->push_back(MayRefuse(r) ? Action(Reject{r.ask.id, ComeBack(r)}) : Action(Fail{r.ask.id}));
@@ -912,10 +924,10 @@
   // ---- Probes and discovery -------------------------------------------------------------------------
 
   void ProbeMember(Member& m) {
-    if (!s_.may_probe || m.leaving || m.probing || now_ - m.probed < kPause) return;
+    if (!s_.may_health_check || m.leaving || m.probing || now_ - m.probed < kPause) return;
     m.probing = true;
     m.probed = now_;
-    out_->push_back(Probe{m.id});
+    out_->push_back(StartHealthCheck{m.id});
   }
 
   bool PaidProbe(Member& m) {
@@ -948,7 +960,7 @@
     const auto raw = static_cast<std::uint64_t>(event.id);
     const auto kind = static_cast<TimerKind>(raw >> 32);
     if (kind == TimerKind::kBeat) Beat();
-    if (kind == TimerKind::kWatch) out_->push_back(Watch{true});
+    if (kind == TimerKind::kWatch) out_->push_back(WatchEndpointList{true});
     const auto it = requests_.find(RequestId(static_cast<std::uint32_t>(raw)));
     if (it == requests_.end()) return;
     if (kind == TimerKind::kEnd) Finish(it->second);
@@ -985,8 +997,8 @@
   // The positions heard longest ago, those of unheard members first, within the probes' part of the price; a
   // few a beat, as all proxies may have started together.
   void ProbeStale() {
-    if (s_.reports == Reports::kNone || probe_tokens_ < 1) return;
-    const int pauses = s_.answers_tell_position ? kStaleToldPauses : kStalePauses;
+    if (s_.load_reporting == LoadReporting::kNone || probe_tokens_ < 1) return;
+    const int pauses = s_.responses_report_position ? kStaleToldPauses : kStalePauses;
     std::vector<Member*> stale;
     for (auto& [id, m] : members_) {
       if (m.leaving || m.probing) continue;
@@ -1007,7 +1019,8 @@
   }
 
   Settings s_;
-  const fleet::SlowStartRule warm_up_{s_.start_capacity, s_.cold_time, s_.overload_factor, s_.fall_time};
+  const fleet::SlowStartRule warm_up_{s_.initial_capacity, s_.slow_start_duration, s_.overload_factor,
+                                      s_.overload_duration};
   std::mt19937_64 random_;
   TimePoint now_{};
   TimePoint handled_{};
--- a/src/routing/balancer.h
+++ b/src/routing/balancer.h
@@ -38,23 +38,23 @@
 using ZoneIndex = std::uint32_t;
 using AttemptNumber = std::uint32_t;
 
-enum class Effect { kSafe, kKeyed, kUnsafe };
-enum class ReadKind { kWrite, kFresh, kSession, kBounded, kAny };
-enum class LagCheck { kNone, kRefuse, kWait };
-enum class ListRole { kStart, kLate, kNone };
-enum class Reports { kNone, kAnswers, kProbes };
+enum class Idempotency { kIdempotent, kIdempotencyKey, kNotIdempotent };
+enum class AccessKind { kWrite, kStrongRead, kSessionRead, kBoundedRead, kEventualRead };
+enum class PositionCheck { kNone, kReject, kWait };
+enum class ListedRole { kInitial, kDelayed, kNone };
+enum class LoadReporting { kNone, kWithResponses, kOnHealthCheck };
 
 struct RequestClass {
-  ReadKind kind = ReadKind::kAny;
-  Effect effect = Effect::kSafe;
-  Duration aim{0};
+  AccessKind kind = AccessKind::kEventualRead;
+  Idempotency idempotency = Idempotency::kIdempotent;
+  Duration latency_objective{0};
   Duration deadline{0};
-  Duration bound{0};             // kBounded: how old the data may be when the request is sent
-  Duration repeat_window{0};     // kKeyed: how long repeats are discarded
-  bool repeats_anywhere = true;  // kKeyed: every member discards repeats, not only the group
-  bool repeats_in_zone = false;  // kKeyed: those in the zone of the one that may have run it do
-  double worth = 1;
-  double late_value = 0;
+  Duration staleness_bound{0};          // kBounded: how old the data may be when the request is sent
+  Duration idempotency_window{0};       // kKeyed: how long repeats are discarded
+  bool deduplicated_everywhere = true;  // kKeyed: every member discards repeats, not only the group
+  bool deduplicated_in_zone = false;    // kKeyed: those in the zone of the one that may have run it do
+  double priority_weight = 1;
+  double late_response_value = 0;
 };
 
 struct Tenant {
@@ -69,33 +69,33 @@
   std::uint32_t peers_total = 1;  // 0: not told
   ZoneIndex zone = 0;
   Duration tick{5000};
-  bool list_on_request = false;
-  ListRole list_role = ListRole::kNone;
-  LagCheck lag_check = LagCheck::kNone;
-  Duration patience{0};
-  bool answers_tell_position = false;
-  bool sessions_carried = true;
-  Reports reports = Reports::kNone;
+  bool poll_endpoint_list = false;
+  ListedRole listed_role = ListedRole::kNone;
+  PositionCheck position_check = PositionCheck::kNone;
+  Duration replica_wait_limit{0};
+  bool responses_report_position = false;
+  bool clients_carry_watermarks = true;
+  LoadReporting load_reporting = LoadReporting::kNone;
   bool may_cancel = false;
-  bool may_probe = false;
-  bool may_duplicate = false;
-  bool clients_wait_as_told = false;
-  Duration longest_client_wait{0};
+  bool may_health_check = false;
+  bool may_hedge = false;
+  bool clients_honor_retry_after = false;
+  Duration max_retry_after{0};
   std::uint32_t max_attempts = 1;
   Duration connect_timeout{250000};
-  Duration answer_slack{0};
+  Duration response_slack{0};
   Duration drain_grace{0};
-  bool gone_not_binding = false;
-  std::optional<Duration> ask_within{};
-  double start_capacity = 1;
-  Duration cold_time{0};
+  bool unlisted_stay_usable = false;
+  std::optional<Duration> max_poll_interval{};
+  double initial_capacity = 1;
+  Duration slow_start_duration{0};
   double overload_factor = 1;
-  Duration fall_time{0};
-  double price_probe = 0;
-  double price_cross_zone = 0;
-  double price_waste = 0;
-  double price_late_fail = 0;
-  double over_share_worth = 1;
+  Duration overload_duration{0};
+  double health_check_price = 0;
+  double cross_zone_price = 0;
+  double wasted_work_price = 0;
+  double late_failure_price = 0;
+  double over_share_priority_weight = 1;
 };
 
 // What a member says of itself. Absent: not reported.
@@ -103,8 +103,8 @@
   std::optional<LogPosition> position{};
   std::optional<bool> primary{};
   std::optional<double> queued{};
-  std::optional<double> held{};
-  std::optional<double> busy{};
+  std::optional<double> in_flight{};
+  std::optional<double> utilization{};
 };
 
 // The note that comes with an answer.
@@ -126,7 +126,17 @@
 };
 
 enum class ListKind { kPersisted, kComplete, kPartial, kError };
-enum class Outcome { kOk, kError, kFull, kTimeout, kUnreachable, kBroken, kCancelled, kVoid, kMiss };
+enum class Outcome {
+  kOk,
+  kError,
+  kOverloaded,
+  kTimeout,
+  kUnreachable,
+  kConnectionLost,
+  kCancelled,
+  kNotRun,
+  kMisrouted
+};
 
 struct ListEvent {
   ListKind kind = ListKind::kComplete;
@@ -136,40 +146,40 @@
 struct RequestEvent {
   RequestId id{};
   GroupId group{};
-  ClassIndex cls = 0;
+  ClassIndex request_class = 0;
   TenantIndex tenant = 0;
   std::string session{};
-  bool repeat = false;
-  std::optional<Duration> since_write{};
-  std::optional<LogPosition> target{};  // kSession: what the data must hold; from src/consistency/
-  bool proven_only = false;             // and it goes to nobody who is not proven to, whoever checks
-  std::optional<TimePoint> arrived{};   // the latest at which it can have been sent; absent: now
+  bool is_retry = false;
+  std::optional<Duration> time_since_write{};
+  std::optional<LogPosition> required_position{};  // kSession: what the data must hold; from src/consistency/
+  bool require_proven_position = false;  // and it goes to nobody who is not proven to, whoever checks
+  std::optional<TimePoint> arrived{};    // the latest at which it can have been sent; absent: now
   Duration waited{0};     // of its client's time, from its last byte until the module hears of it
   Duration time_left{0};  // from then on; none where it is over
 };
 
-struct OutcomeEvent {
+struct AttemptEndedEvent {
   RequestId id{};
   AttemptNumber attempt = 0;
   ServerId server{};
   Outcome outcome = Outcome::kOk;
-  Duration taken{0};
+  Duration elapsed{0};
   bool request_done = false;
-  ResponseMetadata note{};
+  ResponseMetadata metadata{};
   std::optional<LoadReport> report{};
 };
 
-struct StreamEvent {
+struct ResponseStartedEvent {
   RequestId id{};
   AttemptNumber attempt = 0;
   ServerId server{};
-  Duration taken{0};
+  Duration elapsed{0};
 };
 
 struct HealthCheckEvent {
   ServerId server{};
   Outcome outcome = Outcome::kError;
-  Duration taken{0};
+  Duration elapsed{0};
   std::optional<LoadReport> report{};
 };
 
@@ -186,19 +196,19 @@
   std::string message;
 };
 
-using Event = std::variant<ListEvent, RequestEvent, OutcomeEvent, StreamEvent, HealthCheckEvent, TimerEvent,
-                           ClientDisconnectedEvent, PeerEvent>;
+using Event = std::variant<ListEvent, RequestEvent, AttemptEndedEvent, ResponseStartedEvent, HealthCheckEvent,
+                           TimerEvent, ClientDisconnectedEvent, PeerEvent>;
 
-struct Send {
+struct StartAttempt {
   RequestId id{};
   ServerId server{};
-  Duration limit{0};
+  Duration timeout{0};
   // A repeat of what may have run: its last byte goes out within this, or not at all.
   Duration write_within = Duration::max();
 };
 struct Reject {
   RequestId id{};
-  Duration stay_away{0};
+  Duration retry_after{0};
 };
 struct Fail {
   RequestId id{};
@@ -211,26 +221,26 @@
   TimerId id{};
   Duration delay{0};
 };
-struct Probe {
+struct StartHealthCheck {
   ServerId server{};
 };
-struct Watch {
-  bool on = true;
+struct WatchEndpointList {
+  bool enabled = true;
 };
-struct FetchList {};
-struct TellPeers {
+struct FetchEndpointList {};
+struct SendToPeers {
   std::optional<std::uint32_t> peer{};  // absent: all
   std::string message;
 };
-struct CloseIdle {
+struct CloseIdleConnections {
   ServerId server{};
 };
 struct Log {
   std::string text;
 };
 
-using Action =
-    std::variant<Send, Reject, Fail, Cancel, SetTimer, Probe, Watch, FetchList, TellPeers, CloseIdle, Log>;
+using Action = std::variant<StartAttempt, Reject, Fail, Cancel, SetTimer, StartHealthCheck, WatchEndpointList,
+                            FetchEndpointList, SendToPeers, CloseIdleConnections, Log>;
 using Actions = std::vector<Action>;
 
 class Balancer {
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -124,32 +124,34 @@
 
 const Words<Outcome> kOutcomes = {{"success", Outcome::kOk},
                                   {"failure", Outcome::kError},
-                                  {"overloaded", Outcome::kFull},
+                                  {"overloaded", Outcome::kOverloaded},
                                   {"timed_out", Outcome::kTimeout},
                                   {"unreachable", Outcome::kUnreachable},
-                                  {"broken", Outcome::kBroken},
+                                  {"broken", Outcome::kConnectionLost},
                                   {"withdrawn", Outcome::kCancelled},
-                                  {"void", Outcome::kVoid},
-                                  {"absent", Outcome::kMiss}};
+                                  {"void", Outcome::kNotRun},
+                                  {"absent", Outcome::kMisrouted}};
 const Words<ListKind> kListKinds = {{"Partial", ListKind::kPartial},
                                     {"Complete", ListKind::kComplete},
                                     {"Persisted", ListKind::kPersisted},
                                     {"Error", ListKind::kError}};
 const Words<Lifecycle> kLifecycles = {
     {"SERVING", Lifecycle::kServing}, {"DRAINING", Lifecycle::kDraining}, {"DELETED", Lifecycle::kDeleted}};
-const Words<Effect> kEffects = {
-    {"idempotent", Effect::kSafe}, {"deduplicated", Effect::kKeyed}, {"at_most_once", Effect::kUnsafe}};
-const Words<ReadKind> kReadKinds = {{"mutate", ReadKind::kWrite},
-                                    {"strong", ReadKind::kFresh},
-                                    {"causal", ReadKind::kSession},
-                                    {"lag_bound", ReadKind::kBounded},
-                                    {"eventual", ReadKind::kAny}};
-const Words<LagCheck> kLagChecks = {
-    {"off", LagCheck::kNone}, {"bounce", LagCheck::kRefuse}, {"await", LagCheck::kWait}};
-const Words<ListRole> kListRoles = {
-    {"static", ListRole::kStart}, {"trailing", ListRole::kLate}, {"off", ListRole::kNone}};
-const Words<Reports> kReports = {
-    {"off", Reports::kNone}, {"inline", Reports::kAnswers}, {"on_probe", Reports::kProbes}};
+const Words<Idempotency> kIdempotencies = {{"idempotent", Idempotency::kIdempotent},
+                                           {"deduplicated", Idempotency::kIdempotencyKey},
+                                           {"at_most_once", Idempotency::kNotIdempotent}};
+const Words<AccessKind> kAccessKinds = {{"mutate", AccessKind::kWrite},
+                                        {"strong", AccessKind::kStrongRead},
+                                        {"causal", AccessKind::kSessionRead},
+                                        {"lag_bound", AccessKind::kBoundedRead},
+                                        {"eventual", AccessKind::kEventualRead}};
+const Words<PositionCheck> kPositionChecks = {
+    {"off", PositionCheck::kNone}, {"bounce", PositionCheck::kReject}, {"await", PositionCheck::kWait}};
+const Words<ListedRole> kListedRoles = {
+    {"static", ListedRole::kInitial}, {"trailing", ListedRole::kDelayed}, {"off", ListedRole::kNone}};
+const Words<LoadReporting> kLoadReportings = {{"off", LoadReporting::kNone},
+                                              {"inline", LoadReporting::kWithResponses},
+                                              {"on_probe", LoadReporting::kOnHealthCheck}};
 const Words<bool> kDiscovery = {{"push", false}, {"ask", true}};
 const Words<bool> kMarks = {{"brought", true}, {"kept", false}};
 enum class Scope { kAll, kGroup, kZone };
@@ -157,15 +159,15 @@
 
 RequestClass DecodeClass(const Json& json) {
   RequestClass cls;
-  cls.aim = DurationOf(json, "objective_us");
+  cls.latency_objective = DurationOf(json, "objective_us");
   cls.deadline = DurationOf(json, "deadline_us");
-  cls.effect = Word(Text(json, "effect"), kEffects, "effect");
+  cls.idempotency = Word(Text(json, "effect"), kIdempotencies, "effect");
   const Scope scope = Word(TextOr(json, "key_scope", "all"), kScopes, "key_scope");
-  cls.repeats_anywhere = scope == Scope::kAll;
-  cls.repeats_in_zone = scope == Scope::kZone;
-  cls.repeat_window = DurationOr(json, "repeat_window_us", Duration{0});
-  cls.worth = NumberOr(json, "worth", 1);
-  cls.late_value = NumberOr(json, "late_value", 0);
+  cls.deduplicated_everywhere = scope == Scope::kAll;
+  cls.deduplicated_in_zone = scope == Scope::kZone;
+  cls.idempotency_window = DurationOr(json, "repeat_window_us", Duration{0});
+  cls.priority_weight = NumberOr(json, "worth", 1);
+  cls.late_response_value = NumberOr(json, "late_value", 0);
   return cls;
 }
 
@@ -177,8 +179,8 @@
   const Json& bounds = Find(extra, "oldest_data_us") == nullptr ? none : Array(extra, "oldest_data_us");
   for (std::size_t i = 0; i < settings.classes.size() && i < reads.size(); ++i) {
     if (!reads[i].is_string()) Wrong("class_read", "holds something other than strings");
-    settings.classes[i].kind = Word(reads[i].get<std::string>(), kReadKinds, "class_read");
-    if (i < bounds.size()) settings.classes[i].bound = Duration(AsInt(bounds[i], "oldest_data_us"));
+    settings.classes[i].kind = Word(reads[i].get<std::string>(), kAccessKinds, "class_read");
+    if (i < bounds.size()) settings.classes[i].staleness_bound = Duration(AsInt(bounds[i], "oldest_data_us"));
   }
 }
 
@@ -200,33 +202,33 @@
   s.peers_total = SmallOr(facts, "peers_total", 0);
   s.zone = SmallOr(facts, "zone", 0);
   s.tick = DurationOr(facts, "tick_us", s.tick);
-  s.list_on_request = Word(TextOr(facts, "discovery", "push"), kDiscovery, "discovery");
-  s.over_share_worth = NumberOr(facts, "over_share_worth", 1);
-  s.reports = Word(TextOr(ObjectOr(facts, "load_report"), "how", "off"), kReports, "how");
-  s.list_role = Word(TextOr(extra, "list_role", "off"), kListRoles, "list_role");
-  s.lag_check = Word(TextOr(extra, "server_checks", "off"), kLagChecks, "server_checks");
-  s.sessions_carried = Word(TextOr(extra, "session_marks", "brought"), kMarks, "session_marks");
-  s.patience = DurationOr(extra, "patience_us", Duration{0});
-  s.answers_tell_position = BoolOr(extra, "tells_position", false);
+  s.poll_endpoint_list = Word(TextOr(facts, "discovery", "push"), kDiscovery, "discovery");
+  s.over_share_priority_weight = NumberOr(facts, "over_share_worth", 1);
+  s.load_reporting = Word(TextOr(ObjectOr(facts, "load_report"), "how", "off"), kLoadReportings, "how");
+  s.listed_role = Word(TextOr(extra, "list_role", "off"), kListedRoles, "list_role");
+  s.position_check = Word(TextOr(extra, "server_checks", "off"), kPositionChecks, "server_checks");
+  s.clients_carry_watermarks = Word(TextOr(extra, "session_marks", "brought"), kMarks, "session_marks");
+  s.replica_wait_limit = DurationOr(extra, "patience_us", Duration{0});
+  s.responses_report_position = BoolOr(extra, "tells_position", false);
   s.may_cancel = BoolOr(limits, "may_cancel", false);
-  s.may_probe = BoolOr(limits, "may_probe", false);
-  s.may_duplicate = BoolOr(limits, "may_duplicate", false);
-  s.clients_wait_as_told = BoolOr(limits, "retry_after", false);
-  s.longest_client_wait = DurationOr(limits, "max_retry_after_us", Duration{0});
+  s.may_health_check = BoolOr(limits, "may_probe", false);
+  s.may_hedge = BoolOr(limits, "may_duplicate", false);
+  s.clients_honor_retry_after = BoolOr(limits, "retry_after", false);
+  s.max_retry_after = DurationOr(limits, "max_retry_after_us", Duration{0});
   s.max_attempts = SmallOr(limits, "max_attempts", 1);
   s.connect_timeout = DurationOr(limits, "connect_timeout_us", s.connect_timeout);
-  s.answer_slack = DurationOr(rules, "answer_slack_us", Duration{0});
+  s.response_slack = DurationOr(rules, "answer_slack_us", Duration{0});
   s.drain_grace = DurationOr(rules, "drain_grace_us", Duration{0});
-  s.gone_not_binding = BoolOr(rules, "dropped_stay_open", false);
-  if (Find(rules, "ask_within_us") != nullptr) s.ask_within = DurationOf(rules, "ask_within_us");
-  s.start_capacity = NumberOr(rules, "start_capacity", 1);
-  s.cold_time = DurationOr(rules, "cold_us", Duration{0});
+  s.unlisted_stay_usable = BoolOr(rules, "dropped_stay_open", false);
+  if (Find(rules, "ask_within_us") != nullptr) s.max_poll_interval = DurationOf(rules, "ask_within_us");
+  s.initial_capacity = NumberOr(rules, "start_capacity", 1);
+  s.slow_start_duration = DurationOr(rules, "cold_us", Duration{0});
   s.overload_factor = NumberOr(rules, "overload_factor", 1);
-  s.fall_time = DurationOr(rules, "fall_us", Duration{0});
-  s.price_probe = NumberOr(tariffs, "probe", 0);
-  s.price_cross_zone = NumberOr(tariffs, "cross_zone", 0);
-  s.price_waste = NumberOr(tariffs, "waste", 0);
-  s.price_late_fail = NumberOr(tariffs, "late_fail", 0);
+  s.overload_duration = DurationOr(rules, "fall_us", Duration{0});
+  s.health_check_price = NumberOr(tariffs, "probe", 0);
+  s.cross_zone_price = NumberOr(tariffs, "cross_zone", 0);
+  s.wasted_work_price = NumberOr(tariffs, "waste", 0);
+  s.late_failure_price = NumberOr(tariffs, "late_fail", 0);
   return s;
 }
 
@@ -249,9 +251,9 @@
   } else if (column == "q") {
     report.queued = value;
   } else if (column == "rif") {
-    report.held = value;
+    report.in_flight = value;
   } else if (column == "busy") {
-    report.busy = value;
+    report.utilization = value;
   }
 }
 
@@ -279,14 +281,14 @@
   RequestEvent event;
   event.id = RequestId(Small(json, "req"));
   event.group = GroupId(Int(json, "partition_no"));
-  event.cls = Small(json, "tier_class");
+  event.request_class = Small(json, "tier_class");
   event.tenant = SmallOr(json, "team", 0);
   event.session = TextOr(json, "client_key", "");
-  event.repeat = (IntOr(json, "state_bits", 0) & 2) != 0;
+  event.is_retry = (IntOr(json, "state_bits", 0) & 2) != 0;
   event.time_left = DurationOf(json, "time_left_us");
   if (const Json* ms = Find(json, "wrote_ms_ago")) {
     const double number = AsNumber(*ms, "wrote_ms_ago");
-    if (number > 0) event.since_write = Duration(static_cast<std::int64_t>(number * 1000));
+    if (number > 0) event.time_since_write = Duration(static_cast<std::int64_t>(number * 1000));
   }
   return event;
 }
@@ -361,14 +363,14 @@
     if (op == "incoming") {
       result.event = DecodeRequest(json);
     } else if (op == "completed") {
-      OutcomeEvent event;
+      AttemptEndedEvent event;
       event.id = RequestId(Small(json, "req"));
       event.attempt = Small(json, "shot");
       event.server = ServerId(Small(json, "member"));
       event.outcome = Word(Text(json, "code"), kOutcomes, "code");
-      event.taken = DurationOr(json, "time_taken_us", Duration{0});
+      event.elapsed = DurationOr(json, "time_taken_us", Duration{0});
       event.request_done = BoolOr(json, "complete", false);
-      event.note = DecodeNote(json, dialect.zero);
+      event.metadata = DecodeNote(json, dialect.zero);
       event.report = DecodeReport(json, dialect.zero, dialect.columns);
       result.event = std::move(event);
     } else if (op == "pong") {
@@ -378,7 +380,7 @@
       for (const auto& [word, outcome] : kOutcomes) {
         if (code == word) event.outcome = outcome;
       }
-      event.taken = DurationOr(json, "time_taken_us", Duration{0});
+      event.elapsed = DurationOr(json, "time_taken_us", Duration{0});
       event.report = DecodeReport(json, dialect.zero, dialect.columns);
       result.event = std::move(event);
     } else if (op == "fired") {
@@ -390,9 +392,9 @@
     } else if (op == "memo") {
       result.event = PeerEvent{Small(json, "by"), Text(json, "msg")};
     } else if (op == "head_received") {
-      result.event =
-          StreamEvent{RequestId(Small(json, "req")), Small(json, "shot"), ServerId(Small(json, "member")),
-                      DurationOr(json, "time_taken_us", Duration{0})};
+      result.event = ResponseStartedEvent{RequestId(Small(json, "req")), Small(json, "shot"),
+                                          ServerId(Small(json, "member")),
+                                          DurationOr(json, "time_taken_us", Duration{0})};
     } else {
       throw WireError("unknown event");
     }
@@ -434,16 +436,16 @@
   Instance instance;
   std::string& out;
 
-  void operator()(const Send& a) const {
+  void operator()(const StartAttempt& a) const {
     Open(out, "pass_on", instance);
     Number(out, "req", Raw(a.id));
     Number(out, "member", Raw(a.server));
-    if (a.limit.count() > 0) Number(out, "limit_us", a.limit.count());
+    if (a.timeout.count() > 0) Number(out, "limit_us", a.timeout.count());
   }
   void operator()(const Reject& a) const {
     Open(out, "refuse", instance);
     Number(out, "req", Raw(a.id));
-    if (a.stay_away.count() > 0) Number(out, "hold_off_us", a.stay_away.count());
+    if (a.retry_after.count() > 0) Number(out, "hold_off_us", a.retry_after.count());
   }
   void operator()(const Fail& a) const {
     Open(out, "report_failure", instance);
@@ -459,16 +461,16 @@
     Number(out, "sleep_for_us", a.delay.count());
     Number(out, "ctx", Raw(a.id));
   }
-  void operator()(const Probe& a) const {
+  void operator()(const StartHealthCheck& a) const {
     Open(out, "inspect", instance);
     Number(out, "member", Raw(a.server));
   }
-  void operator()(const Watch& a) const {
+  void operator()(const WatchEndpointList& a) const {
     Open(out, "subscribe", instance);
-    out += a.on ? ",\"on\":true" : ",\"on\":false";
+    out += a.enabled ? ",\"on\":true" : ",\"on\":false";
   }
-  void operator()(const FetchList&) const { Open(out, "read_list", instance); }
-  void operator()(const TellPeers& a) const {
+  void operator()(const FetchEndpointList&) const { Open(out, "read_list", instance); }
+  void operator()(const SendToPeers& a) const {
     Open(out, "broadcast_to", instance);
     if (a.peer) {
       Number(out, "addressee", *a.peer);
@@ -477,7 +479,7 @@
     }
     Quoted(out, "msg", a.message);
   }
-  void operator()(const CloseIdle& a) const {
+  void operator()(const CloseIdleConnections& a) const {
     Open(out, "close_idle", instance);
     Number(out, "member", Raw(a.server));
   }
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -124,10 +124,10 @@
     if (it->first.first != request) break;
     if (it->second->backend == nullptr) waiting.push_back(it->second);
   }
-  for (const auto& job : waiting) EndJob(job, Outcome::kVoid);
+  for (const auto& job : waiting) EndJob(job, Outcome::kNotRun);
 }
 
-void Pool::EndJob(const std::shared_ptr<Job>& job, Outcome outcome, ResponseMetadata note,
+void Pool::EndJob(const std::shared_ptr<Job>& job, Outcome outcome, ResponseMetadata metadata,
                   std::optional<LoadReport> report, std::optional<proxy::Answer> answer, bool unusable) {
   const std::shared_ptr<Job> held = job;
   held->limit.Clear();
@@ -135,14 +135,14 @@
   held->backend = nullptr;
   if (Server* server = Find(held->server)) std::erase(server->waiting, held);
   // Time spent waiting for a connection, or opening one, says nothing of how fast a data server answers.
-  const Duration taken = std::max(Duration{0}, loop_.Now() - held->written.value_or(held->since));
+  const Duration elapsed = std::max(Duration{0}, loop_.Now() - held->written.value_or(held->since));
   if (held->probe()) {
     probes_.erase(held->server);
-    events_->OnProbeEnd({held->server, outcome, taken, report});
+    events_->OnProbeEnd({held->server, outcome, elapsed, report});
     return;
   }
   attempts_.erase({held->request, held->attempt});
-  events_->OnAttemptEnd({held->request, held->attempt, held->server, outcome, taken, note, report,
+  events_->OnAttemptEnd({held->request, held->attempt, held->server, outcome, elapsed, metadata, report,
                          std::move(answer), unusable});
 }
 
@@ -181,7 +181,7 @@
     if (server.opening >= std::min(kMostOpening, server.waiting.size())) break;
     if (!OpenFor(server)) {
       const std::shared_ptr<Job> job = server.waiting.front();
-      EndJob(job, budget_.BackendFits() ? Outcome::kUnreachable : Outcome::kVoid);
+      EndJob(job, budget_.BackendFits() ? Outcome::kUnreachable : Outcome::kNotRun);
     }
   }
   server.dispatching = false;
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -85,7 +85,7 @@
   void Dispatch(Server& server);
   bool OpenFor(Server& server);
   void Remove(Backend& backend);
-  void EndJob(const std::shared_ptr<Job>& job, Outcome outcome, ResponseMetadata note = {},
+  void EndJob(const std::shared_ptr<Job>& job, Outcome outcome, ResponseMetadata metadata = {},
               std::optional<LoadReport> report = {}, std::optional<proxy::Answer> answer = {},
               bool unusable = false);
   void GiveUp(const std::shared_ptr<Job>& job, Outcome if_written);
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -26,11 +26,11 @@
     } else if (name == "x1") {
       report.primary = value >= 0.5;
     } else if (name == "util") {
-      report.busy = value;
+      report.utilization = value;
     } else if (name == "queue") {
       report.queued = value;
     } else if (name == "inflight") {
-      report.held = value;
+      report.in_flight = value;
     }
   }
   return report;
@@ -40,12 +40,12 @@
   const auto status = pg::ReadStatus(body);
   if (!status) return false;
   if (status->name == "replication_role") {
-    if (status->value == "primary") note_.primary = true;
-    if (status->value == "standby") note_.primary = false;
+    if (status->value == "primary") metadata_.primary = true;
+    if (status->value == "standby") metadata_.primary = false;
   } else if (status->name == "log_position") {
     const auto position = pg::ReadWhole(status->value);
     if (!position || *position < 0 || *position > (std::int64_t{1} << 50)) return false;
-    if (*position > 0) note_.position = PositionOf(*position);
+    if (*position > 0) metadata_.position = PositionOf(*position);
   } else if (status->name == "pressure") {
     report_ = ReportOf(status->value);  // one that cannot be read is none: the answer is as good as without
   }
@@ -98,13 +98,13 @@
 
 Outcome Reply::Ended(bool written) const {
   if (error_) {
-    if (unusable()) return Outcome::kVoid;
-    if (error_->code == "25006" || error_->code == "72000") return Outcome::kMiss;
-    if (error_->code == "53300") return Outcome::kFull;
+    if (unusable()) return Outcome::kNotRun;
+    if (error_->code == "25006" || error_->code == "72000") return Outcome::kMisrouted;
+    if (error_->code == "53300") return Outcome::kOverloaded;
     return Outcome::kError;
   }
   if (whole() && description_) return Outcome::kOk;
-  return written ? Outcome::kBroken : Outcome::kUnreachable;
+  return written ? Outcome::kConnectionLost : Outcome::kUnreachable;
 }
 
 std::string_view Reply::value() const {
@@ -233,16 +233,16 @@
     Outcome outcome = whole ? reply.Ended(true) : Outcome::kError;
     if (job->probe()) {
       const auto report = outcome == Outcome::kOk ? ReportOf(reply.value()) : std::nullopt;
-      if (!report && (outcome == Outcome::kOk || outcome == Outcome::kVoid)) outcome = Outcome::kError;
-      pool.EndJob(job, outcome, reply.note(), report);
+      if (!report && (outcome == Outcome::kOk || outcome == Outcome::kNotRun)) outcome = Outcome::kError;
+      pool.EndJob(job, outcome, reply.metadata(), report);
     } else {
       std::optional<proxy::Answer> answer;
       if (outcome == Outcome::kOk) answer = reply.TakeAnswer();
       if (reply.failed() && reply.error()->code != "XX000" &&
-          (outcome == Outcome::kError || outcome == Outcome::kVoid)) {
+          (outcome == Outcome::kError || outcome == Outcome::kNotRun)) {
         pool.Complain(server, "answered " + reply.error()->code + " (" + reply.error()->message + ")");
       }
-      pool.EndJob(job, outcome, reply.note(), reply.report(), std::move(answer), reply.unusable());
+      pool.EndJob(job, outcome, reply.metadata(), reply.report(), std::move(answer), reply.unusable());
     }
   }
   pool.Dispatch(server);
@@ -260,7 +260,7 @@
     const Outcome outcome = reply.Ended(written);
     std::optional<proxy::Answer> answer;
     if (outcome == Outcome::kOk) answer = reply.TakeAnswer();
-    pool_.EndJob(job, outcome, reply.note(), {}, std::move(answer), reply.unusable());
+    pool_.EndJob(job, outcome, reply.metadata(), {}, std::move(answer), reply.unusable());
   } else if (!was_ready && !server_.waiting.empty()) {
     // Each opening was made for one of those that wait: the first has waited longest.
     const std::shared_ptr<Job> first = server_.waiting.front();
--- a/src/upstream/server_connection.h
+++ b/src/upstream/server_connection.h
@@ -29,7 +29,7 @@
   bool whole() const { return row_.has_value() && tag_.has_value() && !failed(); }
   // How the attempt ended, if nothing more comes; `written` where its last byte has gone out.
   Outcome Ended(bool written) const;
-  ResponseMetadata note() const { return note_; }
+  ResponseMetadata metadata() const { return metadata_; }
   std::optional<LoadReport> report() const { return report_; }
   std::string_view value() const;
   proxy::Answer TakeAnswer();
@@ -42,7 +42,7 @@
   std::optional<std::string> row_;
   std::optional<std::string> tag_;
   std::optional<pg::ErrorFields> error_;
-  ResponseMetadata note_;
+  ResponseMetadata metadata_;
   std::optional<LoadReport> report_;
 };
 
--- a/testbed/scale_host.cpp
+++ b/testbed/scale_host.cpp
@@ -314,7 +314,7 @@
   if (cls == kOwnRead) asking.must = host_.sessions_.Newest(session);
   proxy::Ask ask;
   ask.event.group = GroupId(static_cast<std::int64_t>(group) + 1);
-  ask.event.cls = cls;
+  ask.event.request_class = cls;
   ask.event.session = NameOfSession(session);
   ask.event.time_left = cls == kMatchWrite ? kWriteTime : kReadTime;
   ask.work = std::make_shared<HollowWork>(cls == kMatchWrite);
@@ -376,7 +376,7 @@
   const auto where = Find(member);
   if (!where || !host_.databases_.Up(*where, host_.loop_.Now())) {
     end.outcome = Outcome::kUnreachable;
-    end.taken = kGone;
+    end.elapsed = kGone;
     return Later(kGone, [this, end] { End(end); });
   }
   Later(kWork, [this, end, write] { Answer(end, write); });
@@ -387,23 +387,23 @@
   const TimePoint now = host_.loop_.Now();
   const Databases& databases = host_.databases_;
   const auto where = Find(end.server);
-  end.taken = kWork;
+  end.elapsed = kWork;
   if (!where || !databases.Up(*where, now)) {
-    end.outcome = Outcome::kBroken;
+    end.outcome = Outcome::kConnectionLost;
   } else {
-    end.note.primary = databases.IsPrimary(*where, now);
-    end.note.position = databases.Tells(*where, now);
+    end.metadata.primary = databases.IsPrimary(*where, now);
+    end.metadata.position = databases.Tells(*where, now);
     std::optional<Held> held = databases.Holds(*where, now);
     if (write) held = databases.Commit(*where, now);
     if (held) {
-      if (write) end.note.position = held->position;
+      if (write) end.metadata.position = held->position;
       end.outcome = Outcome::kOk;
       end.answer = proxy::Answer{
           {},
           std::to_string(held->position.time_since_epoch().count()) + " " + std::to_string(held->reign),
           {}};
     } else {
-      end.outcome = Outcome::kMiss;
+      end.outcome = Outcome::kMisrouted;
     }
   }
   host_.counts_.apart_us += ThreadUs() - from;
@@ -436,7 +436,7 @@
     const auto where = Find(member);
     HealthCheckEvent end;
     end.server = member;
-    end.taken = kProbeWork;
+    end.elapsed = kProbeWork;
     end.outcome = Outcome::kUnreachable;
     if (where && host_.databases_.Up(*where, now)) {
       end.outcome = Outcome::kOk;
--- a/tests/consistency/consistency_test.cpp
+++ b/tests/consistency/consistency_test.cpp
@@ -127,9 +127,9 @@
   static Settings SettingsHere() {
     Settings s;
     s.classes.resize(2);
-    s.classes[0].kind = ReadKind::kSession;
-    s.classes[1].kind = ReadKind::kWrite;
-    s.sessions_carried = false;
+    s.classes[0].kind = AccessKind::kSessionRead;
+    s.classes[1].kind = AccessKind::kWrite;
+    s.clients_carry_watermarks = false;
     return s;
   }
   Event Give(Event event) {
@@ -141,23 +141,23 @@
     RequestEvent ask;
     ask.id = RequestId(++last);
     ask.group = kGroup;
-    ask.cls = cls;
+    ask.request_class = cls;
     ask.session = session;
     return std::get<RequestEvent>(Give(ask));
   }
-  OutcomeEvent Answer(RequestId id, ServerId server, bool primary, LogPosition position,
-                      Outcome outcome = Outcome::kOk) {
-    OutcomeEvent event;
+  AttemptEndedEvent Answer(RequestId id, ServerId server, bool primary, LogPosition position,
+                           Outcome outcome = Outcome::kOk) {
+    AttemptEndedEvent event;
     event.id = id;
     event.server = server;
     event.outcome = outcome;
-    event.note = {position, primary};
-    return std::get<OutcomeEvent>(Give(event));
+    event.metadata = {position, primary};
+    return std::get<AttemptEndedEvent>(Give(event));
   }
   void Write(const char* session, ServerId by, LogPosition commit) {
     Answer(Ask(1, session).id, by, true, commit);
   }
-  std::optional<LogPosition> Target(const char* session) { return Ask(0, session).target; }
+  std::optional<LogPosition> Target(const char* session) { return Ask(0, session).required_position; }
 
   SessionConsistencyGuard consistency_guard;
   TimePoint now = At(0);
@@ -249,7 +249,7 @@
 TEST_CASE("keeper: an answer older than its target is a miss") {
   Rig rig;
   rig.Write("s", kA, At(130));
-  CHECK(rig.Answer(rig.Ask(0, "s").id, kB, false, At(129)).outcome == Outcome::kMiss);
+  CHECK(rig.Answer(rig.Ask(0, "s").id, kB, false, At(129)).outcome == Outcome::kMisrouted);
   CHECK(rig.Answer(rig.Ask(0, "s").id, kB, false, At(130)).outcome == Outcome::kOk);
 }
 
@@ -260,7 +260,7 @@
   rig.Write("s", kB, At(3000));
   rig.now = At(3001);
   // From before the change: it is old. From after it: a second primary, and the session's write is in doubt.
-  CHECK(rig.Answer(rig.Ask(0, "s").id, kA, true, At(2000)).outcome == Outcome::kMiss);
+  CHECK(rig.Answer(rig.Ask(0, "s").id, kA, true, At(2000)).outcome == Outcome::kMisrouted);
   CHECK(rig.gone.empty());
   const RequestId read = rig.Ask(0, "s").id;
   rig.Answer(read, kA, true, At(3001));
@@ -271,11 +271,11 @@
 // Cut down to what is believed, such a position would vouch for a tail that its member may not hold.
 TEST_CASE("keeper: a position from past where the known reign may have ended is kept from the module") {
   Rig rig;
-  CHECK_FALSE(rig.Answer(rig.Ask(0, "s").id, kB, false, At(5)).note.position);
+  CHECK_FALSE(rig.Answer(rig.Ask(0, "s").id, kB, false, At(5)).metadata.position);
   rig.Write("s", kA, At(10));
   rig.now = At(9000);
-  CHECK(*rig.Answer(rig.Ask(0, "x").id, kB, false, At(1010)).note.position == At(1010));
-  CHECK_FALSE(rig.Answer(rig.Ask(0, "x").id, kB, false, At(9000)).note.position);
+  CHECK(*rig.Answer(rig.Ask(0, "x").id, kB, false, At(1010)).metadata.position == At(1010));
+  CHECK_FALSE(rig.Answer(rig.Ask(0, "x").id, kB, false, At(9000)).metadata.position);
 }
 
 TEST_CASE("keeper: while another instance is not covered, a read's target is its own arrival") {
@@ -284,7 +284,7 @@
   rig.now = At(100);
   rig.consistency_guard.Covered(7, At(90));
   RequestEvent ask;
-  ask.cls = 0;
+  ask.request_class = 0;
   CHECK(rig.consistency_guard.WorthHolding(ask, rig.now));
   CHECK(*rig.Target("x") == At(100));
   rig.consistency_guard.Covered(7, At(100));
@@ -300,14 +300,14 @@
 TEST_CASE("keeper: what a session carries counts only where sessions are said to carry it") {
   for (const bool carried : {false, true}) {
     Settings settings = Rig::SettingsHere();
-    settings.sessions_carried = carried;
+    settings.clients_carry_watermarks = carried;
     SessionConsistencyGuard consistency_guard(settings, Options{});
     RequestEvent ask;
-    ask.target = At(7);
-    ask.since_write = Duration(2000);
+    ask.required_position = At(7);
+    ask.time_since_write = Duration(2000);
     Event event = ask;
     consistency_guard.Before(At(10), event);
-    const auto target = std::get<RequestEvent>(event).target;
+    const auto target = std::get<RequestEvent>(event).required_position;
     if (carried) CHECK(*target == At(8));
     if (!carried) CHECK_FALSE(target);
   }
@@ -317,9 +317,9 @@
   Rig rig{Options{}};
   rig.Write("s", kA, At(130));
   const RequestEvent read = rig.Ask(0, "s");
-  CHECK(*read.target == At(130));
-  CHECK_FALSE(read.proven_only);
-  CHECK(*rig.Answer(read.id, kB, true, At(9000)).note.position == At(9000));
+  CHECK(*read.required_position == At(130));
+  CHECK_FALSE(read.require_proven_position);
+  CHECK(*rig.Answer(read.id, kB, true, At(9000)).metadata.position == At(9000));
   CHECK(rig.gone.empty());
   CHECK_FALSE(rig.Target("other"));
 }
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -164,24 +164,24 @@
 Settings Site(std::uint32_t instances) {
   Settings s;
   RequestClass read, write;
-  read.kind = ReadKind::kAny;
-  read.aim = Duration(400000);
+  read.kind = AccessKind::kEventualRead;
+  read.latency_objective = Duration(400000);
   read.deadline = Duration(1600000);
   write = read;
-  write.kind = ReadKind::kWrite;
-  write.effect = Effect::kKeyed;
-  write.repeat_window = Duration(3000000);
-  write.aim = Duration(700000);
+  write.kind = AccessKind::kWrite;
+  write.idempotency = Idempotency::kIdempotencyKey;
+  write.idempotency_window = Duration(3000000);
+  write.latency_objective = Duration(700000);
   s.classes = {read, write};
   s.tenants = {{.quota_per_s = 0.8 * 12 * kCores / kWork, .share = 1}};
   s.peers_total = instances;
   s.max_attempts = 8;
-  s.may_cancel = s.clients_wait_as_told = true;
-  s.longest_client_wait = Duration(500000);
-  s.start_capacity = 0.15;
-  s.cold_time = Duration(18000000);
+  s.may_cancel = s.clients_honor_retry_after = true;
+  s.max_retry_after = Duration(500000);
+  s.initial_capacity = 0.15;
+  s.slow_start_duration = Duration(18000000);
   s.overload_factor = 3;
-  s.fall_time = Duration(3000000);
+  s.overload_duration = Duration(3000000);
   return s;
 }
 
@@ -195,9 +195,9 @@
   Fleet(std::uint32_t instances, std::uint32_t told, bool uneven, std::uint64_t seed, double probes = 0,
         std::uint32_t ended = 0, bool restarts = false)
       : settings_(Site(told)), random_(seed), ended_(ended) {
-    settings_.may_probe = probes > 0;
-    settings_.price_probe = probes;
-    settings_.reports = probes > 0 ? Reports::kProbes : Reports::kNone;
+    settings_.may_health_check = probes > 0;
+    settings_.health_check_price = probes;
+    settings_.load_reporting = probes > 0 ? LoadReporting::kOnHealthCheck : LoadReporting::kNone;
     for (std::uint32_t i = 0; i < instances; ++i) {
       weights_.push_back(uneven ? 1.0 / (1 + i % 5) : 1);
       Begin(i, Entries(false), seed * 1000 + i);
@@ -232,8 +232,8 @@
       RequestEvent ask;
       ask.id = RequestId(++id);
       ask.group = GroupId(1 + id % 2);
-      ask.cls = id % 8 == 0 ? 1 : 0;
-      ask.time_left = settings_.classes[ask.cls].deadline;
+      ask.request_class = id % 8 == 0 ? 1 : 0;
+      ask.time_left = settings_.classes[ask.request_class].deadline;
       Feed(which(random_), now, ask);
     }
     requests_ = id;
@@ -258,7 +258,7 @@
       if (member < 100) continue;
       std::size_t from = 0;
       for (std::size_t i = 0; i < at.size(); ++i) {
-        while (at[i] - at[from] > settings_.fall_time) ++from;
+        while (at[i] - at[from] > settings_.overload_duration) ++from;
         const double age = 1e-6 * static_cast<double>((at[i] - start_ - kReplaced).count()) - 3;
         const double share = 0.15 + 0.85 * std::max(0.0, age) / 18;
         const double most = 3 * share * kCores * 3;
@@ -279,7 +279,7 @@
       double calls = 0;
       for (const auto& [when, call] : at) {
         calls += call;
-        while (when - at[from].first > settings_.fall_time) calls -= at[from++].second;
+        while (when - at[from].first > settings_.overload_duration) calls -= at[from++].second;
         const double age = 1e-6 * static_cast<double>((when - start_ - kReplaced).count()) - 3;
         const double share = 0.15 + 0.85 * std::max(0.0, age) / 18;
         const double allowed = 3 * share * kCores * 3 / kWork;
@@ -339,49 +339,49 @@
 
   void Feed(std::uint32_t who, TimePoint now, const Event& event) {
     now_ = std::max(now_, now);
-    if (const auto* end = std::get_if<OutcomeEvent>(&event)) Disconnect(who, end->server);
+    if (const auto* end = std::get_if<AttemptEndedEvent>(&event)) Disconnect(who, end->server);
     Actions actions;
     balancers_.at(who).Handle(now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) {
         due_.emplace(now_ + timer->delay, Due{who, lives_[who], TimerEvent{timer->id}});
       }
-      if (const auto* probe = std::get_if<Probe>(&action)) {
+      if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
         ++probes_;
         came_[static_cast<std::uint32_t>(probe->server)].emplace_back(now_, kProbeWork / kWork);
         const bool found = static_cast<std::uint32_t>(probe->server) != ended_;
         const HealthCheckEvent end{
             probe->server, found ? Outcome::kOk : Outcome::kUnreachable, Duration(1000), {}};
-        due_.emplace(now_ + end.taken, Due{who, lives_[who], end});
+        due_.emplace(now_ + end.elapsed, Due{who, lives_[who], end});
       }
-      if (const auto* close = std::get_if<CloseIdle>(&action)) {
+      if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
         links_[{who, static_cast<std::uint32_t>(close->server)}].idle.clear();
       }
-      const auto* send = std::get_if<Send>(&action);
+      const auto* send = std::get_if<StartAttempt>(&action);
       if (send == nullptr) continue;
       const auto server = static_cast<std::uint32_t>(send->server);
       came_[server].emplace_back(now_, 1);
       const bool primary = server == 101 || server == 1 || server == 7;
       const bool write = static_cast<std::uint32_t>(send->id) % 8 == 0;
-      OutcomeEvent end;
+      AttemptEndedEvent end;
       end.id = send->id;
       end.attempt = attempts_[send->id]++;
       end.server = send->server;
-      end.note.primary = primary;
-      end.outcome = write && !primary ? Outcome::kMiss : Outcome::kOk;
+      end.metadata.primary = primary;
+      end.outcome = write && !primary ? Outcome::kMisrouted : Outcome::kOk;
       end.request_done = end.outcome == Outcome::kOk;
-      end.taken = end.request_done ? Duration(80000) : Duration(1000);
+      end.elapsed = end.request_done ? Duration(80000) : Duration(1000);
       if (server == ended_) {
         ++refused_;
         end.outcome = Outcome::kUnreachable;
         end.request_done = false;
-        end.note = {};
-        end.taken = Duration(300);
+        end.metadata = {};
+        end.elapsed = Duration(300);
       } else {
         Connect(who, server);
       }
       if (end.request_done) sent_[server].push_back(now_);
-      due_.emplace(now_ + end.taken, Due{who, lives_[who], end});
+      due_.emplace(now_ + end.elapsed, Due{who, lives_[who], end});
     }
   }
 
--- a/tests/pg/parsers_test.cpp
+++ b/tests/pg/parsers_test.cpp
@@ -163,7 +163,7 @@
   const auto report = upstream::ReportOf("x0=1767225600.123,x1=1,util=0.61");
   CHECK(report->position == TimePoint(std::chrono::milliseconds(1767225600123)));
   CHECK(report->primary == true);
-  CHECK(report->busy == 0.61);
+  CHECK(report->utilization == 0.61);
   for (const char* bad : {"", "x0", "x0=", "x0=a", "x0=1e", "=1", "x0=inf"}) {
     CAPTURE(bad);
     CHECK_FALSE(upstream::ReportOf(bad).has_value());
@@ -178,13 +178,13 @@
     Outcome outcome;
   } cases[] = {
       {{{'T', d}, {'D', "\0\1\0\0\0\1a"s}, {'C', "SELECT 1\0"s}}, true, Outcome::kOk},
-      {{{'E', "C25006\0\0"s}}, true, Outcome::kMiss},
-      {{{'E', "C72000\0\0"s}}, true, Outcome::kMiss},
+      {{{'E', "C25006\0\0"s}}, true, Outcome::kMisrouted},
+      {{{'E', "C72000\0\0"s}}, true, Outcome::kMisrouted},
       {{{'E', "CXX000\0\0"s}}, true, Outcome::kError},
-      {{{'E', "C53300\0\0"s}}, true, Outcome::kFull},
-      {{{'E', "C42601\0\0"s}}, true, Outcome::kVoid},
-      {{{'T', d}, {'D', "\0\1\0\0\0\1a"s}}, true, Outcome::kBroken},
-      {{}, true, Outcome::kBroken},
+      {{{'E', "C53300\0\0"s}}, true, Outcome::kOverloaded},
+      {{{'E', "C42601\0\0"s}}, true, Outcome::kNotRun},
+      {{{'T', d}, {'D', "\0\1\0\0\0\1a"s}}, true, Outcome::kConnectionLost},
+      {{}, true, Outcome::kConnectionLost},
       {{}, false, Outcome::kUnreachable},
   };
   for (const auto& c : cases) {
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -134,7 +134,7 @@
 
 TEST_CASE("a write that waits for its primary is not sent on once its client has closed") {
   Settings patient = Usual();
-  patient.classes[2].aim = 30 * kSecond;
+  patient.classes[2].latency_objective = 30 * kSecond;
   SimulatedFleet w(200, patient);
   DataServer& server = w.Serve([](Peer& p, const std::string&) { p.Say(Error("25006")); });
   w.List();
@@ -157,7 +157,7 @@
     CAPTURE(may_cancel);
     Settings settings = Usual();
     settings.may_cancel = may_cancel;
-    settings.reports = Reports::kNone;
+    settings.load_reporting = LoadReporting::kNone;
     SimulatedFleet w(200, settings);
     DataServer& server = w.Serve(kAnswer);
     server.greets = false;
@@ -268,7 +268,8 @@
 
 TEST_CASE("a request that crosses the close of a resting connection is not sent on, and draws no reset") {
   Settings patient = Short();
-  for (RequestClass& kind : patient.classes) kind.aim = 30 * kSecond;  // or it might be refused for its time
+  for (RequestClass& kind : patient.classes)
+    kind.latency_objective = 30 * kSecond;  // or it might be refused for its time
   SimulatedFleet w(200, patient);
   DataServer& server = w.Serve(kAnswer);
   w.List();
@@ -287,7 +288,7 @@
 
 TEST_CASE("a client that asks again at each answer is told the end by a stop all the same") {
   Settings patient = Short();
-  for (RequestClass& kind : patient.classes) kind.aim = 30 * kSecond;
+  for (RequestClass& kind : patient.classes) kind.latency_objective = 30 * kSecond;
   SimulatedFleet w(200, patient);
   std::vector<std::unique_ptr<net::Timer>> timers;
   DataServer& server = w.Serve([&](Peer& p, const std::string&) {  // hardly a moment between two requests
@@ -484,19 +485,19 @@
 // Of each effect, one whose first attempt broke after its last byte, in a window shorter than the deadline.
 TEST_CASE("what may have run is sent again as its class allows: never, within the window, or freely") {
   const struct {
-    Effect effect;
+    Idempotency idempotency;
     Duration window;
     std::size_t least, most;
-  } cases[] = {{Effect::kUnsafe, kSecond, 1, 1},
-               {Effect::kKeyed, Duration(1), 1, 1},
-               {Effect::kKeyed, 30 * kSecond, 2, 8},
-               {Effect::kSafe, Duration(1), 2, 8}};
+  } cases[] = {{Idempotency::kNotIdempotent, kSecond, 1, 1},
+               {Idempotency::kIdempotencyKey, Duration(1), 1, 1},
+               {Idempotency::kIdempotencyKey, 30 * kSecond, 2, 8},
+               {Idempotency::kIdempotent, Duration(1), 2, 8}};
   for (const auto& c : cases) {
-    CAPTURE(static_cast<int>(c.effect));
+    CAPTURE(static_cast<int>(c.idempotency));
     CAPTURE(c.window.count());
     Settings settings = Usual();
-    settings.classes[2].effect = c.effect;
-    settings.classes[2].repeat_window = c.window;
+    settings.classes[2].idempotency = c.idempotency;
+    settings.classes[2].idempotency_window = c.window;
     SimulatedFleet w(200, settings);
     DataServer& server = w.Serve([](Peer& p, const std::string&) { p.connection->Close(); });
     server.report = "x1=1,x0=1";
@@ -505,7 +506,7 @@
     w.Until([&] { return client.Types().ends_with("EZ"); });
     CHECK(server.queries.size() >= c.least);
     CHECK(server.queries.size() <= c.most);
-    CHECK(client.Saw("53300") == (c.effect == Effect::kSafe));
+    CHECK(client.Saw("53300") == (c.idempotency == Idempotency::kIdempotent));
   }
 }
 
@@ -538,7 +539,7 @@
 TEST_CASE("an answer that goes on for ever is cut, and its request tried again") {
   Settings patient = Usual();
   // Or it might be refused for the time it has lost.
-  for (RequestClass& kind : patient.classes) kind.aim = 30 * kSecond;
+  for (RequestClass& kind : patient.classes) kind.latency_objective = 30 * kSecond;
   SimulatedFleet w(200, patient);
   Peer* endless = nullptr;
   w.Serve([&](Peer& p, const std::string&) {
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -38,9 +38,9 @@
 Settings TwoClasses() {
   Settings settings;
   settings.classes.resize(2);
-  settings.classes[kRead].kind = ReadKind::kSession;
-  settings.classes[kWrite].kind = ReadKind::kWrite;
-  settings.sessions_carried = false;
+  settings.classes[kRead].kind = AccessKind::kSessionRead;
+  settings.classes[kWrite].kind = AccessKind::kWrite;
+  settings.clients_carry_watermarks = false;
   return settings;
 }
 
@@ -141,7 +141,7 @@
   void Write_(std::size_t at, int session) {
     if (now < stopped[at] || !Ready(at)) return;
     Node& node = *nodes[at];
-    Event event = RequestEvent{.id = RequestId(++node.last), .group = kGroup, .cls = kWrite};
+    Event event = RequestEvent{.id = RequestId(++node.last), .group = kGroup, .request_class = kWrite};
     std::get<RequestEvent>(event).session = Name(session);
     node.consistency_guard.Before(now, event);
     writes.push_back({at, session, RequestId(node.last), now, now + Duration(1000 + random() % 15000), {}});
@@ -150,7 +150,7 @@
   void Read_(std::size_t at, int session) {
     if (now < stopped[at] || !Ready(at)) return;
     Node& node = *nodes[at];
-    RequestEvent event{.id = RequestId(++node.last), .group = kGroup, .cls = kRead};
+    RequestEvent event{.id = RequestId(++node.last), .group = kGroup, .request_class = kRead};
     event.session = Name(session);
     event.arrived = now;
     const bool hold = node.consistency_guard.WorthHolding(event, now);
@@ -176,9 +176,9 @@
       const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, Name(write.session));
       if (!write.position) {
         write.position = now;
-        OutcomeEvent outcome{write.id, 0, kPrimary, Outcome::kOk, kMs, true, {}, {}};
-        outcome.note.primary = true;
-        outcome.note.position = now;
+        AttemptEndedEvent outcome{write.id, 0, kPrimary, Outcome::kOk, kMs, true, {}, {}};
+        outcome.metadata.primary = true;
+        outcome.metadata.position = now;
         Event event = outcome;
         node.consistency_guard.Before(now, event);
       }
@@ -202,7 +202,7 @@
       }
       Event event = read.event;
       node.consistency_guard.Before(now, event);
-      const auto target = std::get<RequestEvent>(event).target;
+      const auto target = std::get<RequestEvent>(event).required_position;
       for (const auto& one : node.consistency_guard.TakeTurned()) (void)one;
       node.consistency_guard.Over(read.event.id);
       ++reads_done;
@@ -1093,20 +1093,21 @@
   consistency_guard.TakeTurned();
   std::uint32_t last = 0;
   const auto read = [&](const char* session) {
-    RequestEvent ask{.id = RequestId(++last), .group = kGroup, .cls = kRead};
+    RequestEvent ask{.id = RequestId(++last), .group = kGroup, .request_class = kRead};
     ask.session = session;
     Event of = ask;
     consistency_guard.Before(now, of);
-    return std::get<RequestEvent>(of).target;
+    return std::get<RequestEvent>(of).required_position;
   };
   // Not held: a write that may be lost may be its session's.
-  CHECK(consistency_guard.WorthHolding({.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
+  CHECK(consistency_guard.WorthHolding(
+      {.group = kGroup, .request_class = kRead, .session = "a", .arrived = now}, now));
   read("a");
   CHECK(consistency_guard.TakeTurned().size() == 1);
   // Held: it wrote nothing since the floor, which lies before the loss.
   known.exact = now - kSecond * 20;
-  CHECK_FALSE(
-      consistency_guard.WorthHolding({.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
+  CHECK_FALSE(consistency_guard.WorthHolding(
+      {.group = kGroup, .request_class = kRead, .session = "a", .arrived = now}, now));
   CHECK(read("a") == now - kSecond * 20);
   CHECK(consistency_guard.TakeTurned().empty());
   // A floor within the loss is in doubt, and one that is later than the read is cut to it.
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -171,7 +171,7 @@
   });
   Until([&] { return a.probed.size() == 1; }, a.loop);
   CHECK(a.probed[0].outcome == Outcome::kOk);
-  CHECK(a.probed[0].taken < 100 * kMs);
+  CHECK(a.probed[0].elapsed < 100 * kMs);
 }
 
 TEST_CASE("the time of an answer counts from its writing, not from the pass in which it was written") {
@@ -183,8 +183,8 @@
   });
   Until([&] { return a.ends.size() == 2; }, a.loop);
   CHECK(a.ends[1].outcome == Outcome::kOk);
-  CHECK(a.ends[1].taken < 100 * kMs);
-  CHECK(a.ends[1].taken >= Duration{0});
+  CHECK(a.ends[1].elapsed < 100 * kMs);
+  CHECK(a.ends[1].elapsed >= Duration{0});
 }
 
 TEST_CASE("a connection that was refused at once is not taken for one that hung, late in a long pass") {
@@ -196,8 +196,8 @@
   });
   Until([&] { return a.ends.size() == 1; }, a.loop);
   CHECK(a.ends[0].outcome == Outcome::kUnreachable);
-  CHECK(a.ends[0].taken < 100 * kMs);
-  CHECK(a.ends[0].taken >= Duration{0});
+  CHECK(a.ends[0].elapsed < 100 * kMs);
+  CHECK(a.ends[0].elapsed >= Duration{0});
 }
 
 TEST_CASE("an attempt that ends in the pass in which it began has taken no time, not less") {
@@ -208,7 +208,7 @@
   });
   REQUIRE(a.ends.size() == 1);
   CHECK(a.ends[0].outcome == Outcome::kUnreachable);
-  CHECK(a.ends[0].taken == Duration{0});
+  CHECK(a.ends[0].elapsed == Duration{0});
 }
 
 TEST_CASE("a connection that has been idle for too long is not used between two retirements") {
@@ -267,7 +267,7 @@
   void Read(int left_ms) {
     proxy::Ask ask;
     ask.event.group = GroupId(2);
-    ask.event.cls = 1;
+    ask.event.request_class = 1;
     ask.event.session = "s";
     ask.event.time_left = left_ms * kMs;
     RequestId id{};
@@ -319,7 +319,8 @@
   const auto feed = [&](const Event& event) {
     actions.clear();
     balancer.Handle(now, event, actions);
-    return std::ranges::any_of(actions, [](const Action& a) { return std::holds_alternative<Send>(a); });
+    return std::ranges::any_of(actions,
+                               [](const Action& a) { return std::holds_alternative<StartAttempt>(a); });
   };
   ListEvent list{ListKind::kPersisted, {}};
   list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
@@ -337,10 +338,10 @@
   for (int i = 0; i < 12; ++i) {
     REQUIRE(ask(2000 * kMs, {}));
     now += 20 * kMs;
-    OutcomeEvent end;
+    AttemptEndedEvent end;
     end.id = RequestId(last);
     end.server = ServerId(1);
-    end.taken = 20 * kMs;
+    end.elapsed = 20 * kMs;
     end.request_done = true;
     feed(end);
   }
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -123,8 +123,8 @@
 Settings SessionSettings() {
   Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].kind = ReadKind::kSession;
-  settings.sessions_carried = false;
+  settings.classes[0].kind = AccessKind::kSessionRead;
+  settings.clients_carry_watermarks = false;
   return settings;
 }
 
@@ -239,10 +239,10 @@
   std::optional<LogPosition> TargetOfUnknown(int at) {
     consistency::SessionConsistencyGuard& consistency_guard =
         nodes[static_cast<std::size_t>(at)]->consistency_guard;
-    Event read = RequestEvent{.id = RequestId(1), .group = kGroup, .cls = 0, .session = "unknown"};
+    Event read = RequestEvent{.id = RequestId(1), .group = kGroup, .request_class = 0, .session = "unknown"};
     std::get<RequestEvent>(read).arrived = consistency_guard.CoveredUpTo();
     consistency_guard.Before(now, read);
-    return std::get<RequestEvent>(read).target;
+    return std::get<RequestEvent>(read).required_position;
   }
 
   struct Datagram {
--- a/tests/routing/balancer_long_run_test.cpp
+++ b/tests/routing/balancer_long_run_test.cpp
@@ -23,12 +23,12 @@
   static Settings SettingsHere() {
     Settings s;
     RequestClass any;
-    any.aim = Duration(300000);
+    any.latency_objective = Duration(300000);
     any.deadline = Duration(1200000);
     s.classes = {any};
     s.max_attempts = 8;
-    s.may_cancel = s.clients_wait_as_told = true;
-    s.longest_client_wait = Duration(500000);
+    s.may_cancel = s.clients_honor_retry_after = true;
+    s.max_retry_after = Duration(500000);
     return s;
   }
 
@@ -47,22 +47,22 @@
         due.emplace(now + timer->delay, TimerEvent{timer->id});
       if (const auto* refuse = std::get_if<Reject>(&action)) {
         ++refused;
-        shortest = std::min(shortest, refuse->stay_away);
+        shortest = std::min(shortest, refuse->retry_after);
       }
-      if (const auto* probe = std::get_if<Probe>(&action)) {
+      if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
         ++probes;
         const LoadReport report{.position = now - lag, .primary = false};
         due.emplace(now + Duration(1000),
                     HealthCheckEvent{probe->server, Outcome::kOk, Duration(1000), report});
       }
-      if (const auto* send = std::get_if<Send>(&action)) {
+      if (const auto* send = std::get_if<StartAttempt>(&action)) {
         ++sent[send->server];
-        OutcomeEvent end;
+        AttemptEndedEvent end;
         end.id = send->id;
         end.server = send->server;
-        end.taken = takes[send->server];
+        end.elapsed = takes[send->server];
         end.request_done = true;
-        due.emplace(now + end.taken, end);
+        due.emplace(now + end.elapsed, end);
       }
     }
   }
@@ -176,8 +176,8 @@
   rig.balancer = Balancer(
       [] {
         Settings s = Rig::SettingsHere();
-        s.classes[0].kind = ReadKind::kWrite;
-        s.classes[0].late_value = 1;
+        s.classes[0].kind = AccessKind::kWrite;
+        s.classes[0].late_response_value = 1;
         return s;
       }(),
       7);
@@ -196,13 +196,13 @@
 // Data servers that answer from what they have, however old, and report positions.
 Settings Unchecked() {
   Settings s = Rig::SettingsHere();
-  s.classes[0].kind = ReadKind::kBounded;
-  s.classes[0].bound = Duration(500000);
-  s.classes[0].aim = Duration(1000000);
-  s.lag_check = LagCheck::kNone;
-  s.reports = Reports::kAnswers;
-  s.may_probe = true;
-  s.price_probe = 0.01;
+  s.classes[0].kind = AccessKind::kBoundedRead;
+  s.classes[0].staleness_bound = Duration(500000);
+  s.classes[0].latency_objective = Duration(1000000);
+  s.position_check = PositionCheck::kNone;
+  s.load_reporting = LoadReporting::kWithResponses;
+  s.may_health_check = true;
+  s.health_check_price = 0.01;
   return s;
 }
 
@@ -237,12 +237,12 @@
 // on which half of the reads were refused.
 TEST_CASE("a client that comes again after its aim has passed does not take the place of one in time") {
   Rig rig;
-  const auto ask = [&](Duration left, bool repeat) {
+  const auto ask = [&](Duration left, bool is_retry) {
     RequestEvent event;
     event.id = RequestId(++rig.last);
     event.group = GroupId(1);
     event.time_left = left;
-    event.repeat = repeat;
+    event.is_retry = is_retry;
     rig.Feed(event);
     rig.Run(Duration(50000));
   };
@@ -280,22 +280,22 @@
     CAPTURE(c.other);
     CAPTURE(c.window.count());
     Settings s = Rig::SettingsHere();
-    s.classes[0].kind = ReadKind::kWrite;
-    s.classes[0].effect = Effect::kKeyed;
-    s.classes[0].repeats_anywhere = false;
-    s.classes[0].repeats_in_zone = c.in_zone;
-    s.classes[0].repeat_window = c.window;
-    s.classes[0].aim = Duration(1200000);
+    s.classes[0].kind = AccessKind::kWrite;
+    s.classes[0].idempotency = Idempotency::kIdempotencyKey;
+    s.classes[0].deduplicated_everywhere = false;
+    s.classes[0].deduplicated_in_zone = c.in_zone;
+    s.classes[0].idempotency_window = c.window;
+    s.classes[0].latency_objective = Duration(1200000);
     Balancer balancer(s, 3);
     TimePoint now{Duration(1000000000)};
     std::multimap<TimePoint, TimerId> due;
-    std::vector<Send> sends;
+    std::vector<StartAttempt> sends;
     const auto feed = [&](const Event& event) {
       Actions actions;
       balancer.Handle(now, event, actions);
       for (const Action& action : actions) {
         if (const auto* timer = std::get_if<SetTimer>(&action)) due.emplace(now + timer->delay, timer->id);
-        if (const auto* send = std::get_if<Send>(&action)) sends.push_back(*send);
+        if (const auto* send = std::get_if<StartAttempt>(&action)) sends.push_back(*send);
       }
     };
     feed(ListEvent{ListKind::kPersisted,
@@ -310,7 +310,8 @@
     const ServerId ran = sends[0].server, other = ran == kFirst ? kSecond : kFirst;
     const TimePoint sent = now;
     now += Duration(300000);
-    feed(OutcomeEvent{.id = RequestId(1), .server = ran, .outcome = Outcome::kBroken, .taken = now - sent});
+    feed(AttemptEndedEvent{
+        .id = RequestId(1), .server = ran, .outcome = Outcome::kConnectionLost, .elapsed = now - sent});
     // Another write shows that the other member is the primary now.
     feed(HealthCheckEvent{other, Outcome::kOk, Duration(1000), LoadReport{.position = now, .primary = true}});
     while (!due.empty() && due.begin()->first < sent + Duration(1150000)) {
--- a/tests/routing/balancer_test.cpp
+++ b/tests/routing/balancer_test.cpp
@@ -22,32 +22,35 @@
 
 Settings Usual() {
   Settings s;
-  const auto cls = [](ReadKind kind, Effect effect) {
+  const auto cls = [](AccessKind kind, Idempotency effect) {
     RequestClass c;
     c.kind = kind;
-    c.effect = effect;
-    c.aim = 500_ms;
+    c.idempotency = effect;
+    c.latency_objective = 500_ms;
     c.deadline = 2000_ms;
-    c.bound = 300_ms;
-    c.repeat_window = 1000_ms;
-    c.repeats_anywhere = false;
+    c.staleness_bound = 300_ms;
+    c.idempotency_window = 1000_ms;
+    c.deduplicated_everywhere = false;
     return c;
   };
-  s.classes = {cls(ReadKind::kAny, Effect::kSafe),     cls(ReadKind::kBounded, Effect::kSafe),
-               cls(ReadKind::kSession, Effect::kSafe), cls(ReadKind::kWrite, Effect::kUnsafe),
-               cls(ReadKind::kWrite, Effect::kKeyed),  cls(ReadKind::kFresh, Effect::kSafe)};
-  s.lag_check = LagCheck::kWait;
-  s.patience = 50_ms;
-  s.list_role = ListRole::kStart;
-  s.answers_tell_position = true;
-  s.reports = Reports::kAnswers;
-  s.may_cancel = s.may_probe = s.may_duplicate = true;
+  s.classes = {cls(AccessKind::kEventualRead, Idempotency::kIdempotent),
+               cls(AccessKind::kBoundedRead, Idempotency::kIdempotent),
+               cls(AccessKind::kSessionRead, Idempotency::kIdempotent),
+               cls(AccessKind::kWrite, Idempotency::kNotIdempotent),
+               cls(AccessKind::kWrite, Idempotency::kIdempotencyKey),
+               cls(AccessKind::kStrongRead, Idempotency::kIdempotent)};
+  s.position_check = PositionCheck::kWait;
+  s.replica_wait_limit = 50_ms;
+  s.listed_role = ListedRole::kInitial;
+  s.responses_report_position = true;
+  s.load_reporting = LoadReporting::kWithResponses;
+  s.may_cancel = s.may_health_check = s.may_hedge = true;
   s.max_attempts = 6;
   s.drain_grace = 1000_ms;
-  s.start_capacity = 0.2;
-  s.cold_time = 10000_ms;
+  s.initial_capacity = 0.2;
+  s.slow_start_duration = 10000_ms;
   s.overload_factor = 2;
-  s.fall_time = 2000_ms;
+  s.overload_duration = 2000_ms;
   return s;
 }
 
@@ -64,15 +67,16 @@
     consistency_guard_.After(actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers_.emplace(now_ + timer->delay, timer->id);
-      if (const auto* send = std::get_if<Send>(&action)) {
+      if (const auto* send = std::get_if<StartAttempt>(&action)) {
         sends.push_back(*send);
         attempts_[send->id].push_back(send->server);
       }
-      if (std::holds_alternative<Probe>(action)) probes.push_back(std::get<Probe>(action));
-      if (std::holds_alternative<Watch>(action)) ++watches;
+      if (std::holds_alternative<StartHealthCheck>(action))
+        probes.push_back(std::get<StartHealthCheck>(action));
+      if (std::holds_alternative<WatchEndpointList>(action)) ++watches;
       if (const auto* refuse = std::get_if<Reject>(&action)) {
         refused.push_back(refuse->id);
-        advice = refuse->stay_away;
+        advice = refuse->retry_after;
       }
       if (std::holds_alternative<Fail>(action)) failed.push_back(std::get<Fail>(action).id);
     }
@@ -97,29 +101,29 @@
     Give(ListEvent{kind, std::move(entries)});
   }
 
-  RequestId Ask(ClassIndex cls, std::optional<Duration> since_write = std::nullopt) {
+  RequestId Ask(ClassIndex cls, std::optional<Duration> time_since_write = std::nullopt) {
     const RequestId id{++last_};
     Give(RequestEvent{.id = id,
                       .group = kGroup,
-                      .cls = cls,
+                      .request_class = cls,
                       .session = "s",
-                      .since_write = since_write,
+                      .time_since_write = time_since_write,
                       .time_left = 2000_ms});
     return id;
   }
 
   // Ends the newest attempt of a request.
-  void End(RequestId id, Outcome outcome, ResponseMetadata note = {}, Duration taken = 10_ms) {
+  void End(RequestId id, Outcome outcome, ResponseMetadata metadata = {}, Duration taken = 10_ms) {
     if (SendsOf(id) == 0) return;
     const auto& made = attempts_[id];
-    OutcomeEvent event;
+    AttemptEndedEvent event;
     event.id = id;
     event.attempt = static_cast<AttemptNumber>(made.size() - 1);
     event.server = made.back();
     event.outcome = outcome;
-    event.taken = taken;
+    event.elapsed = taken;
     event.request_done = outcome == Outcome::kOk;
-    event.note = note;
+    event.metadata = metadata;
     Give(event);
   }
 
@@ -132,7 +136,7 @@
 
   std::size_t SendsOf(RequestId id) const {
     return static_cast<std::size_t>(
-        std::count_if(sends.begin(), sends.end(), [&](const Send& s) { return s.id == id; }));
+        std::count_if(sends.begin(), sends.end(), [&](const StartAttempt& s) { return s.id == id; }));
   }
   std::size_t AnswersTo(RequestId id) const {
     return static_cast<std::size_t>(std::count(refused.begin(), refused.end(), id) +
@@ -141,8 +145,8 @@
   ServerId LastTo(RequestId id) const { return attempts_.at(id).back(); }
   TimePoint now() const { return now_; }
 
-  std::vector<Send> sends;
-  std::vector<Probe> probes;
+  std::vector<StartAttempt> sends;
+  std::vector<StartHealthCheck> probes;
   std::vector<RequestId> refused, failed;
   Duration advice{0};  // of the newest refusal
   int watches = 0;
@@ -200,7 +204,7 @@
 
 TEST(OrdinaryPath, WhereMembersDoNotCheckAReadWaitsForItsPosition) {
   Settings s = Usual();
-  s.lag_check = LagCheck::kNone;
+  s.position_check = PositionCheck::kNone;
   Proxy p(s);
   p.List(Three());
   p.Told(kA, p.now() - 5000_ms, false);
@@ -222,7 +226,7 @@
   for (int i = 0; i < 3; ++i) {
     ASSERT_EQ(p.SendsOf(id), i + 1u);
     asked.insert(p.LastTo(id));
-    p.End(id, Outcome::kMiss, {std::nullopt, false});
+    p.End(id, Outcome::kMisrouted, {std::nullopt, false});
   }
   EXPECT_EQ(asked.size(), 3u);
   const std::size_t before = p.probes.size();
@@ -237,15 +241,16 @@
 // A pooler among a hundred sees a write of a group every few seconds and can pay for few probes.
 TEST(Roles, AWriteFindsAPrimaryThatNothingHasShown) {
   Settings s = Usual();
-  s.may_probe = false;
-  s.list_role = ListRole::kNone;
+  s.may_health_check = false;
+  s.listed_role = ListedRole::kNone;
   std::set<ServerId> first;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     Proxy p(s, seed);
     p.List(Three());
     const RequestId id = p.Ask(kKeyedWrite);
     first.insert(p.LastTo(id));
-    while (p.LastTo(id) != kPrimary && p.SendsOf(id) < 4) p.End(id, Outcome::kMiss, {std::nullopt, false});
+    while (p.LastTo(id) != kPrimary && p.SendsOf(id) < 4)
+      p.End(id, Outcome::kMisrouted, {std::nullopt, false});
     EXPECT_EQ(p.LastTo(id), kPrimary);
     p.End(id, Outcome::kOk, {std::nullopt, true});
     EXPECT_EQ(p.LastTo(p.Ask(kKeyedWrite)), kPrimary);
@@ -256,11 +261,11 @@
 TEST(Roles, AWriteKeepsAttemptsForThePrimaryThatIsFound) {
   Settings s = Usual();
   s.max_attempts = 4;
-  s.list_role = ListRole::kNone;
+  s.listed_role = ListedRole::kNone;
   Proxy p(s);
   p.List(Three());
   const RequestId id = p.Ask(kKeyedWrite);
-  for (int i = 0; i < 3; ++i) p.End(id, Outcome::kMiss, {std::nullopt, false});
+  for (int i = 0; i < 3; ++i) p.End(id, Outcome::kMisrouted, {std::nullopt, false});
   EXPECT_EQ(p.SendsOf(id), 2u);
   p.Pass(10_ms);
   p.Told(kPrimary, p.now(), true);
@@ -291,7 +296,8 @@
 }
 
 TEST(Rules, AnUnsafeWriteThatMayHaveRunIsNeitherResentNorRefused) {
-  for (Outcome outcome : {Outcome::kError, Outcome::kTimeout, Outcome::kBroken, Outcome::kCancelled}) {
+  for (Outcome outcome :
+       {Outcome::kError, Outcome::kTimeout, Outcome::kConnectionLost, Outcome::kCancelled}) {
     Proxy p;
     p.List(Three());
     const RequestId id = p.Ask(kUnsafeWrite);
@@ -304,7 +310,7 @@
 }
 
 TEST(Rules, AnUnsafeWriteThatNeverRanIsTriedAgainAndMayBeRefused) {
-  for (Outcome outcome : {Outcome::kFull, Outcome::kUnreachable}) {
+  for (Outcome outcome : {Outcome::kOverloaded, Outcome::kUnreachable}) {
     Proxy p;
     p.List(Three());
     const RequestId id = p.Ask(kUnsafeWrite);
@@ -325,7 +331,7 @@
   p.Pass(200_ms);
   ASSERT_EQ(p.SendsOf(id), 2u);
   p.Pass(850_ms);
-  p.End(id, Outcome::kFull);
+  p.End(id, Outcome::kOverloaded);
   p.Pass(1000_ms);
   EXPECT_EQ(p.SendsOf(id), 2u);
   EXPECT_TRUE(p.refused.empty());  // an earlier attempt may have run, and only the group drops repeats
@@ -343,7 +349,7 @@
 
 TEST(Rules, WhereGoneDoesNotBindADrainStillDoesAfterTheMemberIsGone) {
   Settings settings = Usual();
-  settings.gone_not_binding = true;
+  settings.unlisted_stay_usable = true;
   Proxy p(settings);
   p.List(Three());
   p.List({Entry(kA, Lifecycle::kDraining)}, ListKind::kPartial);
@@ -369,7 +375,7 @@
 
 TEST(Rules, WhereMembersDoNotCheckNoReadIsSentBelowItsTarget) {
   Settings s = Usual();
-  s.lag_check = LagCheck::kNone;
+  s.position_check = PositionCheck::kNone;
   Proxy p(s);
   p.List(Three());
   p.Told(kA, p.now() - 5000_ms, false);
@@ -381,7 +387,7 @@
 
 TEST(Rules, NoTwoAttemptsAtOnceWhereForbidden) {
   Settings s = Usual();
-  s.may_duplicate = false;
+  s.may_hedge = false;
   Proxy p(s);
   p.List(Three());
   const RequestId id = p.Ask(kAny);
@@ -408,12 +414,12 @@
   p.Told(kB, p.now() - 5000_ms, false);
   const RequestId id = p.Ask(kBounded);
   ASSERT_NE(p.LastTo(id), kPrimary);  // the first send is never the primary's
-  p.End(id, Outcome::kMiss, {p.now() - 5000_ms, false});
+  p.End(id, Outcome::kMisrouted, {p.now() - 5000_ms, false});
   ASSERT_EQ(p.SendsOf(id), 2u);
   EXPECT_EQ(p.LastTo(id), kPrimary);
 
   const RequestId other = p.Ask(kBounded);  // the window is one to begin with
-  p.End(other, Outcome::kMiss, {p.now() - 5000_ms, false});
+  p.End(other, Outcome::kMisrouted, {p.now() - 5000_ms, false});
   EXPECT_EQ(p.SendsOf(other), 1u);
 
   p.Told(kB, p.now(), false);
@@ -424,7 +430,7 @@
 TEST(Rules, AMemberThatTurnsWorkAwayRests) {
   Proxy p;
   p.List(Three());
-  p.End(p.Ask(kUnsafeWrite), Outcome::kFull);
+  p.End(p.Ask(kUnsafeWrite), Outcome::kOverloaded);
   const std::size_t before = p.sends.size();
   for (int i = 0; i < 50; ++i) p.Ask(kUnsafeWrite);
   EXPECT_EQ(p.sends.size(), before);
@@ -461,8 +467,8 @@
     p.End(id, Outcome::kUnreachable, {}, 0_ms);
     p.Pass(300_ms);
     ASSERT_EQ(p.SendsOf(id), 2u) << "the primary neither rests long nor counts as cold";
-    OutcomeEvent end{.id = id, .attempt = 1, .server = kPrimary, .taken = 10_ms, .request_done = true};
-    for (const Action& a : p.Give(end)) closed += std::holds_alternative<CloseIdle>(a);
+    AttemptEndedEvent end{.id = id, .attempt = 1, .server = kPrimary, .elapsed = 10_ms, .request_done = true};
+    for (const Action& a : p.Give(end)) closed += std::holds_alternative<CloseIdleConnections>(a);
   }
   EXPECT_EQ(closed, 5) << "connections are given back after use";
 }
@@ -484,7 +490,7 @@
 // connections are given back for it.
 TEST(Connections, OneThatGoesOnRefusingIsAskedEverMoreSeldomAndCostsNoOtherItsConnections) {
   Settings s = Usual();
-  s.may_probe = false;
+  s.may_health_check = false;
   Proxy p(s);
   p.List(Three());
   int refused = 0, late = 0, closed = 0;
@@ -495,9 +501,9 @@
       p.End(id, Outcome::kUnreachable, {}, 0_ms);
     }
     if (p.SendsOf(id) == 0 || p.LastTo(id) == kA) continue;
-    OutcomeEvent end{.id = id, .server = p.LastTo(id), .taken = 10_ms, .request_done = true};
+    AttemptEndedEvent end{.id = id, .server = p.LastTo(id), .elapsed = 10_ms, .request_done = true};
     end.attempt = static_cast<AttemptNumber>(p.SendsOf(id) - 1);
-    for (const Action& a : p.Give(end)) closed += std::holds_alternative<CloseIdle>(a);
+    for (const Action& a : p.Give(end)) closed += std::holds_alternative<CloseIdleConnections>(a);
     p.Pass(10_ms);
   }
   EXPECT_LE(refused, 12) << "in five seconds: the rest doubles from 50 ms";
@@ -511,8 +517,8 @@
   p.List(Three());
   const auto waits = [&] {
     const RequestId id = p.Ask(kUnsafeWrite);
-    p.End(id, Outcome::kMiss, ResponseMetadata{std::nullopt, false});  // the primary is gone: held
-    p.End(id, Outcome::kMiss, ResponseMetadata{std::nullopt, false});
+    p.End(id, Outcome::kMisrouted, ResponseMetadata{std::nullopt, false});  // the primary is gone: held
+    p.End(id, Outcome::kMisrouted, ResponseMetadata{std::nullopt, false});
     const TimePoint from = p.now();
     while (p.AnswersTo(id) == 0 && p.now() - from < 2000_ms) p.Pass(10_ms);
     return p.now() - from;
@@ -528,9 +534,9 @@
 }
 
 // How many of a hundred reads go to a member at which all attempts are called off unanswered.
-int ChosenThoughCalledOff(Reports reports) {
+int ChosenThoughCalledOff(LoadReporting reports) {
   Settings settings = Usual();
-  settings.reports = reports;
+  settings.load_reporting = reports;
   Proxy p(settings);
   p.List(Three());
   const auto round = [&] {
@@ -554,11 +560,11 @@
 }
 
 TEST(Health, AttemptsCalledOffCountAgainstTheirMember) {
-  EXPECT_LT(ChosenThoughCalledOff(Reports::kProbes), 25);
+  EXPECT_LT(ChosenThoughCalledOff(LoadReporting::kOnHealthCheck), 25);
 }
 
 TEST(Health, WhereAnswersTellOfNoQueueACalledOffAttemptLostItsAnswer) {
-  EXPECT_GT(ChosenThoughCalledOff(Reports::kAnswers), 35);
+  EXPECT_GT(ChosenThoughCalledOff(LoadReporting::kWithResponses), 35);
 }
 
 TEST(Rules, QueueingDoesNotInflateTheColdBudget) {
@@ -573,7 +579,8 @@
   entries[0].started = p.now();
   p.List({entries[0]}, ListKind::kPartial);
   const auto to_primary = [&] {
-    return std::count_if(p.sends.begin(), p.sends.end(), [](const Send& s) { return s.server == kPrimary; });
+    return std::count_if(p.sends.begin(), p.sends.end(),
+                         [](const StartAttempt& s) { return s.server == kPrimary; });
   };
   const auto before = to_primary();
   for (int i = 0; i < 200; ++i) p.Ask(kUnsafeWrite);
@@ -582,7 +589,7 @@
 
 TEST(Overload, AReadExpectedTooLateIsRefusedEarlyTheCheapOneFirst) {
   Settings s = Usual();
-  s.classes[kBounded].worth = 9;
+  s.classes[kBounded].priority_weight = 9;
   Proxy p(s);
   p.List(Three());
   p.Told(kA, p.now(), false);
@@ -606,8 +613,8 @@
 // Guards against a refusal that tells nothing: clients would come back on their own, at the worst moment.
 TEST(Overload, ARefusalSaysWhenToComeBackWithinTheLimit) {
   Settings s = Usual();
-  s.clients_wait_as_told = true;
-  s.longest_client_wait = 400_ms;
+  s.clients_honor_retry_after = true;
+  s.max_retry_after = 400_ms;
   Proxy nobody(s);
   nobody.Ask(kKeyedWrite);
   nobody.Pass(2000_ms);
@@ -631,13 +638,13 @@
   EXPECT_GE(advice_at(230_ms), 50_ms);
   EXPECT_LT(advice_at(230_ms), advice_at(350_ms));  // the more there is to work off, the later
   EXPECT_LE(advice_at(350_ms), 400_ms);
-  s.clients_wait_as_told = false;
+  s.clients_honor_retry_after = false;
   EXPECT_EQ(advice_at(350_ms), 0_ms);
 }
 
 TEST(Health, LongAnyReadsAreDrawnTogether) {
   Settings s = Usual();
-  s.classes[kAny].aim = 1600_ms;
+  s.classes[kAny].latency_objective = 1600_ms;
   Proxy p(s);
   p.List(Three());
   int to_a = 0;
@@ -653,15 +660,15 @@
 
 TEST(Spill, WhereLittleIsHeardTheOwnMissesAreNewsEnough) {
   Settings s = Usual();
-  s.answers_tell_position = false;
+  s.responses_report_position = false;
   Proxy p(s);
   p.List(Three());  // no position is ever heard
   const RequestId id = p.Ask(kBounded);
   const ServerId first = p.LastTo(id);
-  p.End(id, Outcome::kMiss, {std::nullopt, false});
+  p.End(id, Outcome::kMisrouted, {std::nullopt, false});
   ASSERT_EQ(p.SendsOf(id), 2u);
   EXPECT_NE(p.LastTo(id), first);
-  if (p.LastTo(id) != kPrimary) p.End(id, Outcome::kMiss, {std::nullopt, false});
+  if (p.LastTo(id) != kPrimary) p.End(id, Outcome::kMisrouted, {std::nullopt, false});
   EXPECT_EQ(p.LastTo(id), kPrimary);
 }
 
@@ -689,7 +696,7 @@
   p.List(Three());
   for (int i = 0; i < 6; ++i) p.Ask(kAny);
   std::map<RequestId, ServerId> held;
-  for (const Send& send : p.sends) {
+  for (const StartAttempt& send : p.sends) {
     if (send.server == kA)
       held[send.id] = kA;
     else
@@ -755,7 +762,7 @@
 
 TEST(Discovery, AsksAgainAfterAnErrorLaterEachTime) {
   Settings s = Usual();
-  s.list_on_request = true;
+  s.poll_endpoint_list = true;
   Proxy p(s);
   p.List(Three());
   p.Pass(200_ms);
--- a/tests/routing/embed_example.cpp
+++ b/tests/routing/embed_example.cpp
@@ -7,8 +7,9 @@
 int main() {
   using namespace lynxgrade;
   Settings settings;
-  settings.classes.push_back(
-      {.kind = ReadKind::kAny, .aim = Duration(200000), .deadline = Duration(1000000)});
+  settings.classes.push_back({.kind = AccessKind::kEventualRead,
+                              .latency_objective = Duration(200000),
+                              .deadline = Duration(1000000)});
   settings.max_attempts = 3;
   Balancer balancer(settings, 42);
 
@@ -19,7 +20,7 @@
   balancer.Handle(now, RequestEvent{.id = RequestId(1), .group = GroupId(1), .time_left = Duration(1000000)},
                   actions);
   for (const Action& action : actions) {
-    if (const auto* send = std::get_if<Send>(&action)) {
+    if (const auto* send = std::get_if<StartAttempt>(&action)) {
       std::printf("send request %u to member %u\n", static_cast<unsigned>(send->id),
                   static_cast<unsigned>(send->server));
       return 0;
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -54,16 +54,16 @@
   EXPECT_EQ(start.seed, 18446744073709551615ull);
   const Settings& s = start.settings;
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].kind, ReadKind::kWrite);
-  EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
-  EXPECT_FALSE(s.classes[0].repeats_anywhere);
-  EXPECT_EQ(s.classes[0].repeat_window, Duration(77));
-  EXPECT_TRUE(s.list_on_request);
-  EXPECT_FALSE(s.sessions_carried);
-  EXPECT_EQ(s.lag_check, LagCheck::kWait);
-  EXPECT_EQ(s.reports, Reports::kProbes);
+  EXPECT_EQ(s.classes[0].kind, AccessKind::kWrite);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotencyKey);
+  EXPECT_FALSE(s.classes[0].deduplicated_everywhere);
+  EXPECT_EQ(s.classes[0].idempotency_window, Duration(77));
+  EXPECT_TRUE(s.poll_endpoint_list);
+  EXPECT_FALSE(s.clients_carry_watermarks);
+  EXPECT_EQ(s.position_check, PositionCheck::kWait);
+  EXPECT_EQ(s.load_reporting, LoadReporting::kOnHealthCheck);
   EXPECT_EQ(s.max_attempts, 8u);
-  EXPECT_EQ(s.ask_within, Duration(10));
+  EXPECT_EQ(s.max_poll_interval, Duration(10));
   EXPECT_TRUE(s.tenants.empty());
 }
 
@@ -98,15 +98,15 @@
       codec, R"({"op":"incoming","who":3,"req":7,"partition_no":9,"state_bits":6,"client_key":"ab","team":1,)"
              R"("wrote_ms_ago":1.5,"time_left_us":100,"tier_class":0})");
   EXPECT_EQ(request.id, RequestId(7));
-  EXPECT_TRUE(request.repeat);
-  EXPECT_EQ(request.since_write, Duration(1500));
-  const auto outcome = Get<OutcomeEvent>(
+  EXPECT_TRUE(request.is_retry);
+  EXPECT_EQ(request.time_since_write, Duration(1500));
+  const auto outcome = Get<AttemptEndedEvent>(
       codec, R"({"op":"completed","who":3,"req":7,"shot":1,"member":5,"code":"absent","time_taken_us":9,)"
              R"("stand":25486,"health_info":[2.5,1,4]})");
-  EXPECT_EQ(outcome.outcome, Outcome::kMiss);
+  EXPECT_EQ(outcome.outcome, Outcome::kMisrouted);
   EXPECT_FALSE(outcome.request_done);
-  EXPECT_EQ(outcome.note.primary, false);
-  EXPECT_EQ(outcome.note.position, LogPosition(Duration(1000000 + 6371000)));
+  EXPECT_EQ(outcome.metadata.primary, false);
+  EXPECT_EQ(outcome.metadata.position, LogPosition(Duration(1000000 + 6371000)));
   EXPECT_EQ(outcome.report->position, LogPosition(Duration(3500000)));
   EXPECT_EQ(outcome.report->primary, true);
   EXPECT_EQ(outcome.report->queued, 4.0);
@@ -115,7 +115,8 @@
   EXPECT_EQ(Get<TimerEvent>(codec, R"({"op":"fired","who":3,"ctx":77})").id, TimerId(77));
   EXPECT_EQ(Get<ClientDisconnectedEvent>(codec, R"({"op":"gone","who":3,"req":8})").id, RequestId(8));
   EXPECT_EQ(Get<PeerEvent>(codec, R"({"op":"memo","who":3,"by":1,"msg":"x"})").message, "x");
-  EXPECT_EQ(Get<StreamEvent>(codec, R"({"op":"head_received","who":3,"req":8,"shot":0,"member":5})").attempt,
+  EXPECT_EQ(Get<ResponseStartedEvent>(codec, R"({"op":"head_received","who":3,"req":8,"shot":0,"member":5})")
+                .attempt,
             0u);
 }
 
@@ -123,17 +124,17 @@
   Codec codec;
   const std::array<std::pair<const char*, Outcome>, 9> codes = {{{"success", Outcome::kOk},
                                                                  {"failure", Outcome::kError},
-                                                                 {"overloaded", Outcome::kFull},
+                                                                 {"overloaded", Outcome::kOverloaded},
                                                                  {"timed_out", Outcome::kTimeout},
                                                                  {"unreachable", Outcome::kUnreachable},
-                                                                 {"broken", Outcome::kBroken},
+                                                                 {"broken", Outcome::kConnectionLost},
                                                                  {"withdrawn", Outcome::kCancelled},
-                                                                 {"void", Outcome::kVoid},
-                                                                 {"absent", Outcome::kMiss}}};
+                                                                 {"void", Outcome::kNotRun},
+                                                                 {"absent", Outcome::kMisrouted}}};
   for (const auto& [code, outcome] : codes) {
     const std::string text =
         std::string(R"({"op":"completed","who":1,"req":1,"shot":0,"member":1,"code":")") + code + "\"}";
-    EXPECT_EQ(Get<OutcomeEvent>(codec, text).outcome, outcome);
+    EXPECT_EQ(Get<AttemptEndedEvent>(codec, text).outcome, outcome);
   }
 }
 
@@ -154,7 +155,7 @@
     Codec::EncodeAction(3, action, out);
     return out;
   };
-  EXPECT_EQ(text(Send{RequestId(7), ServerId(5), Duration(80)}),
+  EXPECT_EQ(text(StartAttempt{RequestId(7), ServerId(5), Duration(80)}),
             "{\"op\":\"pass_on\",\"who\":3,\"req\":7,\"member\":5,\"limit_us\":80}\n");
   EXPECT_EQ(text(Reject{RequestId(7), Duration(0)}), "{\"op\":\"refuse\",\"who\":3,\"req\":7}\n");
   EXPECT_EQ(text(Reject{RequestId(7), Duration(9)}),
@@ -163,13 +164,13 @@
   EXPECT_EQ(text(Cancel{RequestId(7), 2}), "{\"op\":\"retract\",\"who\":3,\"req\":7,\"shot\":2}\n");
   EXPECT_EQ(text(SetTimer{TimerId(77), Duration(5)}),
             "{\"op\":\"notify_me\",\"who\":3,\"sleep_for_us\":5,\"ctx\":77}\n");
-  EXPECT_EQ(text(Probe{ServerId(5)}), "{\"op\":\"inspect\",\"who\":3,\"member\":5}\n");
-  EXPECT_EQ(text(Watch{true}), "{\"op\":\"subscribe\",\"who\":3,\"on\":true}\n");
-  EXPECT_EQ(text(FetchList{}), "{\"op\":\"read_list\",\"who\":3}\n");
-  EXPECT_EQ(text(TellPeers{std::nullopt, "a\"b"}),
+  EXPECT_EQ(text(StartHealthCheck{ServerId(5)}), "{\"op\":\"inspect\",\"who\":3,\"member\":5}\n");
+  EXPECT_EQ(text(WatchEndpointList{true}), "{\"op\":\"subscribe\",\"who\":3,\"on\":true}\n");
+  EXPECT_EQ(text(FetchEndpointList{}), "{\"op\":\"read_list\",\"who\":3}\n");
+  EXPECT_EQ(text(SendToPeers{std::nullopt, "a\"b"}),
             "{\"op\":\"broadcast_to\",\"who\":3,\"addressee\":\"*\",\"msg\":\"a\\\"b\"}\n");
-  EXPECT_EQ(text(TellPeers{4, "x"}), "{\"op\":\"broadcast_to\",\"who\":3,\"addressee\":4,\"msg\":\"x\"}\n");
-  EXPECT_EQ(text(CloseIdle{ServerId(5)}), "{\"op\":\"close_idle\",\"who\":3,\"member\":5}\n");
+  EXPECT_EQ(text(SendToPeers{4, "x"}), "{\"op\":\"broadcast_to\",\"who\":3,\"addressee\":4,\"msg\":\"x\"}\n");
+  EXPECT_EQ(text(CloseIdleConnections{ServerId(5)}), "{\"op\":\"close_idle\",\"who\":3,\"member\":5}\n");
   EXPECT_EQ(text(Log{"hi"}), "{\"op\":\"debug\",\"who\":3,\"what\":\"hi\"}\n");
 }
 
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -131,24 +131,25 @@
 
 inline Settings Usual() {
   Settings s;
-  const auto cls = [](ReadKind kind, Effect effect) {
+  const auto cls = [](AccessKind kind, Idempotency effect) {
     RequestClass c;
     c.kind = kind;
-    c.effect = effect;
-    c.aim = Duration(400000);
+    c.idempotency = effect;
+    c.latency_objective = Duration(400000);
     c.deadline = Duration(4000000);
-    c.repeat_window = Duration(3000000);
-    c.repeats_anywhere = false;
+    c.idempotency_window = Duration(3000000);
+    c.deduplicated_everywhere = false;
     return c;
   };
-  s.classes = {cls(ReadKind::kAny, Effect::kSafe), cls(ReadKind::kSession, Effect::kSafe),
-               cls(ReadKind::kWrite, Effect::kKeyed)};
-  s.lag_check = LagCheck::kWait;
-  s.answers_tell_position = true;
-  s.sessions_carried = false;
-  s.reports = Reports::kProbes;
-  s.may_cancel = s.may_probe = s.clients_wait_as_told = true;
-  s.longest_client_wait = Duration(500000);
+  s.classes = {cls(AccessKind::kEventualRead, Idempotency::kIdempotent),
+               cls(AccessKind::kSessionRead, Idempotency::kIdempotent),
+               cls(AccessKind::kWrite, Idempotency::kIdempotencyKey)};
+  s.position_check = PositionCheck::kWait;
+  s.responses_report_position = true;
+  s.clients_carry_watermarks = false;
+  s.load_reporting = LoadReporting::kOnHealthCheck;
+  s.may_cancel = s.may_health_check = s.clients_honor_retry_after = true;
+  s.max_retry_after = Duration(500000);
   s.max_attempts = 8;
   return s;
 }
@@ -157,9 +158,9 @@
 inline Settings Unhurried() {
   Settings s = Usual();
   for (RequestClass& kind : s.classes) {
-    kind.aim = Duration(40000);
+    kind.latency_objective = Duration(40000);
     kind.deadline = Duration(60000000);
-    kind.late_value = 1;
+    kind.late_response_value = 1;
   }
   return s;
 }
--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -396,7 +396,7 @@
   void Ask(Duration time, ClassIndex cls = kHistoryRead) {
     proxy::Ask ask;
     ask.event.group = GroupId(1);
-    ask.event.cls = cls;
+    ask.event.request_class = cls;
     ask.event.session = "s1";
     ask.event.time_left = time;
     ask.work = std::make_shared<Work>();
@@ -461,8 +461,8 @@
   end.attempt = seam.backends.sent[0].attempt;
   end.server = seam.backends.sent[0].member;
   end.outcome = Outcome::kOk;
-  end.note.primary = true;
-  end.note.position = seam.loop.Now();
+  end.metadata.primary = true;
+  end.metadata.position = seam.loop.Now();
   end.answer.emplace();
   static_cast<proxy::BackendEvents&>(seam.instance->proxy()).OnAttemptEnd(end);
   CHECK(seam.client.served == 0);
