--- a/src/consistency/session_consistency_guard.cpp
+++ b/src/consistency/session_consistency_guard.cpp
@@ -33,7 +33,7 @@
 
 SessionConsistencyGuard::SessionConsistencyGuard(const Settings& settings, Options options)
     : classes_(settings.classes),
-      sessions_carry_positions_(settings.sessions_carried),
+      sessions_carry_positions_(settings.clients_carry_watermarks),
       options_(options),
       watermark_table_(options.session_capacity),
       unknown_writes_(options.write_retention) {}
@@ -44,7 +44,7 @@
     if (CoversAllInstances()) Handle(*list);
   } else if (auto* request = std::get_if<RequestEvent>(&event)) {
     Handle(now, *request);
-  } else if (auto* outcome = std::get_if<OutcomeEvent>(&event)) {
+  } else if (auto* outcome = std::get_if<AttemptEndedEvent>(&event)) {
     Handle(now, *outcome);
   } else if (auto* health_check = std::get_if<HealthCheckEvent>(&event)) {
     if (CoversAllInstances()) Handle(now, *health_check);
@@ -151,10 +151,10 @@
 // ---- Reads and writes ---------------------------------------------------------------------------------
 
 void SessionConsistencyGuard::Handle(TimePoint now, RequestEvent& event) {
-  if (event.cls >= classes_.size()) return;
-  const ReadKind kind = classes_[event.cls].kind;
-  if (kind == ReadKind::kWrite) HandleWrite(now, event);
-  if (kind == ReadKind::kSession) HandleSessionRead(now, event);
+  if (event.request_class >= classes_.size()) return;
+  const AccessKind kind = classes_[event.request_class].kind;
+  if (kind == AccessKind::kWrite) HandleWrite(now, event);
+  if (kind == AccessKind::kSessionRead) HandleSessionRead(now, event);
 }
 
 void SessionConsistencyGuard::HandleWrite(TimePoint now, const RequestEvent& event) {
@@ -181,10 +181,10 @@
   if (known.watermark && known.watermark->position >= oldest) {
     read.watermark = known.watermark;
     ++counts_.with_watermark;
-    RaiseTo(event.target, known.watermark->position);
+    RaiseTo(event.required_position, known.watermark->position);
   } else if (!known.watermark && known.conservative_position && *known.conservative_position >= oldest) {
     conservative_position = known.conservative_position;
-    RaiseTo(event.target, *known.conservative_position);
+    RaiseTo(event.required_position, *known.conservative_position);
   }
   if (!CoversAllInstances()) return;
   if (UsesLeases()) read.complete_through = leases_->CompleteThrough(read.key);
@@ -193,20 +193,21 @@
     RaiseTo(conservative_position, unknown.through);
   if (conservative_position) {
     ++counts_.conservative;
-    RaiseTo(event.target, *conservative_position);
+    RaiseTo(event.required_position, *conservative_position);
   }
-  event.proven_only = true;
-  read.required_position = event.target;
+  event.require_proven_position = true;
+  read.required_position = event.required_position;
   if (const auto reason = FindRejectionReason(read, now)) return RejectRead(event.id, *reason);
   pending_requests_[event.id] = read;
 }
 
 void SessionConsistencyGuard::ApplyCarriedPosition(TimePoint now, RequestEvent& event) const {
   if (sessions_carry_positions_) {
-    if (!event.since_write) return;
-    event.target = std::max(event.target.value_or(TimePoint{}), now - *event.since_write);
+    if (!event.time_since_write) return;
+    event.required_position =
+        std::max(event.required_position.value_or(TimePoint{}), now - *event.time_since_write);
   } else if (!CoversAllInstances()) {
-    event.target.reset();  // no session of this platform carries a position, so it means nothing
+    event.required_position.reset();  // no session of this platform carries a position, so it means nothing
   }
 }
 
@@ -235,14 +236,15 @@
   return std::nullopt;
 }
 
-void SessionConsistencyGuard::HandleReportedRoles(TimePoint now, OutcomeEvent& event) {
+void SessionConsistencyGuard::HandleReportedRoles(TimePoint now, AttemptEndedEvent& event) {
   const auto request = pending_requests_.find(event.id);
   const bool pending = request != pending_requests_.end();
   const auto listed = groups_.find(event.server);
   if (pending || listed != groups_.end()) {
     // The response to a write reports its commit position, which only the primary has.
     const GroupId group = pending ? request->second.group : listed->second;
-    event.note.position = HandleRole(now, group, event.server, event.note.primary, event.note.position);
+    event.metadata.position =
+        HandleRole(now, group, event.server, event.metadata.primary, event.metadata.position);
   }
   if (event.report && listed != groups_.end()) {
     event.report->position =
@@ -250,26 +252,26 @@
   }
 }
 
-void SessionConsistencyGuard::Handle(TimePoint now, OutcomeEvent& event) {
+void SessionConsistencyGuard::Handle(TimePoint now, AttemptEndedEvent& event) {
   if (CoversAllInstances()) HandleReportedRoles(now, event);
   // If the role has shown that this very response cannot be trusted, its read was rejected just now.
   const auto it = pending_requests_.find(event.id);
   if (it == pending_requests_.end()) return;
   const PendingRequest& request = it->second;
   const bool served = event.outcome == Outcome::kOk;
-  if (served && request.write && event.note.position && !sessions_carry_positions_) {
-    const WriteWatermark watermark{*event.note.position, event.server};
+  if (served && request.write && event.metadata.position && !sessions_carry_positions_) {
+    const WriteWatermark watermark{*event.metadata.position, event.server};
     watermark_table_.Record(request.key, watermark);
     if (on_write_) on_write_(request.group, request.key, watermark);
   }
   // A primary's data is the newest there is, and its position is rounded down: only one that reports an older
   // position than the rounding explains has been replaced.
-  const Duration rounding = event.note.primary.value_or(false) ? kPositionUnit : Duration{0};
-  if (served && !request.write && CoversAllInstances() && request.required_position && event.note.position &&
-      *event.note.position + rounding < *request.required_position) {
+  const Duration rounding = event.metadata.primary.value_or(false) ? kPositionUnit : Duration{0};
+  if (served && !request.write && CoversAllInstances() && request.required_position &&
+      event.metadata.position && *event.metadata.position + rounding < *request.required_position) {
     // The server was chosen for having the required position, so it has lost part of its log.
     ++counts_.stale_answers;
-    event.outcome = Outcome::kMiss;
+    event.outcome = Outcome::kMisrouted;
   }
   if (event.request_done || event.outcome == Outcome::kOk) pending_requests_.erase(it);
 }
@@ -288,8 +290,8 @@
 }
 
 bool SessionConsistencyGuard::ShouldDelayRead(const RequestEvent& event, TimePoint arrived) {
-  if (!CoversAllInstances() || event.cls >= classes_.size()) return false;
-  if (classes_[event.cls].kind != ReadKind::kSession) return false;
+  if (!CoversAllInstances() || event.request_class >= classes_.size()) return false;
+  if (classes_[event.request_class].kind != AccessKind::kSessionRead) return false;
   if (UsesLeases()) {
     const SessionKey key = SessionKeyOf(event.group, event.session);
     // Also renews a lease that is held already.
--- a/src/consistency/session_consistency_guard.h
+++ b/src/consistency/session_consistency_guard.h
@@ -159,7 +159,7 @@
 
   void Handle(const ListEvent& event);
   void Handle(TimePoint now, RequestEvent& event);
-  void Handle(TimePoint now, OutcomeEvent& event);
+  void Handle(TimePoint now, AttemptEndedEvent& event);
   void Handle(TimePoint now, HealthCheckEvent& event);
   void HandleWrite(TimePoint now, const RequestEvent& event);
   void HandleSessionRead(TimePoint now, RequestEvent& event);
@@ -168,7 +168,7 @@
   // Sets or removes the required position that the session itself carries.
   void ApplyCarriedPosition(TimePoint now, RequestEvent& event) const;
   // Learns from the roles that a response reports, and removes positions from it that prove nothing.
-  void HandleReportedRoles(TimePoint now, OutcomeEvent& event);
+  void HandleReportedRoles(TimePoint now, AttemptEndedEvent& event);
   // Learns from the role that a server reports. Returns its position if that proves what the server has.
   std::optional<LogPosition> HandleRole(TimePoint now, GroupId group, ServerId server,
                                         std::optional<bool> primary, std::optional<LogPosition> position);
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -132,7 +132,7 @@
   if (routing.peers_total == 0) {
     spdlog::warn("the platform's settings lack peers_total; assuming instances={}", instances);
   }
-  const discovery::Watch::Callers callers{routing.list_on_request, instances, routing.drain_grace};
+  const discovery::Watch::Callers callers{routing.poll_endpoint_list, instances, routing.drain_grace};
   watch_.emplace(loop_, config_.discovery, reader_, revision, config_.seed, callers,
                  [this](const discovery::EndpointListUpdate& update) { HandleListUpdate(update); });
 }
@@ -165,7 +165,7 @@
   }
   proxy_.ListChanged({update.whole ? ListKind::kComplete : ListKind::kPartial, ApplyAddresses(update)});
   // Unless deletions are binding, requests may still be sent to a deleted server.
-  if (!config_.settings.gone_not_binding) {
+  if (!config_.settings.unlisted_stay_usable) {
     for (const ServerId server : reader_.Prune(update)) host_.forget(server);
   }
   if (host_.changed) host_.changed();
--- a/src/replication/engine_options.cpp
+++ b/src/replication/engine_options.cpp
@@ -18,14 +18,15 @@
 lease::SessionLeaseClient::Options LeaseOptionsFrom(
     const ReplicationSettings& settings, const consistency::SessionConsistencyGuard& consistency_guard) {
   lease::SessionLeaseClient::Options leases;
-  leases.lease_capacity = std::max(kMinLeases, consistency_guard.watermark_table().buckets() * 4);
+  leases.lease_capacity = std::max(kMinLeases, consistency_guard.watermark_table().bucket_count() * 4);
   leases.read_requests_per_s = settings.asks_per_s;
   leases.bytes_per_s = settings.bytes_per_s;
   leases.batching_delay = settings.coalesce;
   leases.writes_require_lease = settings.watermarks == ReplicationMode::kLeases;
   leases.manager.write_retention = consistency_guard.write_retention();
   leases.manager.entry_capacity = leases.lease_capacity;
-  if (settings.owner) leases.manager.entry_capacity = std::max(leases.manager.entry_capacity, kMinLeasesOfDedicatedManager);
+  if (settings.owner)
+    leases.manager.entry_capacity = std::max(leases.manager.entry_capacity, kMinLeasesOfDedicatedManager);
   leases.manager.revoke_before_grant = leases.writes_require_lease;
   return leases;
 }
--- a/src/replication/lease_transport.cpp
+++ b/src/replication/lease_transport.cpp
@@ -166,7 +166,8 @@
 
 // One packet for the receiver of `hops`, from number `next` on, which it moves forward.
 membership::OutgoingPacket LeaseTransport::Pack(TimePoint now, const std::string& address,
-                                     const std::vector<const Hop*>& hops, std::size_t& next) const {
+                                                const std::vector<const Hop*>& hops,
+                                                std::size_t& next) const {
   const Hop& first = *hops[next];
   membership::OutgoingPacket packed = LeasePacketTo(address, links_.self_incarnation_id());
   proto::LeaseBatch& batch = *packed.packet.mutable_directory();
--- a/src/replication/lease_transport.h
+++ b/src/replication/lease_transport.h
@@ -76,8 +76,8 @@
   void SendMessages(TimePoint now, const lease::LeaseOutbox& messages, Outbox& outbox);
   // Packs messages into packets, one or more for each receiver, view and way.
   void SendHops(TimePoint now, const Hops& hops, Outbox& outbox);
-  membership::OutgoingPacket Pack(TimePoint now, const std::string& address, const std::vector<const Hop*>& hops,
-                       std::size_t& next) const;
+  membership::OutgoingPacket Pack(TimePoint now, const std::string& address,
+                                  const std::vector<const Hop*>& hops, std::size_t& next) const;
   void Send(TimePoint now, lease::IncarnationId receiver, bool unanswered, membership::OutgoingPacket packet,
             Outbox& outbox);
   std::string DetourTo(TimePoint now, lease::IncarnationId receiver, bool unanswered);
--- a/src/replication/replication_engine.cpp
+++ b/src/replication/replication_engine.cpp
@@ -13,7 +13,8 @@
 membership::Swim::Options SwimOptions(const ReplicationEngine::Options& options) {
   membership::Swim::Options swim = options.swim;
   if (options.leases) swim.protocol_version = kLeaseProtocolVersion;
-  swim.lease_manager.dedicated = swim.lease_manager.dedicated && options.leases;  // only who uses leases can manage them
+  swim.lease_manager.dedicated =
+      swim.lease_manager.dedicated && options.leases;  // only who uses leases can manage them
   return swim;
 }
 
@@ -40,7 +41,8 @@
       watermarks_(WatermarkOptions(options, recovery), swim_, links_, sender_, consistency_guard, counts_),
       consistency_guard_(consistency_guard) {
   if (!options.leases) return;
-  const LeaseView::Options view{.fleet_size = options.swim.fleet_size, .proven = options.swim.acknowledgements.required};
+  const LeaseView::Options view{.fleet_size = options.swim.fleet_size,
+                                .proven = options.swim.acknowledgements.required};
   leases_ =
       std::make_unique<LeaseTransport>(*options.leases, view, swim_, links_, consistency_guard, counts_);
 }
--- a/src/replication/replication_report.cpp
+++ b/src/replication/replication_report.cpp
@@ -19,13 +19,20 @@
   const auto& requested = client.counts();
   const auto& managed = client.manager().counts();
   const auto& relayed = input.engine.lease_relay()->counts();
-  return {{"owner", input.settings.owner}, {"owners_set_aside", input.engine.swim().dedicated_lease_managers().size()},
-          {"holds", client.lease_count()},       {"entries", client.manager().size()},
-          {"asks", requested.asks},        {"grants", requested.grants},
-          {"exact", requested.exact},      {"recalled", requested.recalled},
-          {"capped", requested.capped},    {"over_budget", requested.over_budget},
-          {"granted", managed.grants},     {"denied", managed.denied},
-          {"waited", relayed.batched},      {"passed_on", relayed.relayed}};
+  return {{"owner", input.settings.owner},
+          {"owners_set_aside", input.engine.swim().dedicated_lease_managers().size()},
+          {"holds", client.lease_count()},
+          {"entries", client.manager().size()},
+          {"asks", requested.requests},
+          {"grants", requested.grants},
+          {"exact", requested.complete_grants},
+          {"recalled", requested.revocations},
+          {"capped", requested.suppressed_reads},
+          {"over_budget", requested.over_budget},
+          {"granted", managed.grants},
+          {"denied", managed.denied},
+          {"waited", relayed.batched},
+          {"passed_on", relayed.relayed}};
 }
 
 Json PeersReport(const ReplicationReportInput& input, std::uint64_t view) {
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -187,11 +187,10 @@
   return engine_->CompleteThrough(loop_.Precise(), key);
 }
 
-bool UdpReplicationService::Want(GroupId group, consistency::SessionKey key, bool write) {
-  using Use = lease::SessionLeaseClient::Use;
+bool UdpReplicationService::AcquireLease(GroupId group, consistency::SessionKey key,
+                                         consistency::LeaseUse use) {
   const ProcessorTimeMeter::Scope scope(processor_time_);
-  const bool expected =
-      engine_->AcquireLease(loop_.Precise(), group, key, write ? Use::kWrite : Use::kRead, outbox_);
+  const bool expected = engine_->AcquireLease(loop_.Precise(), group, key, use, outbox_);
   SendOutbox();
   return expected;
 }
@@ -199,7 +198,7 @@
 bool UdpReplicationService::CallWhenMayAnswer(GroupId group, consistency::SessionKey key,
                                               std::function<void()> call) {
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
-  Want(group, key, true);
+  AcquireLease(group, key, consistency::LeaseUse::kWrite);
   // This instance may manage the lease itself, and hold it at once.
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
   pending_answers_.Add({group, key, std::move(call), loop_.Precise() + kPendingAnswerLifetime});
@@ -211,7 +210,9 @@
   pending_answers_.Process(
       loop_.Precise(),
       [this](consistency::SessionKey key) { return engine_->MayAnswerWrite(loop_.Precise(), key); },
-      [this](GroupId group, consistency::SessionKey key) { Want(group, key, true); });
+      [this](GroupId group, consistency::SessionKey key) {
+        AcquireLease(group, key, consistency::LeaseUse::kWrite);
+      });
 }
 
 void UdpReplicationService::NotifyLearned() {
@@ -234,7 +235,7 @@
 
 void UdpReplicationService::Leave() {
   engine_->PollPeers(loop_.Precise() + kLastPollAdvance, outbox_);
-  engine_->Leave(loop_.Precise(), outbox_);
+  engine_->Leave(outbox_);
   SendOutbox();
 }
 
--- a/src/replication/udp_replication_service.h
+++ b/src/replication/udp_replication_service.h
@@ -52,8 +52,8 @@
 
  private:
   // consistency::SessionLeases
-  std::optional<LogPosition> Exact(consistency::SessionKey key) override;
-  bool Want(GroupId group, consistency::SessionKey key, bool write) override;
+  std::optional<LogPosition> CompleteThrough(consistency::SessionKey key) override;
+  bool AcquireLease(GroupId group, consistency::SessionKey key, consistency::LeaseUse use) override;
 
   tl::expected<net::ObjectPtr<GSocketAddress>, StartError> OpenSocket();
   void CreateEngine(const std::string& bound_address);
--- a/tests/consistency/session_consistency_guard_test.cpp
+++ b/tests/consistency/session_consistency_guard_test.cpp
@@ -36,9 +36,9 @@
   static Settings SessionSettings() {
     Settings settings;
     settings.classes.resize(2);
-    settings.classes[kReadClass].kind = ReadKind::kSession;
-    settings.classes[kWriteClass].kind = ReadKind::kWrite;
-    settings.sessions_carried = false;
+    settings.classes[kReadClass].kind = AccessKind::kSessionRead;
+    settings.classes[kWriteClass].kind = AccessKind::kWrite;
+    settings.clients_carry_watermarks = false;
     return settings;
   }
   Event Process(Event event) {
@@ -50,24 +50,24 @@
     RequestEvent request;
     request.id = RequestId(++last_request);
     request.group = kGroup;
-    request.cls = cls;
+    request.request_class = cls;
     request.session = session;
     return std::get<RequestEvent>(Process(request));
   }
-  OutcomeEvent Respond(RequestId id, ServerId server, Role role, LogPosition position,
-                       Outcome outcome = Outcome::kOk) {
-    OutcomeEvent event;
+  AttemptEndedEvent Respond(RequestId id, ServerId server, Role role, LogPosition position,
+                            Outcome outcome = Outcome::kOk) {
+    AttemptEndedEvent event;
     event.id = id;
     event.server = server;
     event.outcome = outcome;
-    event.note = {position, role == Role::kPrimary};
-    return std::get<OutcomeEvent>(Process(event));
+    event.metadata = {position, role == Role::kPrimary};
+    return std::get<AttemptEndedEvent>(Process(event));
   }
   void Write(const char* session, ServerId primary, LogPosition commit) {
     Respond(Request(kWriteClass, session).id, primary, Role::kPrimary, commit);
   }
   std::optional<LogPosition> RequiredPosition(const char* session) {
-    return Request(kReadClass, session).target;
+    return Request(kReadClass, session).required_position;
   }
 
   SessionConsistencyGuard guard;
@@ -165,7 +165,7 @@
   GuardFixture fixture;
   fixture.Write("s", kServerA, At(130));
   CHECK(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerB, Role::kReplica, At(129)).outcome ==
-        Outcome::kMiss);
+        Outcome::kMisrouted);
   CHECK(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerB, Role::kReplica, At(130)).outcome ==
         Outcome::kOk);
 }
@@ -179,7 +179,7 @@
   // A response from before the change is stale. One from after it shows a second primary, so that the
   // session's write may be lost.
   CHECK(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerA, Role::kPrimary, At(2000)).outcome ==
-        Outcome::kMiss);
+        Outcome::kMisrouted);
   CHECK(fixture.rejected.empty());
   const RequestId read = fixture.Request(kReadClass, "s").id;
   fixture.Respond(read, kServerA, Role::kPrimary, At(3001));
@@ -190,14 +190,14 @@
 // Cut down to what is trusted, such a position would claim writes that its server may not have replayed.
 TEST_CASE("guard: a position later than the known timeline can have lasted is removed from the event") {
   GuardFixture fixture;
-  CHECK_FALSE(
-      fixture.Respond(fixture.Request(kReadClass, "s").id, kServerB, Role::kReplica, At(5)).note.position);
+  CHECK_FALSE(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerB, Role::kReplica, At(5))
+                  .metadata.position);
   fixture.Write("s", kServerA, At(10));
   fixture.now = At(9000);
   CHECK(*fixture.Respond(fixture.Request(kReadClass, "x").id, kServerB, Role::kReplica, At(1010))
-             .note.position == At(1010));
-  CHECK_FALSE(
-      fixture.Respond(fixture.Request(kReadClass, "x").id, kServerB, Role::kReplica, At(9000)).note.position);
+             .metadata.position == At(1010));
+  CHECK_FALSE(fixture.Respond(fixture.Request(kReadClass, "x").id, kServerB, Role::kReplica, At(9000))
+                  .metadata.position);
 }
 
 TEST_CASE(
@@ -207,7 +207,7 @@
   fixture.now = At(100);
   fixture.guard.SetReplicatedThrough(7, At(90));
   RequestEvent request;
-  request.cls = kReadClass;
+  request.request_class = kReadClass;
   CHECK(fixture.guard.ShouldDelayRead(request, fixture.now));
   CHECK(*fixture.RequiredPosition("x") == At(100));
   fixture.guard.SetReplicatedThrough(7, At(100));
@@ -223,14 +223,14 @@
 TEST_CASE("guard: a position that a session carries counts only if sessions are configured to carry it") {
   for (const bool carried : {false, true}) {
     Settings settings = GuardFixture::SessionSettings();
-    settings.sessions_carried = carried;
+    settings.clients_carry_watermarks = carried;
     SessionConsistencyGuard guard(settings, Options{});
     RequestEvent request;
-    request.target = At(7);
-    request.since_write = Duration(2000);
+    request.required_position = At(7);
+    request.time_since_write = Duration(2000);
     Event event = request;
     guard.PrepareEvent(At(10), event);
-    const auto target = std::get<RequestEvent>(event).target;
+    const auto target = std::get<RequestEvent>(event).required_position;
     if (carried) CHECK(*target == At(8));
     if (!carried) CHECK_FALSE(target);
   }
@@ -240,9 +240,9 @@
   GuardFixture fixture{Options{}};
   fixture.Write("s", kServerA, At(130));
   const RequestEvent read = fixture.Request(kReadClass, "s");
-  CHECK(*read.target == At(130));
-  CHECK_FALSE(read.proven_only);
-  CHECK(*fixture.Respond(read.id, kServerB, Role::kPrimary, At(9000)).note.position == At(9000));
+  CHECK(*read.required_position == At(130));
+  CHECK_FALSE(read.require_proven_position);
+  CHECK(*fixture.Respond(read.id, kServerB, Role::kPrimary, At(9000)).metadata.position == At(9000));
   CHECK(fixture.rejected.empty());
   CHECK_FALSE(fixture.RequiredPosition("other"));
 }
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -127,8 +127,8 @@
 Settings SessionSettings() {
   Settings settings;
   settings.classes.resize(1);
-  settings.classes[0].kind = ReadKind::kSession;
-  settings.sessions_carried = false;
+  settings.classes[0].kind = AccessKind::kSessionRead;
+  settings.clients_carry_watermarks = false;
   return settings;
 }
 
@@ -247,10 +247,10 @@
   std::optional<LogPosition> TargetOfUnknown(int at) {
     consistency::SessionConsistencyGuard& consistency_guard =
         nodes[static_cast<std::size_t>(at)]->consistency_guard;
-    Event read = RequestEvent{.id = RequestId(1), .group = kGroup, .cls = 0, .session = "unknown"};
+    Event read = RequestEvent{.id = RequestId(1), .group = kGroup, .request_class = 0, .session = "unknown"};
     std::get<RequestEvent>(read).arrived = consistency_guard.ReplicatedThrough();
     consistency_guard.PrepareEvent(now, read);
-    return std::get<RequestEvent>(read).target;
+    return std::get<RequestEvent>(read).required_position;
   }
 
   struct Datagram {
@@ -468,7 +468,7 @@
   for (int at = 0; at < 7; ++at) CHECK(net.StateOf(7, at) == proto::Member::DEAD);
   Outbox outs;
   for (int i = 0; i < 5; ++i) {
-    net.nodes[6]->engine->Leave(net.now, outs);
+    net.nodes[6]->engine->Leave(outs);
     net.Send(6, outs);
   }
   net.Pass(kTick * 2);
