--- a/tests/lease/lease_safety_test.cpp
+++ b/tests/lease/lease_safety_test.cpp
@@ -160,7 +160,9 @@
 
 TEST_CASE("leases: with one rule left out, the check finds reads that miss a write") {
   constexpr std::size_t kLowBandwidthRound = 4;  // its messages are batched and relayed
-  for (const auto& [name, variant] : VariantsWithoutOneRule()) {
+  for (const auto& named_variant : VariantsWithoutOneRule()) {
+    const std::string& name = named_variant.first;
+    const Variant& variant = named_variant.second;
     for (std::size_t round = 0; round <= kLowBandwidthRound; ++round) {
       const std::size_t managers = round == kLowBandwidthRound ? 2 : round;
       if (variant.managers_not_agreed && managers == 0) continue;  // leaves no rule out
--- a/tests/lease/simulated_lease_fleet.h
+++ b/tests/lease/simulated_lease_fleet.h
@@ -3,6 +3,7 @@
 #pragma once
 
 #include <algorithm>
+#include <array>
 #include <cstddef>
 #include <cstdint>
 #include <functional>
@@ -38,6 +39,7 @@
     paused_until_.resize(size);
     for (std::size_t at = 0; at < size; ++at) Restart(at);
   }
+  ~SimulatedLeaseFleet() = default;
   // The nodes refer to the fleet.
   SimulatedLeaseFleet(const SimulatedLeaseFleet&) = delete;
   SimulatedLeaseFleet& operator=(const SimulatedLeaseFleet&) = delete;
@@ -111,11 +113,12 @@
       if (b % 4 == 0) Restart(at);
       if (b % 4 == 1) RestartUnheard(at, other, session);
     } else if (action == 14) {
-      paused_until_[at] = now_ + kMs * (b % 8 == 0 ? 2000 : b % 4 == 0 ? 400 : 30);
+      paused_until_[at] = now_ + PauseOf(b);
     } else if (other != at) {
       nodes[at]->excluded_until[other] = LocalTime(at) + kMs * (20 + 4 * b);
     }
-    Pass(kMs * (b % 3 == 0 ? 5 : b % 3 == 1 ? 20 : 60));
+    constexpr std::array<int, 3> kMsBetweenActs{5, 20, 60};
+    Pass(kMs * kMsBetweenActs[b % kMsBetweenActs.size()]);
   }
 
   // Runs a random script: calm stretches, in which views become complete, with faults in between.
@@ -383,6 +386,12 @@
 
   // ---- Faults ----
 
+  // How long an instance is paused: mostly short, rarely for longer than a view is valid.
+  static Duration PauseOf(std::uint8_t b) {
+    if (b % 8 == 0) return kMs * 2000;
+    return kMs * (b % 4 == 0 ? 400 : 30);
+  }
+
   // The holder `at` cannot be reached with a revocation, goes on writing, and its lease expires.
   void LetLeaseExpire(std::size_t at, std::size_t other, int session) {
     StartWrite(at, session);
