--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -33,7 +33,7 @@
   std::size_t open_connections() const { return connections_.size(); }
 
  private:
-  class QueryConnection;
+  class QueryConnection;  // NOLINT(cppcoreguidelines-virtual-class-destructor): it is final
   static constexpr std::size_t kMaxConnections = 4;
   static constexpr std::size_t kMaxQueryBytes = 64;
   static constexpr std::size_t kMaxResponseBytes = 1u << 20;  // suffices for some thousand instances
--- /dev/null
+++ b/src/discovery/discovery_watch.cpp
@@ -0,0 +1,171 @@
+#include "discovery/discovery_watch.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+namespace lynxgrade::discovery {
+namespace {
+
+constexpr std::size_t kBufferBytes = 64u << 10;  // of the connection, in each direction
+constexpr int kOk = 200;
+
+}  // namespace
+
+DiscoveryWatch::DiscoveryWatch(net::Loop& loop, net::Address address, EndpointListReader& reader,
+                               std::int64_t revision, std::uint64_t seed, DiscoveryService service,
+                               UpdateCallback on_update)
+    : loop_(loop),
+      address_(std::move(address)),
+      reader_(reader),
+      revision_(revision),
+      service_(service),
+      random_(static_cast<std::minstd_rand::result_type>(seed)),
+      on_update_(std::move(on_update)),
+      deadline_timer_(loop),
+      retry_timer_(loop),
+      retry_policy_(service.shared, service.instances, service.drain_grace),
+      last_sign_of_life_(loop.Now()) {}
+
+DiscoveryWatch::~DiscoveryWatch() {
+  if (connection_ != nullptr) connection_->Close();
+}
+
+void DiscoveryWatch::Start() { ScheduleFirstRequest(); }
+
+void DiscoveryWatch::ScheduleFirstRequest() {
+  Duration wait{0};
+  // Half of the grace at most: the other half is for the response, or a retry.
+  if (service_.shared) wait = retry_policy_.First(DrawUniform(), service_.drain_grace / 2);
+  retry_timer_.After(wait, [this] { SendRequest(); });
+}
+
+void DiscoveryWatch::SendRequest() {
+  body_ = {};
+  response_.emplace();
+  bool full = false;
+  connection_ = net::Connection::Open(loop_, address_, *this, kBufferBytes, kBufferBytes, &full);
+  if (connection_ == nullptr) return Retry("no connection to be had");
+  // One deadline from connecting to the head of the response. It counts from this moment, as the present pass
+  // of the loop may have begun long ago.
+  deadline_timer_.Set(loop_.Precise() + retry_policy_.call(), [this] { Retry("no answer in time"); });
+}
+
+void DiscoveryWatch::MoveTo(const net::Address& address) {
+  if (address.host == address_.host && address.port == address_.port) return;
+  address_ = address;
+  if (connection_ != nullptr) connection_->Close();
+  retry_policy_.Succeeded();  // the failures were those of the former address
+  last_sign_of_life_ = loop_.Now();
+  deadline_timer_.Clear();
+  ScheduleFirstRequest();
+}
+
+void DiscoveryWatch::ExpectSignOfLifeWithin(Duration timeout) {
+  deadline_timer_.After(timeout, [this] { Retry("silent for too long"); });
+}
+
+void DiscoveryWatch::OnUp() {
+  connection_->Write("GET /registry/instances?follow=1&since=" + std::to_string(revision_) +
+                     " HTTP/1.1\r\nHost: " + address_.host + ":" + std::to_string(address_.port) +
+                     "\r\nAccept: application/json\r\n\r\n");
+}
+
+void DiscoveryWatch::OnReadable() {
+  using State = HttpResponseParser::State;
+  const bool head_pending = response_->state() == State::kHead;
+  const std::string_view bytes = connection_->in().All();
+  const State state = response_->Append(bytes);
+  connection_->in().Consume(bytes.size());
+  connection_->ResumeReading();
+  if (state == State::kMalformed) return Retry(response_->error());
+  if (state == State::kHead) return;
+  if (response_->status() != kOk) return Retry("an answer other than 200");
+  if (head_pending) ExpectSignOfLifeWithin(retry_policy_.silence());
+  body_.Append(response_->ExtractBody());
+  if (state == State::kComplete) return HandleBodyEnd();
+  HandleItems();
+}
+
+// Handles the items that have been received completely.
+DiscoveryWatch::WatchState DiscoveryWatch::HandleItems() {
+  while (const auto item = body_.NextItem()) {
+    if (HandleItem(*item) == WatchState::kClosed) return WatchState::kClosed;
+  }
+  return WatchState::kOpen;
+}
+
+// Only a complete value and an empty line are signs of life: a value that never ends is none.
+DiscoveryWatch::WatchState DiscoveryWatch::HandleItem(const WatchBodyParser::Item& item) {
+  switch (item.kind) {
+    case WatchBodyParser::ItemKind::kTruncated:
+      return HandleMalformedItem("a list that was cut");
+    case WatchBodyParser::ItemKind::kEmptyLine:
+      HandleSignOfLife();
+      return WatchState::kOpen;
+    case WatchBodyParser::ItemKind::kValue:
+      break;
+  }
+  const auto update = reader_.Read(item.text);
+  if (!update) return HandleMalformedItem(Describe(update.error()));
+  return HandleUpdate(*update);
+}
+
+DiscoveryWatch::WatchState DiscoveryWatch::HandleUpdate(const EndpointListUpdate& update) {
+  if (update.rejected_entry) {
+    spdlog::warn("discovery: entry left out; cause=\"{}\"", Describe(*update.rejected_entry));
+  }
+  HandleSignOfLife();
+  has_received_update_ = true;
+  revision_ = update.revision;
+  const std::shared_ptr<net::Connection> connection = connection_;
+  on_update_(update);
+  const bool moved = connection != connection_ || connection->closed();
+  return moved ? WatchState::kClosed : WatchState::kOpen;
+}
+
+// The next request asks for what the item would have said: a later update would not repeat it.
+DiscoveryWatch::WatchState DiscoveryWatch::HandleMalformedItem(const std::string& cause) {
+  const auto level = retry_policy_.failures() > 0 ? spdlog::level::debug : spdlog::level::warn;
+  spdlog::log(level, "discovery: update rejected; cause=\"{}\"", cause);
+  Retry(cause);
+  return WatchState::kClosed;
+}
+
+void DiscoveryWatch::HandleSignOfLife() {
+  retry_policy_.Succeeded();
+  // It may have arrived while this loop was busy or the process was stopped: updates may be missing from then
+  // on.
+  last_sign_of_life_ = std::max(last_sign_of_life_, loop_.Since());
+  ExpectSignOfLifeWithin(retry_policy_.silence());
+}
+
+void DiscoveryWatch::HandleBodyEnd() {
+  body_.Finish();
+  if (HandleItems() == WatchState::kOpen) Retry("the watch has ended");
+}
+
+void DiscoveryWatch::OnPeerDone() {
+  const bool complete = response_->HandleConnectionEnd() == HttpResponseParser::State::kComplete;
+  if (complete && response_->status() == kOk) return HandleBodyEnd();
+  Retry("the connection was closed");
+}
+
+void DiscoveryWatch::OnBroken() { Retry("the connection broke"); }
+
+double DiscoveryWatch::DrawUniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+
+void DiscoveryWatch::Retry(std::string_view cause) {
+  if (connection_ != nullptr) connection_->Close();
+  deadline_timer_.Clear();
+  const Duration wait = retry_policy_.Next(DrawUniform(), loop_.Now() - last_sign_of_life_);
+  if (retry_policy_.failures() == 1) {
+    spdlog::info("discovery: watch interrupted, reopening; cause=\"{}\" revision={}", cause, revision_);
+  } else {
+    spdlog::debug("discovery: watch interrupted, reopening; cause=\"{}\" failures={}", cause,
+                  retry_policy_.failures());
+  }
+  retry_timer_.After(wait, [this] { SendRequest(); });
+}
+
+}  // namespace lynxgrade::discovery
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -9,127 +9,149 @@
 
 using Json = nlohmann::json;
 
-constexpr std::int64_t kMostMs = std::int64_t{1} << 50;  // of a Unix time: later ones would overflow in us
+constexpr std::int64_t kMaxUnixMs = std::int64_t{1} << 50;  // later times overflow in microseconds
+constexpr std::uint32_t kFnvOffsetBasis = 2166136261u;
+constexpr std::uint32_t kFnvPrime = 16777619u;
 
-const Json* Find(const Json& object, const char* name) {
+// The field, or null where it is absent or null.
+const Json* FindField(const Json& object, const char* name) {
   const auto it = object.find(name);
   return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-std::optional<std::int64_t> Whole(const Json& object, const char* name) {
-  const Json* value = Find(object, name);
+std::optional<std::int64_t> ReadInteger(const Json& object, const char* name) {
+  const Json* value = FindField(object, name);
   if (value == nullptr || !value->is_number()) return std::nullopt;
   return value->get<std::int64_t>();
 }
 
-std::string Text(const Json& object, const char* name) {
-  const Json* value = Find(object, name);
+// Empty where the field is absent or no text.
+std::string ReadText(const Json& object, const char* name) {
+  const Json* value = FindField(object, name);
   return value != nullptr && value->is_string() ? value->get<std::string>() : std::string();
 }
 
-std::uint32_t Hash(std::string_view text) {  // FNV-1a
-  std::uint32_t hash = 2166136261u;
-  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619u;
+std::optional<Lifecycle> ParseLifecycle(std::string_view state) {
+  if (state == "Ready") return Lifecycle::kServing;
+  if (state == "Terminating") return Lifecycle::kDraining;
+  if (state == "Gone") return Lifecycle::kDeleted;
+  return std::nullopt;
+}
+
+std::uint32_t Fnv1a(std::string_view text) {
+  std::uint32_t hash = kFnvOffsetBasis;
+  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kFnvPrime;
   return hash;
 }
 
+// What is optional in an entry: absent or malformed fields keep their defaults.
+void ReadOptionalFields(const Json& json, ListEntry& entry) {
+  const Json* weight = FindField(json, "capacity_hint");
+  if (weight != nullptr && weight->is_number()) entry.weight = weight->get<double>();
+  entry.primary = ReadText(json, "replication") == "primary";
+  const std::int64_t started_ms = ReadInteger(json, "boot_ms").value_or(0);
+  if (started_ms > 0 && started_ms <= kMaxUnixMs) {
+    entry.started = TimePoint(std::chrono::milliseconds(started_ms));
+  }
+}
+
 }  // namespace
 
+std::string Describe(const EntryError& error) {
+  switch (error.reason) {
+    case EntryError::Reason::kNotAnObject:
+      return "an entry is not an object";
+    case EntryError::Reason::kNoUid:
+      return "an entry has no uid";
+    case EntryError::Reason::kUnknownState:
+      return "entry " + error.uid + " has an unknown state";
+    case EntryError::Reason::kNoGroupOrAddress:
+      return "entry " + error.uid + " has no group or no address";
+  }
+  return "an entry cannot be read";
+}
+
+std::string Describe(EndpointListError error) {
+  return error == EndpointListError::kMalformedJson ? "malformed JSON" : "not a list of data servers";
+}
+
 ServerId EndpointListReader::IdOf(const std::string& uid) {
   const auto known = ids_.find(uid);
   if (known != ids_.end()) return known->second;
-  std::uint32_t number = Hash(uid);
+  std::uint32_t number = Fnv1a(uid);
   while (uids_.contains(ServerId(number))) ++number;
   uids_.emplace(ServerId(number), uid);
   ids_.emplace(uid, ServerId(number));
   return ServerId(number);
 }
 
-std::vector<ServerId> EndpointListReader::Prune(const EndpointListUpdate& change) {
-  std::set<ServerId> stay, end;
-  for (const Endpoint& target : change.targets) {
-    (target.entry.lifecycle == Lifecycle::kDeleted ? end : stay).insert(target.entry.server);
+std::vector<ServerId> EndpointListReader::RemoveEnded(const EndpointListUpdate& update) {
+  std::set<ServerId> remaining;
+  std::set<ServerId> ended;
+  for (const Endpoint& endpoint : update.endpoints) {
+    const bool deleted = endpoint.entry.lifecycle == Lifecycle::kDeleted;
+    (deleted ? ended : remaining).insert(endpoint.entry.server);
   }
-  if (change.whole) {
+  if (update.complete) {
     for (const auto& [server, uid] : uids_) {
-      if (!stay.contains(server)) end.insert(server);
+      if (!remaining.contains(server)) ended.insert(server);
     }
   }
-  for (const ServerId server : end) {
+  for (const ServerId server : ended) {
     const auto it = uids_.find(server);
     if (it == uids_.end()) continue;
     ids_.erase(it->second);
     uids_.erase(it);
   }
-  return {end.begin(), end.end()};
+  return {ended.begin(), ended.end()};
 }
 
 ZoneIndex EndpointListReader::ZoneOf(const std::string& name) {
   const auto it = std::ranges::find(zones_, name);
+  const auto index = static_cast<ZoneIndex>(it - zones_.begin());
   if (it == zones_.end()) zones_.push_back(name);
-  return static_cast<ZoneIndex>(std::ranges::find(zones_, name) - zones_.begin());
+  return index;
 }
 
-std::optional<Endpoint> EndpointListReader::ReadEndpoint(const Json& json, std::string& wrong) {
-  if (!json.is_object()) {
-    wrong = "an entry is not an object";
-    return std::nullopt;
-  }
-  Endpoint target;
-  target.uid = Text(json, "uid");
-  if (target.uid.empty()) {
-    wrong = "an entry has no uid";
-    return std::nullopt;
-  }
-  const std::string state = Text(json, "state");
-  if (state == "Terminating") {
-    target.entry.lifecycle = Lifecycle::kDraining;
-  } else if (state == "Gone") {
-    target.entry.lifecycle = Lifecycle::kDeleted;
-  } else if (state != "Ready") {
-    wrong = "entry " + target.uid + " has an unknown state";
-    return std::nullopt;
-  }
-  const auto group = Whole(json, "pod_group");
-  target.address = net::ParseAddress(Text(json, "endpoint"));
-  if (target.entry.lifecycle != Lifecycle::kDeleted && (!group || !target.address)) {
-    wrong = "entry " + target.uid + " has no group or no address";
-    return std::nullopt;
+tl::expected<Endpoint, EntryError> EndpointListReader::ReadEndpoint(const Json& json) {
+  if (!json.is_object()) return tl::unexpected(EntryError{EntryError::Reason::kNotAnObject, {}});
+  Endpoint endpoint;
+  endpoint.uid = ReadText(json, "uid");
+  if (endpoint.uid.empty()) return tl::unexpected(EntryError{EntryError::Reason::kNoUid, {}});
+  const std::optional<Lifecycle> lifecycle = ParseLifecycle(ReadText(json, "state"));
+  if (!lifecycle) return tl::unexpected(EntryError{EntryError::Reason::kUnknownState, endpoint.uid});
+  const auto group = ReadInteger(json, "pod_group");
+  endpoint.address = net::ParseAddress(ReadText(json, "endpoint"));
+  if (lifecycle != Lifecycle::kDeleted && (!group || !endpoint.address)) {
+    return tl::unexpected(EntryError{EntryError::Reason::kNoGroupOrAddress, endpoint.uid});
   }
-  target.entry.group = GroupId(group.value_or(0));
-  target.entry.zone = ZoneOf(Text(json, "az"));
-  const Json* weight = Find(json, "capacity_hint");
-  if (weight != nullptr && weight->is_number()) target.entry.weight = weight->get<double>();
-  target.entry.primary = Text(json, "replication") == "primary";
-  const std::int64_t started = Whole(json, "boot_ms").value_or(0);
-  if (started > 0 && started <= kMostMs) target.entry.started = TimePoint(std::chrono::milliseconds(started));
-  target.entry.server = IdOf(target.uid);
-  return target;
+  endpoint.entry.lifecycle = *lifecycle;
+  endpoint.entry.group = GroupId(group.value_or(0));
+  endpoint.entry.zone = ZoneOf(ReadText(json, "az"));
+  ReadOptionalFields(json, endpoint.entry);
+  endpoint.entry.server = IdOf(endpoint.uid);
+  return endpoint;
 }
 
-std::optional<EndpointListUpdate> EndpointListReader::Read(std::string_view text, std::string& wrong) {
+tl::expected<EndpointListUpdate, EndpointListError> EndpointListReader::Read(std::string_view text) {
   const Json json = Json::parse(text, nullptr, false);
-  if (json.is_discarded()) {
-    wrong = "malformed JSON";
-    return std::nullopt;
-  }
-  return Read(json, wrong);
-}
-
-std::optional<EndpointListUpdate> EndpointListReader::Read(const Json& json, std::string& wrong) {
-  const Json* targets = json.is_object() ? Find(json, "targets") : nullptr;
-  const auto revision = json.is_object() ? Whole(json, "rev") : std::nullopt;
-  const Json* all = json.is_object() ? Find(json, "all") : nullptr;
+  if (json.is_discarded()) return tl::unexpected(EndpointListError::kMalformedJson);
+  if (!json.is_object()) return tl::unexpected(EndpointListError::kNotAnEndpointList);
+  const Json* targets = FindField(json, "targets");
+  const Json* all = FindField(json, "all");
+  const auto revision = ReadInteger(json, "rev");
   if (targets == nullptr || !targets->is_array() || !revision || all == nullptr || !all->is_boolean()) {
-    wrong = "not a list of data servers";
-    return std::nullopt;
+    return tl::unexpected(EndpointListError::kNotAnEndpointList);
   }
-  EndpointListUpdate change{*revision, all->get<bool>(), {}};
+  EndpointListUpdate update{*revision, all->get<bool>(), {}, std::nullopt};
   for (const Json& item : *targets) {
-    std::optional<Endpoint> target = ReadEndpoint(item, wrong);
-    if (target) change.targets.push_back(std::move(*target));
+    if (auto endpoint = ReadEndpoint(item)) {
+      update.endpoints.push_back(std::move(*endpoint));
+    } else {
+      update.rejected_entry = std::move(endpoint.error());
+    }
   }
-  return change;
+  return update;
 }
 
 }  // namespace lynxgrade::discovery
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -1,4 +1,4 @@
-// The list of data servers as discovery tells it, and the numbers by which the module knows them.
+// The endpoint list, that is the list of data servers, as discovery describes it.
 #pragma once
 
 #include <cstdint>
@@ -7,6 +7,7 @@
 #include <optional>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "net/connection.h"
@@ -17,39 +18,52 @@
 struct Endpoint {
   ListEntry entry;
   std::string uid;
-  std::optional<net::Address> address;  // entries of what is gone may have none
+  std::optional<net::Address> address;  // may be absent for a deleted server
 };
 
+// Why one entry of a list cannot be read.
+struct EntryError {
+  enum class Reason { kNotAnObject, kNoUid, kUnknownState, kNoGroupOrAddress };
+  Reason reason = Reason::kNotAnObject;
+  std::string uid;  // empty if the entry has none
+};
+// A phrase without a full stop.
+std::string Describe(const EntryError& error);
+
 struct EndpointListUpdate {
   std::int64_t revision = 0;
-  bool whole = false;
-  std::vector<Endpoint> targets;
+  bool complete = false;  // it names every server; otherwise only those that have changed
+  std::vector<Endpoint> endpoints;
+  std::optional<EntryError> rejected_entry;  // the last entry that was left out as it cannot be read
 };
 
-// Turns discovery's JSON into the module's terms. Every pooler must give a data server the same number, as
-// the module orders members by it: the number is a hash of the uid.
+// Why a text is no list.
+enum class EndpointListError { kMalformedJson, kNotAnEndpointList };
+// A phrase without a full stop.
+std::string Describe(EndpointListError error);
+
+// Converts discovery's JSON to the terms of the decision module. The id of a server is a hash of its uid, so
+// that every pooler gives it the same one: the module orders servers by id.
 class EndpointListReader {
  public:
+  // `zones` are the platform's names of zones by index; names that are not among them are added.
   explicit EndpointListReader(std::vector<std::string> zones) : zones_(std::move(zones)) {}
 
-  // Nothing, and the reason in `wrong`, where the text is not a list at all. An entry that cannot be read is
-  // left out and named in `wrong`; the others stand.
-  std::optional<EndpointListUpdate> Read(std::string_view text, std::string& wrong);
-  std::optional<EndpointListUpdate> Read(const nlohmann::json& json, std::string& wrong);
+  tl::expected<EndpointListUpdate, EndpointListError> Read(std::string_view text);
 
   ServerId IdOf(const std::string& uid);
-  // Forgets the data servers that a change has ended, said to be gone or missing from a whole list, and names
-  // them. To be called once the change has been taken in.
-  std::vector<ServerId> Prune(const EndpointListUpdate& change);
-  std::size_t known() const { return ids_.size(); }
+  // Removes the servers that the update has ended, either deleted or missing from a complete list, and
+  // returns their ids. To be called after the update has been applied.
+  std::vector<ServerId> RemoveEnded(const EndpointListUpdate& update);
+  std::size_t known_servers() const { return ids_.size(); }
 
  private:
-  std::optional<Endpoint> ReadEndpoint(const nlohmann::json& json, std::string& wrong);
+  tl::expected<Endpoint, EntryError> ReadEndpoint(const nlohmann::json& json);
   ZoneIndex ZoneOf(const std::string& name);
 
   std::vector<std::string> zones_;
-  std::map<std::string, ServerId> ids_;
-  std::map<ServerId, std::string> uids_;
+  std::map<std::string, ServerId> ids_;   // by uid
+  std::map<ServerId, std::string> uids_;  // the reverse
 };
 
 }  // namespace lynxgrade::discovery
--- a/src/discovery/watch_body_parser.cpp
+++ b/src/discovery/watch_body_parser.cpp
@@ -5,77 +5,75 @@
 namespace lynxgrade::discovery {
 namespace {
 
-constexpr std::size_t kMostValue = 4 << 20;
+constexpr std::size_t kMaxValueBytes = 4 << 20;
 
 }  // namespace
 
-void WatchBodyParser::Feed(std::string_view bytes) {
+void WatchBodyParser::Append(std::string_view bytes) {
   for (const char c : bytes) {
     if (c == '\n') {
-      EndLine();
+      HandleLineEnd();
       continue;
     }
-    Scan(c);
-    if (value_.size() <= kMostValue) continue;
-    Clear();
-    pieces_.push_back({Kind::kCut, {}});
+    AppendCharacter(c);
+    if (value_.size() > kMaxValueBytes) RecordTruncated();
   }
 }
 
-void WatchBodyParser::End() {
-  if (!value_.empty() || depth_ > 0) EndLine();
-  if (depth_ > 0) {
-    Clear();
-    pieces_.push_back({Kind::kCut, {}});
-  }
+void WatchBodyParser::Finish() {
+  if (!value_.empty() || bracket_depth_ > 0) HandleLineEnd();
+  if (bracket_depth_ > 0) RecordTruncated();
 }
 
-std::optional<WatchBodyParser::Piece> WatchBodyParser::Take() {
-  if (pieces_.empty()) return std::nullopt;
-  Piece piece = std::move(pieces_.front());
-  pieces_.pop_front();
-  return piece;
+std::optional<WatchBodyParser::Item> WatchBodyParser::NextItem() {
+  if (items_.empty()) return std::nullopt;
+  Item item = std::move(items_.front());
+  items_.pop_front();
+  return item;
 }
 
-void WatchBodyParser::Clear() {
+void WatchBodyParser::ResetValue() {
   value_.clear();
-  depth_ = 0;
-  in_string_ = escaped_ = false;
-  bare_ = true;
+  bracket_depth_ = 0;
+  in_string_ = false;
+  escaped_ = false;
+  line_blank_ = true;
 }
 
-void WatchBodyParser::EndLine() {
-  const bool bare = std::exchange(bare_, true);
-  if (depth_ == 0 && !in_string_) {
-    pieces_.push_back({bare ? Kind::kBlank : Kind::kValue, bare ? std::string() : std::move(value_)});
-    value_.clear();
-    return;
-  }
-  // No string goes over a line, and no value holds an empty one: its rest was lost on the way.
-  if (bare || in_string_) {
-    Clear();
-    pieces_.push_back({Kind::kCut, {}});
+void WatchBodyParser::RecordTruncated() {
+  ResetValue();
+  items_.push_back({ItemKind::kTruncated, {}});
+}
+
+void WatchBodyParser::HandleLineEnd() {
+  const bool blank = std::exchange(line_blank_, true);
+  if (bracket_depth_ == 0 && !in_string_) {
+    std::string value = std::exchange(value_, {});
+    items_.push_back(blank ? Item{ItemKind::kEmptyLine, {}} : Item{ItemKind::kValue, std::move(value)});
     return;
   }
+  // No string of JSON spans lines, and discovery puts no empty line into a value: the rest of it was lost.
+  if (blank || in_string_) return RecordTruncated();
   value_ += '\n';
 }
 
-void WatchBodyParser::Scan(char c) {
+void WatchBodyParser::AppendCharacter(char c) {
   value_ += c;
-  if (c != ' ' && c != '\t' && c != '\r') bare_ = false;
-  if (in_string_) {
-    if (escaped_) {
-      escaped_ = false;
-    } else if (c == '\\') {
-      escaped_ = true;
-    } else if (c == '"') {
-      in_string_ = false;
-    }
-    return;
-  }
+  if (c != ' ' && c != '\t' && c != '\r') line_blank_ = false;
+  if (in_string_) return TrackString(c);
   if (c == '"') in_string_ = true;
-  if (c == '{' || c == '[') ++depth_;
-  if ((c == '}' || c == ']') && depth_ > 0) --depth_;
+  if (c == '{' || c == '[') ++bracket_depth_;
+  if ((c == '}' || c == ']') && bracket_depth_ > 0) --bracket_depth_;
+}
+
+void WatchBodyParser::TrackString(char c) {
+  if (escaped_) {
+    escaped_ = false;
+  } else if (c == '\\') {
+    escaped_ = true;
+  } else if (c == '"') {
+    in_string_ = false;
+  }
 }
 
 }  // namespace lynxgrade::discovery
--- a/src/discovery/watch_body_parser.h
+++ b/src/discovery/watch_body_parser.h
@@ -1,5 +1,5 @@
-// Takes a watch's body apart: one JSON value after another, each on a line or indented over several, with
-// empty lines between. Pure text: no sockets, no clock.
+// Splits the body of a watch into JSON values, each on one line or indented over several, with empty lines
+// between them. Text only: no sockets, no clock.
 #pragma once
 
 #include <cstddef>
@@ -12,30 +12,36 @@
 
 class WatchBodyParser {
  public:
-  // kBlank: an empty line. kCut: an empty line or an end inside a value, or one that is too long.
-  enum class Kind { kBlank, kValue, kCut };
-  struct Piece {
-    Kind kind = Kind::kBlank;
+  enum class ItemKind {
+    kEmptyLine,  // a heartbeat
+    kValue,      // `text` has a value with balanced brackets; whether it is JSON is not checked
+    kTruncated,  // a value that was interrupted by an empty line or by the end, or is too long
+  };
+  struct Item {
+    ItemKind kind = ItemKind::kEmptyLine;
     std::string text;
   };
 
-  void Feed(std::string_view bytes);
-  // The body has ended as it should: what stands there is whole without its line's end.
-  void End();
-  // The next whole piece, the first to come first.
-  std::optional<Piece> Take();
+  // Parses the next bytes, in pieces of any size.
+  void Append(std::string_view bytes);
+  // The body has ended: a last value needs no line end.
+  void Finish();
+  // Removes and returns the oldest item that is complete.
+  std::optional<Item> NextItem();
 
  private:
-  void Clear();
-  void EndLine();
-  void Scan(char c);
+  void ResetValue();
+  void RecordTruncated();
+  void HandleLineEnd();
+  void AppendCharacter(char c);
+  void TrackString(char c);
 
-  std::deque<Piece> pieces_;
+  std::deque<Item> items_;
   std::string value_;
-  std::size_t depth_ = 0;  // of brackets that stand open
+  std::size_t bracket_depth_ = 0;
   bool in_string_ = false;
   bool escaped_ = false;
-  bool bare_ = true;  // the present line holds nothing but blanks
+  bool line_blank_ = true;  // the present line has white space only
 };
 
 }  // namespace lynxgrade::discovery
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -43,13 +43,17 @@
 ListEvent Instance::ReadKnownList(std::int64_t& revision) {
   ListEvent event{ListKind::kPersisted, {}};
   if (config_.known.empty()) return event;
-  std::string wrong;
-  const auto known = reader_.Read(config_.known, wrong);
-  if (!wrong.empty()) spdlog::warn("the list in the configuration: {}", wrong);
-  if (known) {
-    revision = known->revision;
-    event.entries = ApplyAddresses(*known);
+  const auto known = reader_.Read(config_.known);
+  if (!known) {
+    spdlog::warn("configuration: endpoint list ignored; cause=\"{}\"", Describe(known.error()));
+    return event;
   }
+  if (known->rejected_entry) {
+    spdlog::warn("configuration: entry of the endpoint list left out; cause=\"{}\"",
+                 Describe(*known->rejected_entry));
+  }
+  revision = known->revision;
+  event.entries = ApplyAddresses(*known);
   return event;
 }
 
@@ -136,8 +140,8 @@
   if (routing.peers_total == 0) {
     spdlog::warn("the platform's settings lack peers_total; assuming instances={}", instances);
   }
-  const discovery::Watch::Callers callers{routing.list_on_request, instances, routing.drain_grace};
-  watch_.emplace(loop_, config_.discovery, reader_, revision, config_.seed, callers,
+  const discovery::DiscoveryService service{routing.list_on_request, instances, routing.drain_grace};
+  watch_.emplace(loop_, config_.discovery, reader_, revision, config_.seed, service,
                  [this](const discovery::EndpointListUpdate& update) { HandleListUpdate(update); });
 }
 
@@ -153,7 +157,7 @@
 
 std::vector<ListEntry> Instance::ApplyAddresses(const discovery::EndpointListUpdate& update) {
   std::vector<ListEntry> entries;
-  for (const discovery::Endpoint& endpoint : update.targets) {
+  for (const discovery::Endpoint& endpoint : update.endpoints) {
     if (endpoint.address) host_.address(endpoint.entry.server, *endpoint.address);
     entries.push_back(endpoint.entry);
     listed_ = true;
@@ -162,15 +166,15 @@
 }
 
 void Instance::HandleListUpdate(const discovery::EndpointListUpdate& update) {
-  for (const discovery::Endpoint& endpoint : update.targets) {
+  for (const discovery::Endpoint& endpoint : update.endpoints) {
     spdlog::info("discovery: server {}; uid={} server_id={} revision={}",
                  LifecycleName(endpoint.entry.lifecycle), endpoint.uid,
                  static_cast<std::uint32_t>(endpoint.entry.server), update.revision);
   }
-  proxy_.ListChanged({update.whole ? ListKind::kComplete : ListKind::kPartial, ApplyAddresses(update)});
+  proxy_.ListChanged({update.complete ? ListKind::kComplete : ListKind::kPartial, ApplyAddresses(update)});
   // Unless deletions are binding, requests may still be sent to a deleted server.
   if (!config_.settings.gone_not_binding) {
-    for (const ServerId server : reader_.Prune(update)) host_.forget(server);
+    for (const ServerId server : reader_.RemoveEnded(update)) host_.forget(server);
   }
   if (host_.changed) host_.changed();
 }
--- a/src/instance.h
+++ b/src/instance.h
@@ -14,8 +14,8 @@
 #include <variant>
 #include <vector>
 
+#include "discovery/discovery_watch.h"
 #include "discovery/endpoint_list.h"
-#include "discovery/watch.h"
 #include "durability/write_ahead_log.h"
 #include "net/loop.h"
 #include "proxy/proxy.h"
@@ -63,7 +63,7 @@
   const proxy::Proxy& proxy() const { return proxy_; }
   // The exchange with the others; null where the settings name none.
   const replication::ReplicationService* peers() const { return replication_.get(); }
-  std::size_t data_servers() const { return reader_.known(); }
+  std::size_t data_servers() const { return reader_.known_servers(); }
 
  private:
   // What recovery has found of the writes that this instance answered before its start.
@@ -92,7 +92,7 @@
   proxy::Proxy proxy_;
   std::unique_ptr<durability::WriteAheadLog> log_;                // null if durability is off or unusable
   std::unique_ptr<replication::ReplicationService> replication_;  // null if replication is off
-  std::optional<discovery::Watch> watch_;
+  std::optional<discovery::DiscoveryWatch> watch_;
   bool listed_ = false;
 };
 
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -14,7 +14,6 @@
 #include "admin/admin_client.h"
 #include "admin/admin_server.h"
 #include "admin/peers_table.h"
-#include "settings/program_settings.h"
 
 namespace lynxgrade::admin {
 namespace {
@@ -40,6 +39,7 @@
     client.join();
     return result;
   }
+  // NOLINTNEXTLINE(cppcoreguidelines-virtual-class-destructor): it is final
   struct Client final : net::Connection::Owner {
     Client(RunningServer& running, std::string query)
         : connection(net::Connection::Open(running.loop, {"127.0.0.1", running.server.port()}, *this, 1 << 16,
@@ -80,6 +80,7 @@
 TEST_CASE("server: silent connections time out, and a fifth one is accepted after that") {
   RunningServer running;
   std::vector<std::unique_ptr<RunningServer::Client>> silent;
+  silent.reserve(4);
   for (int i = 0; i < 4; ++i) silent.push_back(std::make_unique<RunningServer::Client>(running, "peer"));
   running.Until([&] { return running.server.open_connections() == 4; });
   RunningServer::Client fifth(running, "peers\n");
@@ -119,7 +120,7 @@
     const char* phrase;
   };
   for (const Case& c : {Case{"", "not an answer"}, Case{"[1]", "not an answer"},
-                        Case{"{\"error\":\"no\"}", "no"}, Case{"{\"name\":3}", "another version"}}) {
+                        Case{R"({"error":"no"})", "no"}, Case{R"({"name":3})", "another version"}}) {
     const auto rejected = FormatPeersTable(c.text);
     REQUIRE_FALSE(rejected);
     CHECK(Describe(rejected.error()).find(c.phrase) != std::string::npos);
@@ -129,21 +130,6 @@
   CHECK(unreachable.error().code == AdminErrorCode::kUnreachable);
 }
 
-TEST_CASE("settings: the admin address has to be on loopback") {
-  const auto on = [](const std::string& address) {
-    return ParseProgramSettings("[control]\nlisten = \"" + address + "\"\n");
-  };
-  CHECK(on("127.0.0.1:7")->admin_address->port == 7);
-  CHECK(on("[::1]:7"));
-  for (const char* address : {"0.0.0.0:7", "10.0.0.1:7", "[::]:7", "127.0.0.1"}) {
-    CAPTURE(address);
-    const auto settings = on(address);
-    REQUIRE_FALSE(settings);
-    CHECK(Describe(settings.error()).starts_with("line 2, column 10: 'control.listen'"));
-  }
-  CHECK_FALSE(ParseProgramSettings("").value().admin_address);
-}
-
 // What `lynxgrade peers` prints, and whether it went well.
 std::pair<std::string, bool> Command(std::vector<const char*> words) {
   words.push_back(nullptr);
--- a/tests/durability/durability_test.cpp
+++ b/tests/durability/durability_test.cpp
@@ -276,36 +276,5 @@
   CHECK_FALSE(Recover(folder.path, kInstanceName, CurrentBootIdHash(), CommitMode::kKernel).complete);
 }
 
-TEST_CASE("settings: what is wrong is named with its place") {
-  struct Case {
-    const char* text;
-    const char* says;
-  };
-  for (const Case& c :
-       {Case{"[sessions]\nscop = 1\n", "line 2, column 1: 'sessions.scop' is not known"},
-        Case{"[sessions]\nscope = \"all\"\n", "line 2, column 9: 'sessions.scope' is not \"instance\""},
-        Case{"[sessions]\nrecall_s = 0\n", "line 2, column 12: 'sessions.recall_s' lies outside"},
-        Case{"[sessions]\nrecall_s = \"x\"\n", "is not a whole number"},
-        Case{"[sesions]\n", "line 1, column 2: 'sesions' is not known"},
-        Case{"sessions = 3\n", "'sessions' is not a table"},
-        Case{"[state]\nfolder = \"/x\"\n", "is of use only where sessions.scope"},
-        Case{"[sessions]\nscope = \"everywhere\"\n[peers]\nlisten = \"127.0.0.1\"\n",
-             "line 4, column 10: 'peers.listen': \"127.0.0.1\" is not an address and a port"},
-        Case{"[sessions]\nscope = \"everywhere\"\n[peers]\nlisten = \"127.0.0.1:1\"\n", "key_file"},
-        Case{"[peers]\nseeds = [\"127.0.0.1:1\"]\n", "'peers.listen' names no address"},
-        Case{"[sessions\n", "line 1"}}) {
-    CAPTURE(c.text);
-    const auto settings = ParseProgramSettings(c.text);
-    REQUIRE_FALSE(settings);
-    const std::string sentence = Describe(settings.error());
-    CAPTURE(sentence);
-    CHECK(sentence.find(c.says) != std::string::npos);
-  }
-  CHECK(ParseProgramSettings(""));
-  const auto all = LoadProgramSettings(SETTINGS_FILE);
-  REQUIRE(all);
-  CHECK(all->sessions.scope == consistency::Scope::kInstance);
-}
-
 }  // namespace
 }  // namespace lynxgrade::durability
--- a/tests/pg/parsers_test.cpp
+++ b/tests/pg/parsers_test.cpp
@@ -1,63 +1,16 @@
-// Tables of cases for the parsers: PostgreSQL messages, the statement's comment, reports, HTTP and the
-// roster.
+// Tables of cases for the parsers of PostgreSQL messages, the statement's comment and load reports.
 #include <doctest/doctest.h>
 
 #include <string>
 #include <vector>
 
-#include "discovery/endpoint_list.h"
-#include "discovery/http.h"
-#include "discovery/watch_body_parser.h"
 #include "pg/message.h"
 #include "pg/statement.h"
-#include "settings/platform_config.h"
 #include "upstream/server_connection.h"
 
 namespace lynxgrade {
 using namespace std::string_literals;
 
-TEST_CASE("a watch's body is taken apart into values and empty lines, however it is cut or indented") {
-  using Kind = discovery::WatchBodyParser::Kind;
-  const struct {
-    std::string bytes;
-    std::vector<std::pair<Kind, std::string>> pieces;
-  } cases[] = {
-      {"\n", {{Kind::kBlank, ""}}},
-      {" \t\r\n", {{Kind::kBlank, ""}}},
-      {"{\"a\":1}\n\n", {{Kind::kValue, "{\"a\":1}"}, {Kind::kBlank, ""}}},
-      {"{\n  \"a\": [\n    1\n  ]\n}\n", {{Kind::kValue, "{\n  \"a\": [\n    1\n  ]\n}"}}},
-      {"{\"a\":\"}{\\\"[\"}\n", {{Kind::kValue, "{\"a\":\"}{\\\"[\"}"}}},
-      {"noise\n", {{Kind::kValue, "noise"}}},
-      {"}\n", {{Kind::kValue, "}"}}},
-      {"{\"a\":1", {}},
-      {"{\"a\":\n\n{}\n", {{Kind::kCut, ""}, {Kind::kValue, "{}"}}},
-      {"{\"a\":\"x\n{}\n", {{Kind::kCut, ""}, {Kind::kValue, "{}"}}},
-  };
-  for (const auto& c : cases) {
-    CAPTURE(c.bytes);
-    for (const std::size_t step : {std::size_t{1}, c.bytes.size()}) {
-      discovery::WatchBodyParser text;
-      for (std::size_t at = 0; at < c.bytes.size(); at += step) text.Feed(c.bytes.substr(at, step));
-      for (const auto& [kind, value] : c.pieces) {
-        const auto piece = text.Take();
-        REQUIRE(piece);
-        CHECK(piece->kind == kind);
-        CHECK(piece->text == value);
-      }
-      CHECK_FALSE(text.Take());
-    }
-  }
-  // An end that is one: what stands there is whole or was cut.
-  for (const bool whole : {true, false}) {
-    discovery::WatchBodyParser text;
-    text.Feed(whole ? "{}" : "{\"a\":[");
-    text.End();
-    const auto piece = text.Take();
-    REQUIRE(piece);
-    CHECK(piece->kind == (whole ? Kind::kValue : Kind::kCut));
-  }
-}
-
 TEST_CASE("frames") {
   const struct {
     std::string bytes;
@@ -225,116 +178,4 @@
   }
 }
 
-TEST_CASE("HTTP answers, whole and byte by byte") {
-  using State = discovery::HttpResponse::State;
-  const std::string ok = "HTTP/1.1 200 OK\r\n";
-  const struct {
-    std::string bytes;
-    State state;
-    std::string body;
-  } cases[] = {
-      {ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n", State::kDone, "abcde"},
-      {ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nab", State::kBody, "ab"},
-      {ok + "Content-Length: 4\r\n\r\nabcd", State::kDone, "abcd"},
-      {ok + "Content-Length: 0\r\n\r\n", State::kDone, ""},
-      {ok + "\r\nabc", State::kBody, "abc"},
-      {"HTTP/1.1 100 Continue\r\n\r\n" + ok + "Content-Length: 1\r\n\r\na", State::kDone, "a"},
-      {ok + "X: y", State::kHead, ""},
-      {"HTTP/2 200\r\n", State::kBad, ""},
-      {"HTTP/1.1 2x0 OK\r\n", State::kBad, ""},
-      {ok + "no colon\r\n", State::kBad, ""},
-      {ok + "Transfer-Encoding: gzip\r\n", State::kBad, ""},
-      {ok + "Content-Length: -1\r\n", State::kBad, ""},
-      {ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", State::kBad, ""},
-      {ok + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", State::kBad, "a"},
-      {std::string(10000, 'x'), State::kBad, ""},
-  };
-  for (const auto& c : cases) {
-    CAPTURE(c.bytes);
-    discovery::HttpResponse whole;
-    CHECK(whole.Feed(c.bytes) == c.state);
-    CHECK(whole.TakeBody() == c.body);
-    discovery::HttpResponse bytewise;
-    for (const char byte : c.bytes) bytewise.Feed(std::string_view(&byte, 1));
-    CHECK(bytewise.state() == c.state);
-    CHECK(bytewise.TakeBody() == c.body);
-  }
-}
-
-TEST_CASE("lists of data servers") {
-  const std::string good =
-      R"({"uid":"s-1","endpoint":"127.0.0.1:6543","az":"b","pod_group":3,"state":"Ready","boot_ms":5})";
-  const struct {
-    std::string targets;
-    std::size_t taken;
-    bool fault;
-  } cases[] = {
-      {"", 0, false},
-      {good, 1, false},
-      {good + R"(,{"uid":"s-2","state":"Gone"})", 2, false},
-      {good + R"(,{"uid":"s-2","endpoint":"nowhere","pod_group":3,"state":"Ready"})", 1, true},
-      {good + R"(,{"endpoint":"127.0.0.1:1","pod_group":3,"state":"Ready"})", 1, true},
-      {good + R"(,{"uid":"s-2","endpoint":"127.0.0.1:1","pod_group":3,"state":"Resting"})", 1, true},
-      {"7," + good, 1, true},
-  };
-  for (const auto& c : cases) {
-    CAPTURE(c.targets);
-    discovery::EndpointListReader reader({"a", "b"});
-    std::string wrong;
-    const auto change = reader.Read(R"({"rev":4,"all":true,"targets":[)" + c.targets + "]}", wrong);
-    REQUIRE(change.has_value());
-    CHECK(change->targets.size() == c.taken);
-    CHECK(wrong.empty() == !c.fault);
-    if (c.taken > 0) {
-      CHECK(change->targets[0].entry.zone == 1);
-      CHECK(change->targets[0].entry.started == TimePoint(Duration(5000)));
-    }
-  }
-  discovery::EndpointListReader one({}), two({});
-  two.IdOf("another");
-  CHECK(one.IdOf("s-1") == two.IdOf("s-1"));  // the same at every pooler, whatever it met before
-  for (const char* bad :
-       {"", "[]", "{", R"({"rev":1,"all":true})", R"({"rev":"x","all":true,"targets":[]})"}) {
-    std::string wrong;
-    CHECK_FALSE(one.Read(std::string_view(bad), wrong).has_value());
-    CHECK_FALSE(wrong.empty());
-  }
-}
-
-TEST_CASE("the reader forgets what a change has ended") {
-  discovery::EndpointListReader reader({"a"});
-  const auto entry = [](const char* uid, const char* state) {
-    return R"({"uid":")"s + uid + R"(","endpoint":"127.0.0.1:5","az":"a","pod_group":1,"state":")" + state +
-           "\"}";
-  };
-  const auto prune = [&](const char* all, const std::string& targets) {
-    std::string wrong;
-    const auto change = reader.Read(R"({"rev":1,"all":)"s + all + R"(,"targets":[)" + targets + "]}", wrong);
-    REQUIRE(change.has_value());
-    return reader.Prune(*change);
-  };
-  CHECK(prune("true", entry("s-1", "Ready") + "," + entry("s-2", "Ready")).empty());
-  CHECK(prune("false", entry("s-3", "Ready") + "," + entry("s-1", "Terminating")).empty());
-  CHECK(reader.known() == 3);
-  CHECK(prune("false", entry("s-1", "Gone")) == std::vector{reader.IdOf("s-1")});
-  reader.Prune({1, false, {}});
-  prune("false", entry("s-1", "Gone"));
-  CHECK(reader.known() == 2);
-  CHECK(prune("true", entry("s-3", "Ready")).size() == 1);  // s-2 is not in the whole list
-  CHECK(reader.known() == 1);
-}
-
-TEST_CASE("configurations that cannot be used") {
-  const std::string start = R"({"name":"n","discovery":"127.0.0.1:1","seed":"1f",)";
-  for (const std::string& bad :
-       {"{"s, "[]"s, "{}"s, start + R"("listen":"nowhere","settings":{}})",
-        start + R"("listen":"127.0.0.1:1"})", start + R"("listen":"127.0.0.1:1","settings":{"classes":[]}})",
-        start + R"("listen":"127.0.0.1:1","settings":{"classes":[{"name":"c"}]}})"}) {
-    CAPTURE(bad);
-    const auto config = ParsePlatformConfig(bad);
-    REQUIRE_FALSE(config);
-    CHECK(config.error().problem.find('\n') == std::string::npos);
-  }
-}
-
 }  // namespace lynxgrade
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -410,7 +410,7 @@
   REQUIRE(agent.Open({"127.0.0.1", 0}));
   discovery::EndpointListReader reader({"a"});
   std::vector<std::int64_t> versions;
-  discovery::Watch watch(
+  discovery::DiscoveryWatch watch(
       loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
       [&](const discovery::EndpointListUpdate& change) { versions.push_back(change.revision); });
   watch.Start();
@@ -440,12 +440,13 @@
     CAPTURE(shared);
     std::set<std::int64_t> tenths;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-      discovery::Watch watch(loop, {"127.0.0.1", agent.port()}, reader, 41, seed * 7919,
-                             {shared, 300, Duration(2000000)}, [](const discovery::EndpointListUpdate&) {});
+      discovery::DiscoveryWatch watch(loop, {"127.0.0.1", agent.port()}, reader, 41, seed * 7919,
+                                      {shared, 300, Duration(2000000)},
+                                      [](const discovery::EndpointListUpdate&) {});
       watch.Start();
-      tenths.insert((*watch.calls_at() - loop.Now()).count() / 100000);
+      tenths.insert((*watch.next_request_at() - loop.Now()).count() / 100000);
       watch.MoveTo({"127.0.0.2", agent.port()});
-      tenths.insert((*watch.calls_at() - loop.Now()).count() / 100000);
+      tenths.insert((*watch.next_request_at() - loop.Now()).count() / 100000);
     }
     CHECK(tenths.size() == (shared ? 10 : 1));
     CHECK(*tenths.begin() == 0);
@@ -495,11 +496,11 @@
   discovery::EndpointListReader reader({"a"});
   const Logged logged;
   bool told = false;
-  discovery::Watch watch(w.loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
-                         [&](const discovery::EndpointListUpdate&) {
-                           told = true;
-                           w.List(ListKind::kPartial, Lifecycle::kDraining);
-                         });
+  discovery::DiscoveryWatch watch(w.loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
+                                  [&](const discovery::EndpointListUpdate&) {
+                                    told = true;
+                                    w.List(ListKind::kPartial, Lifecycle::kDraining);
+                                  });
   watch.Start();
   for (std::size_t i = 0; i < failures.size(); ++i) {
     w.Until([&] { return calls > i; });
@@ -513,7 +514,7 @@
   CHECK(client.Saw("53300"));
   CHECK(server.queries.size() == before);
   CHECK(before == failures.size());
-  CHECK(logged.Count("watching anew") == 1);
+  CHECK(logged.Count("watch interrupted") == 1);
   CHECK(peers.back()->Saw("since=41 "));
 }
 
@@ -524,18 +525,18 @@
   const std::uint16_t closed = ClosedPort(w.loop);
   discovery::EndpointListReader reader({"a"});
   const Logged logged;
-  discovery::Watch watch(w.loop, {"127.0.0.1", closed}, reader, 41, 1, {},
-                         [](const discovery::EndpointListUpdate&) {});
+  discovery::DiscoveryWatch watch(w.loop, {"127.0.0.1", closed}, reader, 41, 1, {},
+                                  [](const discovery::EndpointListUpdate&) {});
   watch.Start();
   std::set<TimePoint> calls;  // each time for which a call is put off
   w.Until([&] {
-    if (watch.calls_at()) calls.insert(*watch.calls_at());
+    if (watch.next_request_at()) calls.insert(*watch.next_request_at());
     return calls.size() >= 4;
   });
   Peer& client = w.Client({Ask("any")});
   w.Until([&] { return client.Types().ends_with("TDCZ"); });
-  CHECK(logged.Count("watching anew") == 1);
-  CHECK_FALSE(watch.heard());
+  CHECK(logged.Count("watch interrupted") == 1);
+  CHECK_FALSE(watch.has_received_update());
 }
 
 // The agent has known for long that the only data server drains; the list in the configuration is older. The
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -579,7 +579,7 @@
 // An agent that answers each call by its number, and a watch on it.
 struct Watched {
   using Answer = std::function<void(Peer&, std::size_t)>;
-  explicit Watched(Answer answer, discovery::Watch::Callers callers = {.grace = 2 * kSecond})
+  explicit Watched(Answer answer, discovery::DiscoveryService service = {.drain_grace = 2 * kSecond})
       : listener(
             loop, [] { return true; },
             [this, answer = std::move(answer)](net::ObjectPtr<GSocket> socket) {
@@ -590,7 +590,7 @@
             }),
         reader({"a"}) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
-    watch.emplace(loop, net::Address{"127.0.0.1", listener.port()}, reader, 41, 1, callers,
+    watch.emplace(loop, net::Address{"127.0.0.1", listener.port()}, reader, 41, 1, service,
                   [this](const discovery::EndpointListUpdate& change) { changes.push_back(change); });
     watch->Start();
   }
@@ -607,7 +607,7 @@
   discovery::EndpointListReader reader;
   std::vector<std::unique_ptr<Peer>> peers;
   std::vector<discovery::EndpointListUpdate> changes;
-  std::optional<discovery::Watch> watch;
+  std::optional<discovery::DiscoveryWatch> watch;
 };
 
 const std::string kOpenEnded = "HTTP/1.1 200 OK\r\n\r\n";
@@ -635,9 +635,9 @@
       "{\n  \"rev\": 43,\n  \"all\": true,\n  \"targets\": [\n    " + kDrains + "\n  ]\n}\n\n";
   Watched w([&](Peer& p, std::size_t) { p.Say(kOpenEnded + indented); });
   w.Until([&] { return !w.changes.empty(); });
-  REQUIRE(w.changes[0].targets.size() == 1);
+  REQUIRE(w.changes[0].endpoints.size() == 1);
   CHECK(w.changes[0].revision == 43);
-  CHECK(w.changes[0].targets[0].entry.lifecycle == Lifecycle::kDraining);
+  CHECK(w.changes[0].endpoints[0].entry.lifecycle == Lifecycle::kDraining);
   CHECK(w.peers.size() == 1);
 }
 
@@ -673,27 +673,25 @@
     });
     w.Until([&] { return !w.changes.empty(); });
     CHECK(w.peers.size() == 2);
-    CHECK(w.changes[0].whole);
+    CHECK(w.changes[0].complete);
     CHECK(w.peers[1]->Saw("since=41 "));
   }
 }
 
 TEST_CASE("the role that the list shows is read, and a start beyond all time is none") {
   discovery::EndpointListReader reader({"a"});
-  std::string wrong;
   const auto change = reader.Read(
       R"({"rev":1,"all":true,"targets":[)"
       R"({"uid":"p","endpoint":"127.0.0.1:1","az":"a","pod_group":2,"state":"Ready","replication":"primary",)"
       R"("boot_ms":9223372036854775807},)"
       R"({"uid":"r","endpoint":"127.0.0.1:2","az":"a","pod_group":2,"state":"Ready","replication":"standby",)"
-      R"("boot_ms":1767225600123}]})",
-      wrong);
+      R"("boot_ms":1767225600123}]})");
   REQUIRE(change);
-  REQUIRE(change->targets.size() == 2);
-  CHECK(change->targets[0].entry.primary);
-  CHECK_FALSE(change->targets[0].entry.started);
-  CHECK_FALSE(change->targets[1].entry.primary);
-  CHECK(change->targets[1].entry.started);
+  REQUIRE(change->endpoints.size() == 2);
+  CHECK(change->endpoints[0].entry.primary);
+  CHECK_FALSE(change->endpoints[0].entry.started);
+  CHECK_FALSE(change->endpoints[1].entry.primary);
+  CHECK(change->endpoints[1].entry.started);
 }
 
 // ---- The program itself ----------------------------------------------------------------------------------
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -438,8 +438,8 @@
   SimulatedFleet w;
   Agent agent(w.loop);
   discovery::EndpointListReader reader({});
-  discovery::Watch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, kSeed,
-                         {.shared = true, .instances = 300, .grace = 500 * kMs}, [](const auto&) {});
+  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, kSeed,
+                         {.shared = true, .instances = 300, .drain_grace = 500 * kMs}, [](const auto&) {});
   watch.Start();
   w.Until([&] { return agent.Asked("since=0"); });
   Wait(w.loop, 20);
@@ -448,11 +448,11 @@
     agent.peers.back()->connection->Close();
     StandStill(1500);
   });
-  w.Until([&] { return watch.calls_at().has_value(); });
+  w.Until([&] { return watch.next_request_at().has_value(); });
   // Half of what is left of 6.2 s, less 0.5 s for the answer and 1.5 s since the line came.
   const Duration most(static_cast<std::int64_t>(chance * 2100000));
-  CHECK(*watch.calls_at() - w.loop.Now() <= most);
-  CHECK(*watch.calls_at() - w.loop.Now() > most - 100 * kMs);
+  CHECK(*watch.next_request_at() - w.loop.Now() <= most);
+  CHECK(*watch.next_request_at() - w.loop.Now() > most - 100 * kMs);
 }
 
 TEST_CASE("a call for the list has its whole time when it is made late in a long pass") {
@@ -460,11 +460,11 @@
   Agent agent(w.loop);
   agent.line = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
   discovery::EndpointListReader reader({});
-  discovery::Watch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {}, [](const auto&) {});
+  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {}, [](const auto&) {});
   net::Timer before(w.loop);
   before.After(Duration{0}, [] { StandStill(300); });  // in the pass in which the call is made
   watch.Start();
-  w.Until([&] { return watch.heard(); });
+  w.Until([&] { return watch.has_received_update(); });
   CHECK(agent.peers.size() == 1);
 }
 
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -19,7 +19,7 @@
 #include <string>
 #include <vector>
 
-#include "discovery/watch.h"
+#include "discovery/discovery_watch.h"
 #include "frontend/frontend.h"
 #include "net/listener.h"
 #include "pg/message.h"
