--- a/src/replication/outbox.h
+++ b/src/replication/outbox.h
@@ -9,6 +9,6 @@
 
 // In the order in which they are to be sent. The caller of the engine owns it, sends what it holds and clears
 // it.
-using Outbox = std::vector<membership::Out>;
+using Outbox = std::vector<membership::OutgoingPacket>;
 
 }  // namespace lynxgrade::replication
--- a/src/replication/replication_engine.cpp
+++ b/src/replication/replication_engine.cpp
@@ -12,8 +12,8 @@
 
 membership::Swim::Options SwimOptions(const ReplicationEngine::Options& options) {
   membership::Swim::Options swim = options.swim;
-  if (options.leases) swim.speaks = kLeaseProtocolVersion;
-  swim.owns = swim.owns && options.leases;  // only who uses leases can manage them
+  if (options.leases) swim.protocol_version = kLeaseProtocolVersion;
+  swim.lease_manager.dedicated = swim.lease_manager.dedicated && options.leases;  // only who uses leases can manage them
   return swim;
 }
 
@@ -40,7 +40,7 @@
       watermarks_(WatermarkOptions(options, recovery), swim_, links_, sender_, consistency_guard, counts_),
       consistency_guard_(consistency_guard) {
   if (!options.leases) return;
-  const LeaseView::Options view{.fleet_size = options.swim.size, .proven = options.swim.proven};
+  const LeaseView::Options view{.fleet_size = options.swim.fleet_size, .proven = options.swim.acknowledgements.required};
   leases_ =
       std::make_unique<LeaseTransport>(*options.leases, view, swim_, links_, consistency_guard, counts_);
 }
@@ -73,7 +73,7 @@
   // have been complete without a break.
   const bool acknowledges = packet.has_ack() || packet.has_nack();
   if (leases_ != nullptr && acknowledges) leases_->view().Update(now, Completeness::kCheck);
-  swim_.Take(now, sender_address, packet, outbox);
+  swim_.HandlePacket(now, sender_address, packet, outbox);
   links_.FollowMembership(now);
   if (leases_ != nullptr) {
     if (acknowledges) leases_->view().Invalidate();
--- a/src/replication/replication_engine.h
+++ b/src/replication/replication_engine.h
@@ -66,7 +66,7 @@
   // nobody was asked.
   bool PollPeers(TimePoint now, Outbox& outbox);
   // Announces that this instance leaves.
-  void Leave(TimePoint now, Outbox& outbox) { swim_.Leave(now, outbox); }
+  void Leave(TimePoint now, Outbox& outbox) { swim_.Leave(outbox); }
 
   // With leases as SessionLeaseClient has it; without, a write may be answered at any time and no session is
   // known completely.
@@ -88,7 +88,7 @@
   // By name of the peer: its writes answered before this are known here.
   std::map<std::string, TimePoint> ReplicatedThrough() const { return links_.ReplicatedThrough(); }
   const membership::Swim& swim() const { return swim_; }
-  membership::QuorumTracker::Value QuorumStateAt(TimePoint now) { return swim_.QuorumStateAt(now); }
+  membership::QuorumTracker::Assessment QuorumStateAt(TimePoint now) { return swim_.QuorumStateAt(now); }
   const ReplicationCounts& counts() const { return counts_; }
   // `log` gets one line for each change of a peer.
   void OnLog(const std::function<void(std::string)>& log);
--- a/src/replication/timeline_bootstrap.cpp
+++ b/src/replication/timeline_bootstrap.cpp
@@ -13,13 +13,13 @@
   if (address.empty()) return;
   next_request_ = now + kRequestInterval;
   --requests_left_;
-  membership::Out request = LeasePacketTo(address, links_.self_incarnation_id());
+  membership::OutgoingPacket request = LeasePacketTo(address, links_.self_incarnation_id());
   request.packet.mutable_directory()->set_reigns_wanted(true);
   outbox.push_back(std::move(request));
 }
 
 void TimelineBootstrap::SendAll(const std::string& address, Outbox& outbox) const {
-  membership::Out response = LeasePacketTo(address, links_.self_incarnation_id());
+  membership::OutgoingPacket response = LeasePacketTo(address, links_.self_incarnation_id());
   for (const auto& [group, timeline] : consistency_guard_.timelines()) {
     if (!timeline.primary()) continue;
     EncodeTimeline(group, timeline, *response.packet.add_timelines());
--- a/src/start_error.cpp
+++ b/src/start_error.cpp
@@ -32,7 +32,6 @@
       return "the peers' module cannot be loaded: " + error.cause;
     case StartErrorCode::kStateFolder:
       return "the folder " + error.subject + " cannot be made: " + error.cause;
-    case StartErrorCode::kReplication:
     case StartErrorCode::kStateWrite:
       return error.cause;
   }
--- a/tests/replication/former_version_packets_test.cpp
+++ b/tests/replication/former_version_packets_test.cpp
@@ -5,7 +5,6 @@
 #include <fstream>
 #include <map>
 #include <string>
-#include <variant>
 
 #include "replication/datagram_authenticator.h"
 #include "replication/packet.pb.h"
@@ -37,10 +36,10 @@
   member.set_address("127.0.0.1:700" + std::to_string(number));
   member.set_incarnation(3 + number);
   member.set_state(static_cast<proto::Member::State>(number % 4));
-  member.set_accuser(0x2000 + number);
-  member.set_speaks(2);
-  member.set_owns(number == 1);
-  member.set_understands(6);
+  member.set_suspected_by(0x2000 + number);
+  member.set_protocol_version(2);
+  member.set_dedicated_lease_manager(number == 1);
+  member.set_capabilities(6);
 }
 
 proto::Packet PacketWithSender() {
@@ -63,22 +62,22 @@
   proto::Packet packet = PacketWithSender();
   packet.mutable_ping()->set_nonce(11);
   packet.set_view(0xABCD);
-  packet.set_stands(true);
-  packet.set_block_ages("x");
-  for (const unsigned number : {2u, 3u, 4u}) FillMember(*packet.add_rumours(), number);
+  packet.set_view_acknowledged(true);
+  packet.set_block_acknowledgement_ages("x");
+  for (const unsigned number : {2u, 3u, 4u}) FillMember(*packet.add_gossip(), number);
   CHECK(packet.SerializeAsString() == ReadFixture("ping"));
 }
 
 TEST_CASE("an indirect ping, its acknowledgement and its Nack have the bytes of the former version") {
   proto::Packet request = PacketWithSender();
-  request.mutable_ping_for()->set_address("127.0.0.1:7009");
-  request.mutable_ping_for()->set_nonce(12);
+  request.mutable_ping_request()->set_address("127.0.0.1:7009");
+  request.mutable_ping_request()->set_nonce(12);
   CHECK(request.SerializeAsString() == ReadFixture("ping_for"));
   proto::Packet ack = PacketWithSender();
   ack.mutable_ack()->set_nonce(13);
   ack.set_view(5);
-  ack.set_stands(true);
-  ack.set_ages(std::string("\x00\x01\xff", 3));
+  ack.set_view_acknowledged(true);
+  ack.set_acknowledgement_ages(std::string("\x00\x01\xff", 3));
   CHECK(ack.SerializeAsString() == ReadFixture("ack"));
   proto::Packet nack = PacketWithSender();
   nack.mutable_nack()->set_nonce(14);
@@ -131,10 +130,10 @@
 
 TEST_CASE("a membership digest has the bytes of the former version") {
   proto::Packet packet = PacketWithSender();
-  proto::Roll& digest = *packet.mutable_roll();
-  digest.set_from(71);
-  digest.set_to(72);
-  proto::Roll::Entry& entry = *digest.add_entries();
+  proto::MembershipDigest& digest = *packet.mutable_membership_digest();
+  digest.set_first_incarnation_id(71);
+  digest.set_last_incarnation_id(72);
+  proto::MembershipDigest::Entry& entry = *digest.add_entries();
   entry.set_incarnation_id(73);
   entry.set_incarnation(74);
   entry.set_state(proto::Member::DEAD);
@@ -174,15 +173,16 @@
 }
 
 TEST_CASE("a datagram signed by the former version is accepted, and signed alike") {
-  const auto keys = std::get<std::vector<SharedKey>>(ReadKeys("7 " + std::string(64, 'a')));
-  DatagramAuthenticator receiver(keys), sender(keys);
+  const auto keys = ParseSharedKeys("7 " + std::string(64, 'a'));
+  REQUIRE(keys.has_value());
+  DatagramAuthenticator receiver(*keys), sender(*keys);
   const std::string datagram = ReadFixture("datagram");
-  const auto opened = receiver.Open(datagram);
-  REQUIRE(std::holds_alternative<proto::Packet>(opened));
-  CHECK(std::get<proto::Packet>(opened).ping().nonce() == 11);
+  const auto verified = receiver.Verify(datagram);
+  REQUIRE(verified.has_value());
+  CHECK(verified->ping().nonce() == 11);
   proto::Packet packet = PacketWithSender();
   packet.mutable_ping()->set_nonce(11);
-  CHECK(sender.Seal(packet) == datagram);
+  CHECK(sender.Sign(packet) == datagram);
 }
 
 }  // namespace
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -57,8 +57,8 @@
 
 struct Node final : consistency::SessionLeases {
   Node(Fleet& fleet, std::size_t number, std::uint64_t incarnation_id, Way way);
-  std::optional<LogPosition> Exact(consistency::SessionKey key) override;
-  bool Want(GroupId group, consistency::SessionKey key, bool write) override;
+  std::optional<LogPosition> CompleteThrough(consistency::SessionKey key) override;
+  bool AcquireLease(GroupId group, consistency::SessionKey key, consistency::LeaseUse use) override;
 
   Fleet& fleet;
   std::size_t number;
@@ -109,7 +109,7 @@
   bool Old(std::size_t at) const { return options.mixed && !Aside(at) && random_old[at]; }
 
   void Send(std::size_t from, Outbox& outs) {
-    for (membership::Out& out : outs) {
+    for (membership::OutgoingPacket& out : outs) {
       const auto to = static_cast<std::size_t>(std::atoi(out.address.c_str() + 1));
       const std::size_t bytes = out.packet.ByteSizeLong() + 4 + kHeads;  // its counter is set as it is sealed
       bytes_out[from] += bytes;
@@ -186,7 +186,7 @@
         answered[write.session].push_back({*write.position, now});
         waited_ms.push_back(1e-3 * static_cast<double>((now - write.done).count()));
       } else if (now - write.begun < kSecond * 5) {
-        node.Want(kGroup, key, true);
+        node.AcquireLease(kGroup, key, consistency::LeaseUse::kWrite);
         still.push_back(write);
       } else {
         ++writes_failed;
@@ -254,7 +254,7 @@
   bool Whole() const {
     return std::ranges::all_of(nodes, [this](const auto& node) {
       membership::QuorumTracker quorum_tracker = node->engine->swim().quorum_tracker();
-      return quorum_tracker.At(now).part == membership::QuorumState::kComplete;
+      return quorum_tracker.Assess(now).state == membership::QuorumState::kComplete;
     });
   }
   bool UntilWhole(Duration most) {
@@ -375,38 +375,36 @@
   self.set_address("a" + std::to_string(number));
   ReplicationEngine::Options options;
   options.flush_interval = kMs * 10;
-  options.swim.size = fleet.size;
-  options.swim.owns = fleet.Aside(number);
-  options.swim.owners_named = fleet.options.owners_named;
-  if (fleet.Old(number)) options.swim.understands = 0;
-  if (fleet.old_owner == number) options.swim.understands = membership::Swim::kUnderstandsOwners;
+  options.swim.fleet_size = fleet.size;
+  options.swim.lease_manager.dedicated = fleet.Aside(number);
+  options.swim.lease_manager.all_must_know = fleet.options.owners_named;
+  if (fleet.Old(number)) options.swim.capabilities = 0;
+  if (fleet.old_owner == number) options.swim.capabilities = membership::capability::kKnowsDedicatedLeaseManagers;
   if (way != Way::kBroadcast) {
     lease::SessionLeaseClient::Options& directory = options.leases.emplace();
-    directory.reads_per_s = fleet.options.reads_per_s;
+    directory.read_requests_per_s = fleet.options.reads_per_s;
     directory.bytes_per_s = fleet.options.bytes_per_s;
-    directory.coalesce = fleet.options.coalesce;
-    directory.writes_wait = way == Way::kLeases;
+    directory.batching_delay = fleet.options.coalesce;
+    directory.writes_require_lease = way == Way::kLeases;
   }
   std::vector<std::string> seeds;
   for (std::size_t i = 0; i < fleet.size; ++i) seeds.push_back("a" + std::to_string(i));
   engine = std::make_unique<ReplicationEngine>(options, self, seeds, ReplicationEngine::Recovery::kIncomplete,
                                                consistency_guard, incarnation_id);
-  if (way != Way::kBroadcast) consistency_guard.SetHolding(this);
+  if (way != Way::kBroadcast) consistency_guard.SetSessionLeases(this);
   consistency_guard.OnWrite(
       [this](GroupId group, consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
         engine->RecordWrite(group, key, watermark);
       });
 }
 
-std::optional<LogPosition> Node::Exact(consistency::SessionKey key) {
+std::optional<LogPosition> Node::CompleteThrough(consistency::SessionKey key) {
   return engine->CompleteThrough(fleet.now, key);
 }
 
-bool Node::Want(GroupId group, consistency::SessionKey key, bool write) {
+bool Node::AcquireLease(GroupId group, consistency::SessionKey key, consistency::LeaseUse use) {
   Outbox outs;
-  const bool expected = engine->AcquireLease(
-      fleet.now, group, key,
-      write ? lease::SessionLeaseClient::Use::kWrite : lease::SessionLeaseClient::Use::kRead, outs);
+  const bool expected = engine->AcquireLease(fleet.now, group, key, use, outs);
   fleet.Send(number, outs);
   return expected;
 }
@@ -499,7 +497,7 @@
   CHECK(fleet.reads_done > 200);
   CHECK(fleet.conservative * 50 < fleet.reads_done);
   const auto grants = [&](std::size_t at) {
-    return fleet.nodes[at]->engine->lease_client()->owner().counts().grants;
+    return fleet.nodes[at]->engine->lease_client()->manager().counts().grants;
   };
   for (std::size_t at = 0; at < fleet.size; ++at) {
     CAPTURE(at);
@@ -569,7 +567,7 @@
   CHECK(fleet.writes_failed == 0);
   CHECK(fleet.conservative * 20 < fleet.reads_done);
   const auto grants = [&](std::size_t at) {
-    return fleet.nodes[at]->engine->lease_client()->owner().counts().grants;
+    return fleet.nodes[at]->engine->lease_client()->manager().counts().grants;
   };
   for (std::size_t at = 0; at < fleet.size; ++at) CHECK(grants(at) > 20);
   // With the last one replaced those set aside are the only ones.
@@ -623,9 +621,9 @@
     std::uint64_t waited = 0, passed_on = 0;
     for (std::size_t at = 0; at < fleet.size; ++at) {
       const lease::LeaseMessageRelay& courier = *fleet.nodes[at]->engine->lease_relay();
-      waited += courier.counts().waited;
-      passed_on += courier.counts().passed_on;
-      CHECK((courier.counts().passed_on > 0) == (fleet.Aside(at) && coalesce > Duration{0}));
+      waited += courier.counts().batched;
+      passed_on += courier.counts().relayed;
+      CHECK((courier.counts().relayed > 0) == (fleet.Aside(at) && coalesce > Duration{0}));
       if (fleet.Aside(at)) continue;
       sum += static_cast<double>(fleet.bytes_out[at] + fleet.bytes_in[at]) / 10;
     }
@@ -660,7 +658,7 @@
     }
     Crowd(fleet);
     fleet.Pass(kSecond * 6);
-    for (const auto& node : fleet.nodes) CHECK(node->engine->lease_relay()->counts().waited == 0);
+    for (const auto& node : fleet.nodes) CHECK(node->engine->lease_relay()->counts().batched == 0);
     CHECK(fleet.stale == 0);
     CHECK(fleet.writes_failed == 0);
     if (!short_of_bytes) continue;
@@ -671,7 +669,7 @@
     Crowd(fleet);
     fleet.Pass(kSecond * 6);
     for (std::size_t at = 0; at < 6; ++at) {
-      CHECK(fleet.nodes[at]->engine->lease_relay()->counts().waited > 100);
+      CHECK(fleet.nodes[at]->engine->lease_relay()->counts().batched > 100);
     }
     CHECK(fleet.stale == 0);
     CHECK(fleet.writes_failed == 0);
@@ -683,7 +681,7 @@
   Crowd(fleet);
   fleet.Pass(kSecond);
   const auto passed_on = [&](std::size_t at) {
-    return fleet.nodes[at]->engine->lease_relay()->counts().passed_on;
+    return fleet.nodes[at]->engine->lease_relay()->counts().relayed;
   };
   const std::size_t most = std::ranges::max(std::vector<std::size_t>{6, 7, 8}, {}, passed_on);
   MESSAGE("passed on: ", passed_on(6), ", ", passed_on(7), ", ", passed_on(8));
@@ -724,7 +722,7 @@
     conservative += fleet.conservative;
     answered += static_cast<int>(fleet.waited_ms.size());
     failed += fleet.writes_failed;
-    for (const auto& node : fleet.nodes) waited += node->engine->lease_relay()->counts().waited;
+    for (const auto& node : fleet.nodes) waited += node->engine->lease_relay()->counts().batched;
   }
   MESSAGE(done, " reads, ", conservative, " on a conservative target; ", answered, " writes answered, ",
           failed, " not in time; ", waited, " messages waited");
@@ -751,30 +749,30 @@
   self.set_address("a0");
   const auto view = [&](const proto::Member& of) {
     membership::Swim::Options options;
-    options.size = 2;
+    options.fleet_size = 2;
     membership::Swim swim(options, self, {}, 1);
     proto::Packet packet;
     packet.set_version(1);
     *packet.mutable_sender() = of;
     Outbox outs;
-    swim.Take(TimePoint{kSecond}, "a9", packet, outs);
+    swim.HandlePacket(TimePoint{kSecond}, "a9", packet, outs);
     swim.Tick(TimePoint{kSecond * 2}, outs);
     proto::Packet passed;
-    swim.Dress(passed);
-    REQUIRE(passed.rumours_size() == 1);
-    CHECK(passed.rumours(0).SerializeAsString() == of.SerializeAsString());
-    return std::pair(swim.quorum_tracker().view(), swim.owners());
+    swim.AddSenderAndGossip(passed);
+    REQUIRE(passed.gossip_size() == 1);
+    CHECK(passed.gossip(0).SerializeAsString() == of.SerializeAsString());
+    return std::pair(swim.quorum_tracker().view(), swim.dedicated_lease_managers());
   };
   CHECK(known.SerializeAsString().ends_with(std::string("\xa0\x06\x2a", 3)));
   const auto [plain, nobody] = view(known);
   CHECK(nobody.empty());
-  known.set_understands(membership::Swim::kUnderstandsOwners);
+  known.set_capabilities(membership::capability::kKnowsDedicatedLeaseManagers);
   CHECK(view(known) == std::pair(plain, nobody));
-  known.set_owns(true);
+  known.set_dedicated_lease_manager(true);
   const auto [named, owners] = view(known);
   CHECK(named != plain);
   CHECK(owners == std::vector<std::uint64_t>{77});
-  known.set_understands(1);
+  known.set_capabilities(1);
   CHECK(view(known) == std::pair(plain, nobody));
 }
 
@@ -805,7 +803,7 @@
     CHECK(fleet.reads_done > 100);
     if (at + 1 < fleet.size) {
       // The old ones know what the new ones answered, as before.
-      const auto covered = fleet.nodes[fleet.size - 1]->consistency_guard.CoveredUpTo();
+      const auto covered = fleet.nodes[fleet.size - 1]->consistency_guard.ReplicatedThrough();
       REQUIRE(covered);
       CHECK(fleet.now - *covered < kSecond);
     }
@@ -870,12 +868,12 @@
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   ReplicationEngine& engine = *fleet.nodes[0]->engine;
   const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, "s1");
-  fleet.nodes[0]->Want(kGroup, key, true);
+  fleet.nodes[0]->AcquireLease(kGroup, key, consistency::LeaseUse::kWrite);
   fleet.Pass(kSecond);
   REQUIRE(engine.MayAnswerWrite(fleet.now, key));
   proto::Packet packet;
   *packet.mutable_sender() = fleet.nodes[1]->engine->swim().self();
-  proto::Member& later = *packet.add_rumours();
+  proto::Member& later = *packet.add_gossip();
   later = engine.swim().self();
   later.set_incarnation_id(4711);
   later.set_started_us(later.started_us() + 1);
@@ -884,7 +882,7 @@
   CHECK_FALSE(engine.MayAnswerWrite(fleet.now, key));
   // Also once it is bound to nothing: the other is in the view by which they all read.
   CHECK_FALSE(engine.MayAnswerWrite(fleet.now + kSecond * 3600, key));
-  packet.mutable_rumours(0)->set_state(proto::Member::DEAD);
+  packet.mutable_gossip(0)->set_state(proto::Member::DEAD);
   engine.HandlePacket(fleet.now, "a1", packet, outs);
   CHECK(engine.MayAnswerWrite(fleet.now, key));
 }
@@ -899,8 +897,8 @@
   }
   fleet.Pass(kSecond);
   const auto& counts = fleet.nodes[0]->engine->lease_client()->counts();
-  CHECK(counts.capped > 50);
-  CHECK(fleet.conservative >= static_cast<int>(counts.capped));
+  CHECK(counts.suppressed_reads > 50);
+  CHECK(fleet.conservative >= static_cast<int>(counts.suppressed_reads));
   CHECK(fleet.stale == 0);
 }
 
@@ -957,11 +955,11 @@
     // Written in one group here, and met in the other there.
     Node& node = *fleet.nodes[at];
     Node& other = *fleet.nodes[1 - at];
-    node.consistency_guard.Learn(kGroup, key, {fleet.now, kPrimary});
-    node.Want(kGroup, key, true);
+    node.consistency_guard.LearnWatermark(kGroup, key, {fleet.now, kPrimary});
+    node.AcquireLease(kGroup, key, consistency::LeaseUse::kWrite);
     fleet.Pass(kSecond);
     REQUIRE(node.engine->MayAnswerWrite(fleet.now, key));
-    other.Want(kOther, key, true);
+    other.AcquireLease(kOther, key, consistency::LeaseUse::kWrite);
     fleet.Pass(kSecond);
     REQUIRE(other.engine->MayAnswerWrite(fleet.now, key));
     CHECK_FALSE(node.engine->MayAnswerWrite(fleet.now, key));
@@ -992,7 +990,7 @@
   constexpr int kGroups = 243;
   const auto know = [&](LogPosition confirmed) {
     for (int group = 1; group <= kGroups; ++group) {
-      fleet.nodes[0]->consistency_guard.LearnReign(GroupId(group), kPrimary, since, since, confirmed);
+      fleet.nodes[0]->consistency_guard.LearnTimeline(GroupId(group), kPrimary, since, since, confirmed);
     }
   };
   const auto known = [&](LogPosition confirmed) {
@@ -1013,7 +1011,7 @@
   fleet.Pass(kSecond * 8);
   CHECK(known(later) == kGroups);
   // A new reign goes before the round.
-  fleet.nodes[0]->consistency_guard.LearnReign(GroupId(200), ServerId(8), fleet.now, fleet.now, fleet.now);
+  fleet.nodes[0]->consistency_guard.LearnTimeline(GroupId(200), ServerId(8), fleet.now, fleet.now, fleet.now);
   fleet.Pass(kMs * 200);
   CHECK(fleet.nodes[1]->consistency_guard.timelines().at(GroupId(200)).primary() == ServerId(8));
 }
@@ -1068,9 +1066,9 @@
     "keeper: what is known exactly has neither a gap nor a doubt after its floor, and the rest has as "
     "before") {
   struct Known final : consistency::SessionLeases {
-    std::optional<LogPosition> Exact(consistency::SessionKey) override { return exact; }
-    bool Want(GroupId, consistency::SessionKey, bool write) override {
-      ++(write ? writes : reads);
+    std::optional<LogPosition> CompleteThrough(consistency::SessionKey) override { return exact; }
+    bool AcquireLease(GroupId, consistency::SessionKey, consistency::LeaseUse use) override {
+      ++(use == consistency::LeaseUse::kWrite ? writes : reads);
       return true;
     }
     std::optional<LogPosition> exact;
@@ -1080,7 +1078,7 @@
   consistency::Options options = Everywhere();
   options.reject_uncertain_reads = true;
   consistency::SessionConsistencyGuard consistency_guard(TwoClasses(), options);
-  consistency_guard.SetHolding(&known);
+  consistency_guard.SetSessionLeases(&known);
   TimePoint now{Duration(1'700'000'000'000'000)};
   ListEvent list{ListKind::kPersisted, {}};
   for (const ServerId member : {kPrimary, kSuccessor})
@@ -1088,9 +1086,9 @@
   Event event = std::move(list);
   consistency_guard.PrepareEvent(now, event);
   // A primary of long ago, and its successor two seconds ago, which held the log up to three seconds ago.
-  consistency_guard.LearnReign(kGroup, kPrimary, now - kSecond * 3600, now - kSecond * 3600,
-                               now - kSecond * 3);
-  consistency_guard.LearnReign(kGroup, kSuccessor, now - kSecond * 2, now - kSecond * 3, now);
+  consistency_guard.LearnTimeline(kGroup, kPrimary, now - kSecond * 3600, now - kSecond * 3600,
+                                  now - kSecond * 3);
+  consistency_guard.LearnTimeline(kGroup, kSuccessor, now - kSecond * 2, now - kSecond * 3, now);
   consistency_guard.DrainRejectedReads();
   std::uint32_t last = 0;
   const auto read = [&](const char* session) {
@@ -1120,11 +1118,12 @@
   CHECK(consistency_guard.DrainRejectedReads().size() == 1);
   // Its own mark in the loss is in doubt as ever; one before it is served by itself.
   known.exact = now - kSecond * 20;
-  consistency_guard.Learn(kGroup, consistency::SessionKeyOf(kGroup, "lost"),
-                          {now - kSecond * 2 - kMs * 500, kPrimary});
+  consistency_guard.LearnWatermark(kGroup, consistency::SessionKeyOf(kGroup, "lost"),
+                                   {now - kSecond * 2 - kMs * 500, kPrimary});
   read("lost");
   CHECK(consistency_guard.DrainRejectedReads().size() == 1);
-  consistency_guard.Learn(kGroup, consistency::SessionKeyOf(kGroup, "kept"), {now - kSecond * 4, kPrimary});
+  consistency_guard.LearnWatermark(kGroup, consistency::SessionKeyOf(kGroup, "kept"),
+                                   {now - kSecond * 4, kPrimary});
   CHECK(read("kept") == now - kSecond * 4);
   CHECK(consistency_guard.DrainRejectedReads().empty());
   CHECK(known.reads == 2);
@@ -1212,7 +1211,7 @@
         // The group's reign began long ago, as it mostly has.
         for (const auto& node : fleet.nodes) {
           const LogPosition since = fleet.now - kSecond * 3600;
-          node->consistency_guard.LearnReign(kGroup, kPrimary, since, since, fleet.now);
+          node->consistency_guard.LearnTimeline(kGroup, kPrimary, since, since, fleet.now);
         }
         const bool whole = fleet.UntilWhole(kSecond * 30);
         // News of the start goes round for long in a large fleet.
