--- a/src/instance.h
+++ b/src/instance.h
@@ -55,7 +55,8 @@
   bool listed() const { return listed_; }
   // Whether the others count this instance, so that it may answer writes.
   bool Counted() const { return replication_ == nullptr || replication_->Ready(); }
-  // Tells the others that it leaves, and puts away what is durable.
+  // Announces to the other instances that it leaves, and ends the durable log. To be called after the last
+  // response has been sent.
   void Leave();
 
   proxy::Proxy& proxy() { return proxy_; }
