--- a/src/instance.h
+++ b/src/instance.h
@@ -13,8 +13,8 @@
 #include <tl/expected.hpp>
 #include <vector>
 
+#include "discovery/discovery_watch.h"
 #include "discovery/endpoint_list.h"
-#include "discovery/watch.h"
 #include "durability/write_ahead_log.h"
 #include "net/loop.h"
 #include "proxy/proxy.h"
@@ -55,14 +55,15 @@
   bool listed() const { return listed_; }
   // Whether the others count this instance, so that it may answer writes.
   bool Counted() const { return replication_ == nullptr || replication_->Ready(); }
-  // Tells the others that it leaves, and puts away what is durable.
+  // Announces to the other instances that it leaves, and ends the durable log. To be called after the last
+  // response has been sent.
   void Leave();
 
   proxy::Proxy& proxy() { return proxy_; }
   const proxy::Proxy& proxy() const { return proxy_; }
   // The exchange with the others; null where the settings name none.
   const replication::ReplicationService* peers() const { return replication_.get(); }
-  std::size_t data_servers() const { return reader_.known(); }
+  std::size_t data_servers() const { return reader_.known_servers(); }
 
  private:
   // What recovery has found of the writes that this instance answered before its start.
@@ -91,7 +92,7 @@
   proxy::Proxy proxy_;
   std::unique_ptr<durability::WriteAheadLog> log_;                // null if durability is off or unusable
   std::unique_ptr<replication::ReplicationService> replication_;  // null if replication is off
-  std::optional<discovery::Watch> watch_;
+  std::optional<discovery::DiscoveryWatch> watch_;
   bool listed_ = false;
 };
 
