--- a/src/replication/engine_options.cpp
+++ b/src/replication/engine_options.cpp
@@ -18,7 +18,7 @@
 lease::SessionLeaseClient::Options LeaseOptionsFrom(
     const ReplicationSettings& settings, const consistency::SessionConsistencyGuard& consistency_guard) {
   lease::SessionLeaseClient::Options leases;
-  leases.holds = std::max(kMinLeases, consistency_guard.watermark_table().buckets() * 4);
+  leases.holds = std::max(kMinLeases, consistency_guard.watermark_table().bucket_count() * 4);
   leases.reads_per_s = settings.asks_per_s;
   leases.bytes_per_s = settings.bytes_per_s;
   leases.coalesce = settings.coalesce;
--- a/src/replication/lease_transport.cpp
+++ b/src/replication/lease_transport.cpp
@@ -19,7 +19,7 @@
 lease::SessionLeaseClient::Options ClientOptions(lease::SessionLeaseClient::Options options,
                                                  const membership::Swim& swim, std::size_t fleet_size) {
   options.self = swim.self().incarnation_id();
-  options.proof = swim.proof();
+  options.proof = swim.acknowledgement_validity();
   options.alone = fleet_size == 1;
   return options;
 }
@@ -45,7 +45,7 @@
 
 void LeaseTransport::GuardWatermarks::Learn(consistency::SessionKey key,
                                             const consistency::WriteWatermark& watermark) {
-  consistency_guard_.Learn(std::nullopt, key, watermark);
+  consistency_guard_.LearnWatermark(std::nullopt, key, watermark);
 }
 
 LeaseTransport::LeaseTransport(lease::SessionLeaseClient::Options options,
@@ -99,7 +99,7 @@
 
 void LeaseTransport::Forward(const proto::Packet& packet, Outbox& outbox) const {
   const proto::LeaseBatch& batch = packet.directory();
-  membership::Out forwarded = LeasePacketTo(batch.relay_to(), links_.self_incarnation_id());
+  membership::OutgoingPacket forwarded = LeasePacketTo(batch.relay_to(), links_.self_incarnation_id());
   proto::LeaseBatch& forwarded_batch = *forwarded.packet.mutable_directory();
   forwarded_batch = batch;
   forwarded_batch.clear_relay_to();
@@ -158,17 +158,18 @@
     const std::string* address = links_.incarnations().AddressOf(receiver);
     if (address == nullptr) continue;  // the client repeats its request, or the lease expires
     for (std::size_t next = 0; next < batch.size();) {
-      membership::Out packet = Pack(now, *address, batch, next);
+      membership::OutgoingPacket packet = Pack(now, *address, batch, next);
       Send(now, receiver, unanswered.contains(receiver), std::move(packet), outbox);
     }
   }
 }
 
 // One packet for the receiver of `legs`, from number `next` on, which it moves forward.
-membership::Out LeaseTransport::Pack(TimePoint now, const std::string& address,
-                                     const std::vector<const Leg*>& legs, std::size_t& next) const {
+membership::OutgoingPacket LeaseTransport::Pack(TimePoint now, const std::string& address,
+                                                const std::vector<const Leg*>& legs,
+                                                std::size_t& next) const {
   const Leg& first = *legs[next];
-  membership::Out packed = LeasePacketTo(address, links_.self_incarnation_id());
+  membership::OutgoingPacket packed = LeasePacketTo(address, links_.self_incarnation_id());
   proto::LeaseBatch& batch = *packed.packet.mutable_directory();
   batch.set_view_for_incarnation_id(BindViewTo(first.to, first.message.view));
   batch.set_by_way(first.by_way);
@@ -185,11 +186,11 @@
 }
 
 void LeaseTransport::Send(TimePoint now, lease::IncarnationId receiver, bool unanswered,
-                          membership::Out packet, Outbox& outbox) {
+                          membership::OutgoingPacket packet, Outbox& outbox) {
   ++counts_.packets_sent;
   ++counts_.lease_packets_sent;
   if (const std::string detour = DetourTo(now, receiver, unanswered); !detour.empty()) {
-    membership::Out relayed = packet;
+    membership::OutgoingPacket relayed = packet;
     relayed.packet.mutable_directory()->set_relay_to(std::exchange(relayed.address, detour));
     outbox.push_back(std::move(relayed));
   }
--- a/src/replication/lease_view.cpp
+++ b/src/replication/lease_view.cpp
@@ -7,8 +7,8 @@
 namespace lynxgrade::replication {
 
 void LeaseView::Update(TimePoint now, Completeness completeness) {
-  client_.StandAside(swim_.aside());
-  const std::uint64_t view = swim_.quorum_tracker().Declares(now);
+  client_.StandAside(swim_.superseded());
+  const std::uint64_t view = swim_.quorum_tracker().AcknowledgedView(now);
   const bool changed = view != 0 && view != managers_view_;
   if (changed) SelectManagers(view);
   if (changed || now - relay_selected_ >= kRelaySelectionInterval) {
@@ -22,7 +22,7 @@
 
 void LeaseView::SelectManagers(std::uint64_t view) {
   managers_view_ = view;
-  managers_ = swim_.owners();
+  managers_ = swim_.dedicated_lease_managers();
   if (!managers_.empty()) return;
   // No dedicated managers: all that use leases. An incarnation announces this with its membership entry, so
   // all instances of one view select the same ones.
@@ -37,7 +37,7 @@
 // answer writes.
 bool LeaseView::IsComplete(TimePoint now) {
   const membership::QuorumTracker& quorum_tracker = swim_.quorum_tracker();
-  const std::uint64_t view = quorum_tracker.Declares(now);
+  const std::uint64_t view = quorum_tracker.AcknowledgedView(now);
   if (view == 0 || now < links_.name_shared_until() || !options_.proven) {
     cached_.view = 0;
     return false;
@@ -46,7 +46,7 @@
   // members.
   if (cached_.view != view || cached_.membership_changes != swim_.changes()) {
     cached_ = {view, swim_.changes(), std::nullopt};
-    if (AllMembersAgree()) cached_.until = quorum_tracker.AllUntil(now);
+    if (AllMembersAgree()) cached_.until = quorum_tracker.AllAcknowledgedUntil(now);
   }
   return cached_.until && now <= *cached_.until;
 }
@@ -67,10 +67,10 @@
   if (swim_.options().owns) return 0;
   std::vector<std::pair<lease::IncarnationId, std::optional<Duration>>> round_trips;
   std::optional<Duration> shortest;
-  const std::vector<lease::IncarnationId>& managers = swim_.owners();
+  const std::vector<lease::IncarnationId>& managers = swim_.dedicated_lease_managers();
   for (const auto& [name, peer] : swim_.peers()) {
     if (std::ranges::find(managers, peer.member.incarnation_id()) == managers.end()) continue;
-    if ((peer.member.understands() & membership::Swim::kPassesOn) == 0) return 0;
+    if ((peer.member.capabilities() & membership::Swim::kRelaysLeaseMessages) == 0) return 0;
     if (peer.member.state() != proto::Member::ALIVE) continue;
     round_trips.emplace_back(peer.member.incarnation_id(), peer.round_trip);
     if (peer.round_trip) shortest = std::min(shortest.value_or(*peer.round_trip), *peer.round_trip);
--- a/src/replication/packet_codec.h
+++ b/src/replication/packet_codec.h
@@ -30,7 +30,7 @@
 void LearnTimelines(const proto::Packet& packet, consistency::SessionConsistencyGuard& consistency_guard);
 
 // An empty packet with lease messages, which names of its sender the incarnation alone.
-membership::Out LeasePacketTo(const std::string& address, lease::IncarnationId sender);
+membership::OutgoingPacket LeasePacketTo(const std::string& address, lease::IncarnationId sender);
 // The digest of a view, bound to one receiver: another incarnation at the same address reads a view that
 // nobody has. Applied twice it yields the view again.
 std::uint64_t BindViewTo(lease::IncarnationId receiver, std::uint64_t view);
--- a/src/replication/replication_engine.h
+++ b/src/replication/replication_engine.h
@@ -88,7 +88,7 @@
   // By name of the peer: its writes answered before this are known here.
   std::map<std::string, TimePoint> ReplicatedThrough() const { return links_.ReplicatedThrough(); }
   const membership::Swim& swim() const { return swim_; }
-  membership::QuorumTracker::Value QuorumStateAt(TimePoint now) { return swim_.QuorumStateAt(now); }
+  membership::QuorumTracker::Assessment QuorumStateAt(TimePoint now) { return swim_.QuorumStateAt(now); }
   const ReplicationCounts& counts() const { return counts_; }
   // `log` gets one line for each change of a peer.
   void OnLog(const std::function<void(std::string)>& log);
--- a/src/replication/replication_report.cpp
+++ b/src/replication/replication_report.cpp
@@ -19,13 +19,20 @@
   const auto& requested = client.counts();
   const auto& managed = client.owner().counts();
   const auto& relayed = input.engine.lease_relay()->counts();
-  return {{"owner", input.settings.owner}, {"owners_set_aside", input.engine.swim().owners().size()},
-          {"holds", client.holds()},       {"entries", client.owner().size()},
-          {"asks", requested.asks},        {"grants", requested.grants},
-          {"exact", requested.exact},      {"recalled", requested.recalled},
-          {"capped", requested.capped},    {"over_budget", requested.over_budget},
-          {"granted", managed.grants},     {"denied", managed.denied},
-          {"waited", relayed.waited},      {"passed_on", relayed.passed_on}};
+  return {{"owner", input.settings.owner},
+          {"owners_set_aside", input.engine.swim().dedicated_lease_managers().size()},
+          {"holds", client.holds()},
+          {"entries", client.owner().size()},
+          {"asks", requested.asks},
+          {"grants", requested.grants},
+          {"exact", requested.exact},
+          {"recalled", requested.recalled},
+          {"capped", requested.capped},
+          {"over_budget", requested.over_budget},
+          {"granted", managed.grants},
+          {"denied", managed.denied},
+          {"waited", relayed.waited},
+          {"passed_on", relayed.passed_on}};
 }
 
 Json PeersReport(const ReplicationReportInput& input, std::uint64_t view) {
@@ -67,18 +74,18 @@
 std::string FormatReplicationReport(const ReplicationReportInput& input) {
   const membership::Swim& swim = input.engine.swim();
   membership::QuorumTracker quorum_tracker = swim.quorum_tracker();  // a copy, as evaluation changes it
-  const membership::QuorumTracker::Value quorum = quorum_tracker.At(input.now);
+  const membership::QuorumTracker::Assessment quorum = quorum_tracker.Assess(input.now);
   Json report = {{"name", input.name},
                  {"size", FleetSize(input.settings)},
-                 {"part", membership::NameOf(quorum.part)},
+                 {"part", membership::NameOf(quorum.state)},
                  {"for_s", Seconds(input.now - quorum.since)},
                  {"proven_s", nullptr},
                  {"view", fmt::format("{:016x}", quorum.view)},
                  {"in_view", quorum_tracker.count()},
-                 {"doubt", swim.doubt()},
+                 {"doubt", swim.local_health_multiplier()},
                  {"most_doubt", swim.options().most_doubt},
                  {"stalls", swim.stalls()},
-                 {"conflicts", swim.conflicts()},
+                 {"conflicts", swim.duplicate_name_reports()},
                  {"dropped", input.rejected_datagrams},
                  {"spent_s", Seconds(input.processor_time)},
                  {"unheard", swim.unheard_seeds()},
--- a/src/replication/traffic_counter.cpp
+++ b/src/replication/traffic_counter.cpp
@@ -28,7 +28,7 @@
     return counts[static_cast<std::size_t>(kind)];
   };
   const std::size_t timeline_bytes = EncodedBytes(packet.timelines());
-  const std::size_t gossip_bytes = EncodedBytes(packet.rumours());
+  const std::size_t gossip_bytes = EncodedBytes(packet.gossip());
   Traffic::Count& count = count_of(KindOf(packet));
   ++count.packets;
   count.bytes += datagram_bytes + Traffic::kHeaderBytes - timeline_bytes - gossip_bytes;
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -61,7 +61,7 @@
       log_limit_(loop_) {}
 
 UdpReplicationService::~UdpReplicationService() {
-  if (engine_ != nullptr && engine_->lease_client() != nullptr) consistency_guard_.SetHolding(nullptr);
+  if (engine_ != nullptr && engine_->lease_client() != nullptr) consistency_guard_.SetSessionLeases(nullptr);
   if (socket_ != nullptr) loop_.poller().Remove(g_socket_get_fd(socket_.get()));
 }
 
@@ -112,7 +112,7 @@
                                                 std::move(self), std::move(seeds), recovery_,
                                                 consistency_guard_, incarnation_id);
   engine_->OnLog([](const std::string& line) { spdlog::info("peers: {}", line); });
-  if (engine_->lease_client() != nullptr) consistency_guard_.SetHolding(this);
+  if (engine_->lease_client() != nullptr) consistency_guard_.SetSessionLeases(this);
 }
 
 void UdpReplicationService::ReloadKeys() {
@@ -148,9 +148,9 @@
   // It walks over all members: not in each tick.
   if (loop_.Now() - quorum_checked_ < kQuorumLogInterval) return;
   quorum_checked_ = loop_.Now();
-  const membership::QuorumTracker::Value quorum = engine_->QuorumStateAt(loop_.Precise());
-  if (quorum.part == logged_quorum_) return;
-  logged_quorum_ = quorum.part;
+  const membership::QuorumTracker::Assessment quorum = engine_->QuorumStateAt(loop_.Precise());
+  if (quorum.state == logged_quorum_) return;
+  logged_quorum_ = quorum.state;
   spdlog::info("peers: {}: {} of {} instances in reach, view {:016x}", membership::NameOf(logged_quorum_),
                ReachableInstances(), FleetSize(settings_), quorum.view);
 }
@@ -163,7 +163,7 @@
 }
 
 void UdpReplicationService::LogDuplicateName() {
-  const std::uint64_t conflicts = engine_->swim().conflicts();
+  const std::uint64_t conflicts = engine_->swim().duplicate_name_reports();
   std::uint64_t suppressed = 0;
   if (conflicts == logged_conflicts_ || !log_limit_.Allows(suppressed)) return;
   logged_conflicts_ = conflicts;
@@ -183,15 +183,14 @@
                                   .processor_time = processor_time()});
 }
 
-std::optional<LogPosition> UdpReplicationService::Exact(consistency::SessionKey key) {
+std::optional<LogPosition> UdpReplicationService::CompleteThrough(consistency::SessionKey key) {
   return engine_->CompleteThrough(loop_.Precise(), key);
 }
 
-bool UdpReplicationService::Want(GroupId group, consistency::SessionKey key, bool write) {
-  using Use = lease::SessionLeaseClient::Use;
+bool UdpReplicationService::AcquireLease(GroupId group, consistency::SessionKey key,
+                                         consistency::LeaseUse use) {
   const ProcessorTimeMeter::Scope scope(processor_time_);
-  const bool expected =
-      engine_->AcquireLease(loop_.Precise(), group, key, write ? Use::kWrite : Use::kRead, outbox_);
+  const bool expected = engine_->AcquireLease(loop_.Precise(), group, key, use, outbox_);
   SendOutbox();
   return expected;
 }
@@ -199,7 +198,7 @@
 bool UdpReplicationService::CallWhenMayAnswer(GroupId group, consistency::SessionKey key,
                                               std::function<void()> call) {
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
-  Want(group, key, true);
+  AcquireLease(group, key, consistency::LeaseUse::kWrite);
   // This instance may manage the lease itself, and hold it at once.
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
   pending_answers_.Add({group, key, std::move(call), loop_.Precise() + kPendingAnswerLifetime});
@@ -211,7 +210,9 @@
   pending_answers_.Process(
       loop_.Precise(),
       [this](consistency::SessionKey key) { return engine_->MayAnswerWrite(loop_.Precise(), key); },
-      [this](GroupId group, consistency::SessionKey key) { Want(group, key, true); });
+      [this](GroupId group, consistency::SessionKey key) {
+        AcquireLease(group, key, consistency::LeaseUse::kWrite);
+      });
 }
 
 void UdpReplicationService::NotifyLearned() {
@@ -239,7 +240,7 @@
 }
 
 void UdpReplicationService::SendOutbox() {
-  for (membership::Out& outgoing : std::exchange(outbox_, {})) {
+  for (membership::OutgoingPacket& outgoing : std::exchange(outbox_, {})) {
     const auto address = net::ParseAddress(outgoing.address);
     const net::ObjectPtr<GSocketAddress> target = address ? net::SocketAddress(*address) : nullptr;
     if (target == nullptr) continue;
--- a/tests/lease/lease_test.cpp
+++ b/tests/lease/lease_test.cpp
@@ -94,13 +94,13 @@
     return watermark_table.Find(key);
   }
   void Learn(consistency::SessionKey key, const consistency::WriteWatermark& watermark) override {
-    watermark_table.Note(key, watermark);
+    watermark_table.Record(key, watermark);
   }
 
   void See(TimePoint now) {
-    const membership::QuorumTracker::Value value = quorum_tracker.At(now);
-    const bool all = value.part == membership::QuorumState::kComplete && quorum_tracker.count() == size;
-    const bool any = value.part >= membership::QuorumState::kMajority;
+    const membership::QuorumTracker::Assessment value = quorum_tracker.Assess(now);
+    const bool all = value.state == membership::QuorumState::kComplete && quorum_tracker.count() == size;
+    const bool any = value.state >= membership::QuorumState::kMajority;
     // Those set aside alone, where the view has some.
     owners = quorum_tracker.incarnation_ids();
     std::erase_if(owners, [this](IncarnationId one) { return !aside.contains(one); });
@@ -110,7 +110,7 @@
       owners = quorum_tracker.incarnation_ids();
       by = 0;
     }
-    const std::uint64_t declares = quorum_tracker.Declares(now);
+    const std::uint64_t declares = quorum_tracker.AcknowledgedView(now);
     if (declares != 0) courier.See(declares, owners, by);
     directory->See(now, {declares, any_size ? any : all, &owners});
   }
@@ -193,7 +193,7 @@
     packet.from_life = node.incarnation_id;
     packet.started = starts[node.incarnation_id];
     packet.view = node.quorum_tracker.view();
-    packet.declares = node.quorum_tracker.Declares(Local(at));
+    packet.declares = node.quorum_tracker.AcknowledgedView(Local(at));
     return packet;
   }
 
@@ -227,7 +227,7 @@
     std::ranges::sort(in);
     std::uint64_t digest = 1;
     for (const IncarnationId one : in) digest = digest * 0x9E3779B97F4A7C15ull + one;
-    node.quorum_tracker.Saw(local, digest, in);
+    node.quorum_tracker.UpdateView(local, digest, in);
   }
 
   void Take(std::size_t at, const Packet& packet) {
@@ -243,8 +243,8 @@
       const auto ping = node.pings.find(packet.ack);
       if (ping != node.pings.end()) {
         node.See(local);
-        node.quorum_tracker.Answered(packet.from_life, ping->second, packet.declares);
-        node.quorum_tracker.Told(ping->second, packet.view, packet.ages);
+        node.quorum_tracker.RecordAcknowledgement(packet.from_life, ping->second, packet.declares);
+        node.quorum_tracker.MergeAcknowledgementAges(ping->second, packet.view, packet.ages);
         node.pings.erase(ping);
       }
     }
@@ -252,7 +252,7 @@
     if (packet.ping != 0) {
       Packet answer = Head(at);
       answer.ack = packet.ping;
-      answer.ages = node.quorum_tracker.Ages(local, packet.view);
+      answer.ages = node.quorum_tracker.AcknowledgementAges(local, packet.view);
       Send(at, packet.from, answer);
     }
     if (packet.leg && packet.to_life == node.incarnation_id) {
@@ -269,7 +269,8 @@
     Node& node = *nodes[at];
     const TimePoint local = Local(at);
     node.See(local);
-    if (node.ticked != TimePoint{} && local - node.ticked > kPing * 2) node.quorum_tracker.StoodStill(local);
+    if (node.ticked != TimePoint{} && local - node.ticked > kPing * 2)
+      node.quorum_tracker.ResetAfterPause(local);
     // What is spent all the time is what comes in.
     if (node.ticked != TimePoint{} && local > node.ticked) {
       const auto us = static_cast<std::size_t>((local - node.ticked).count());
@@ -331,7 +332,7 @@
         // Its commit lies a little before its end came here. Data servers' clocks show the true time.
         write.watermark =
             consistency::WriteWatermark{now - Duration(static_cast<std::int64_t>(Draw(1000))), ServerId(7)};
-        node.watermark_table.Note(SessionKeyOf(write.key), *write.watermark);
+        node.watermark_table.Record(SessionKeyOf(write.key), *write.watermark);
       }
       node.See(local);
       const bool may = node.directory->MayAnswer(local, SessionKeyOf(write.key));
@@ -385,7 +386,8 @@
     // The floor is by the reader's clock, marks are by the data servers'.
     LogPosition target = clocks[read.at].True(floor);
     if (known.watermark) target = std::max(target, known.watermark->position);
-    if (!known.watermark && known.floor) target = std::max(target, *known.floor);
+    if (!known.watermark && known.conservative_position)
+      target = std::max(target, *known.conservative_position);
     for (const auto& [by, key, position, at] : answered) {
       if (key != read.key || by == read.at || now - at > kRevoke || position <= target) continue;
       ++stale;
