--- a/src/replication/datagram_authenticator.cpp
+++ b/src/replication/datagram_authenticator.cpp
@@ -33,7 +33,7 @@
 bool HasRequiredFields(const proto::Packet& packet) {
   if (packet.sender().incarnation_id() == 0 || packet.counter() == 0) return false;
   // A packet of lease messages alone does not name its sender.
-  return !packet.sender().name().empty() || packet.has_directory();
+  return !packet.sender().name().empty() || packet.has_lease_batch();
 }
 
 }  // namespace
--- a/src/replication/lease_transport.cpp
+++ b/src/replication/lease_transport.cpp
@@ -98,9 +98,9 @@
 }
 
 void LeaseTransport::Forward(const proto::Packet& packet, Outbox& outbox) const {
-  const proto::LeaseBatch& batch = packet.directory();
+  const proto::LeaseBatch& batch = packet.lease_batch();
   membership::OutgoingPacket forwarded = LeasePacketTo(batch.relay_to(), links_.self_incarnation_id());
-  proto::LeaseBatch& forwarded_batch = *forwarded.packet.mutable_directory();
+  proto::LeaseBatch& forwarded_batch = *forwarded.packet.mutable_lease_batch();
   forwarded_batch = batch;
   forwarded_batch.clear_relay_to();
   forwarded_batch.set_origin_incarnation_id(packet.sender().incarnation_id());
@@ -110,7 +110,7 @@
 
 void LeaseTransport::HandlePacket(TimePoint now, const std::string& sender_address,
                                   const proto::Packet& packet, Outbox& outbox) {
-  const proto::LeaseBatch& batch = packet.directory();
+  const proto::LeaseBatch& batch = packet.lease_batch();
   if (!batch.relay_to().empty()) return Forward(packet, outbox);
   lease::IncarnationId origin = packet.sender().incarnation_id();
   if (batch.origin_incarnation_id() != 0) {
@@ -127,15 +127,15 @@
     if (!IsKnownKind(entry.kind())) continue;
     Leg leg;
     leg.message = LeaseMessageFrom(entry, view);
-    leg.by_way = batch.by_way();
-    leg.origin = entry.origin();
-    leg.pass_to = entry.to();
+    leg.by_way = batch.relayed();
+    leg.origin = entry.origin_incarnation_id();
+    leg.pass_to = entry.destination_incarnation_id();
     const lease::IncarnationId author = relay_.Take(now, origin, leg, legs);
     if (author != 0) client_.Take(now, author, leg.message, responses);
   }
   SendLegs(now, legs, outbox);
   SendMessages(now, responses, outbox);
-  if (batch.reigns_wanted()) bootstrap_.SendAll(sender_address, outbox);
+  if (batch.timelines_requested()) bootstrap_.SendAll(sender_address, outbox);
 }
 
 void LeaseTransport::SendMessages(TimePoint now, const lease::LeaseOutbox& messages, Outbox& outbox) {
@@ -170,15 +170,15 @@
                                                 std::size_t& next) const {
   const Leg& first = *legs[next];
   membership::OutgoingPacket packed = LeasePacketTo(address, links_.self_incarnation_id());
-  proto::LeaseBatch& batch = *packed.packet.mutable_directory();
+  proto::LeaseBatch& batch = *packed.packet.mutable_lease_batch();
   batch.set_view_for_incarnation_id(BindViewTo(first.to, first.message.view));
-  batch.set_by_way(first.by_way);
+  batch.set_relayed(first.by_way);
   for (; next < legs.size() && static_cast<std::size_t>(batch.entries_size()) < kLeaseMessagesPerPacket;
        ++next) {
     const Leg& leg = *legs[next];
     proto::LeaseBatch::Entry& entry = *batch.add_entries();
-    entry.set_origin(leg.origin);
-    entry.set_to(leg.pass_to);
+    entry.set_origin_incarnation_id(leg.origin);
+    entry.set_destination_incarnation_id(leg.pass_to);
     EncodeLeaseMessage(leg.message, entry);
     if (leg.message.watermark) timelines_.AppendIfRecent(now, leg.message.group, packed.packet);
   }
@@ -191,7 +191,7 @@
   ++counts_.lease_packets_sent;
   if (const std::string detour = DetourTo(now, receiver, unanswered); !detour.empty()) {
     membership::OutgoingPacket relayed = packet;
-    relayed.packet.mutable_directory()->set_relay_to(std::exchange(relayed.address, detour));
+    relayed.packet.mutable_lease_batch()->set_relay_to(std::exchange(relayed.address, detour));
     outbox.push_back(std::move(relayed));
   }
   outbox.push_back(std::move(packet));
--- a/src/replication/packet_codec.cpp
+++ b/src/replication/packet_codec.cpp
@@ -50,30 +50,30 @@
 }
 
 consistency::WriteWatermark WatermarkFrom(const proto::WriteWatermark& encoded) {
-  return {PositionFromMicroseconds(encoded.position_us()), ServerFrom(encoded.by())};
+  return {PositionFromMicroseconds(encoded.position_us()), ServerFrom(encoded.server())};
 }
 
 void EncodeWatermark(consistency::SessionKey key, const consistency::WriteWatermark& watermark,
                      proto::WriteWatermark& encoded) {
   encoded.set_key(static_cast<std::uint64_t>(key));
   encoded.set_position_us(MicrosecondsOf(watermark.position));
-  encoded.set_by(EncodeServer(watermark.server));
+  encoded.set_server(EncodeServer(watermark.server));
 }
 
 void EncodeTimeline(GroupId group, const consistency::PrimaryTimeline& timeline,
                     proto::TimelineRecord& encoded) {
   encoded.set_group(static_cast<std::int64_t>(group));
   encoded.set_primary(static_cast<std::uint32_t>(*timeline.primary()));
-  encoded.set_since_us(MicrosecondsOf(timeline.since()));
-  encoded.set_held_us(MicrosecondsOf(timeline.replicated_through()));
+  encoded.set_began_us(MicrosecondsOf(timeline.since()));
+  encoded.set_replicated_us(MicrosecondsOf(timeline.replicated_through()));
   encoded.set_confirmed_us(MicrosecondsOf(timeline.confirmed()));
 }
 
 void LearnTimelines(const proto::Packet& packet, consistency::SessionConsistencyGuard& consistency_guard) {
   for (const proto::TimelineRecord& timeline : packet.timelines()) {
     consistency_guard.LearnTimeline(GroupId(timeline.group()), ServerId(timeline.primary()),
-                                    PositionFromMicroseconds(timeline.since_us()),
-                                    PositionFromMicroseconds(timeline.held_us()),
+                                    PositionFromMicroseconds(timeline.began_us()),
+                                    PositionFromMicroseconds(timeline.replicated_us()),
                                     PositionFromMicroseconds(timeline.confirmed_us()));
   }
 }
@@ -82,7 +82,7 @@
   membership::OutgoingPacket outgoing{address, {}};
   outgoing.packet.set_version(1);
   outgoing.packet.mutable_sender()->set_incarnation_id(sender);
-  outgoing.packet.mutable_directory();
+  outgoing.packet.mutable_lease_batch();
   return outgoing;
 }
 
@@ -94,15 +94,15 @@
   encoded.set_kind(static_cast<proto::LeaseBatch::Kind>(message.kind));
   encoded.set_key(static_cast<std::uint64_t>(message.key));
   encoded.set_group(static_cast<std::int64_t>(message.group));
-  encoded.set_id(message.id);
-  encoded.set_serial(message.serial);
+  encoded.set_request_id(message.id);
+  encoded.set_grant_number(message.serial);
   if (message.floor_age) {
     const auto age_ms = static_cast<std::uint64_t>(message.floor_age->count()) / kMicrosecondsPerMillisecond;
-    encoded.set_floor_age_ms(std::min(age_ms, kLargestAgeMs));
+    encoded.set_complete_through_age_ms(std::min(age_ms, kLargestAgeMs));
   }
   if (message.watermark) {
-    encoded.set_mark_ms(MillisecondsRoundedUp(message.watermark->position));
-    encoded.set_mark_by(EncodeServer(message.watermark->server));
+    encoded.set_watermark_ms(MillisecondsRoundedUp(message.watermark->position));
+    encoded.set_watermark_server(EncodeServer(message.watermark->server));
   }
   if (message.forgotten) encoded.set_forgotten_ms(MillisecondsRoundedUp(*message.forgotten));
 }
@@ -113,15 +113,15 @@
   message.view = view;
   message.key = consistency::SessionKey(encoded.key());
   message.group = GroupId(encoded.group());
-  message.id = encoded.id();
-  message.serial = encoded.serial();
-  if (encoded.has_floor_age_ms()) {
-    const std::uint64_t age_ms = std::min(std::uint64_t{encoded.floor_age_ms()}, kLargestAgeMs);
+  message.id = encoded.request_id();
+  message.serial = encoded.grant_number();
+  if (encoded.has_complete_through_age_ms()) {
+    const std::uint64_t age_ms = std::min(std::uint64_t{encoded.complete_through_age_ms()}, kLargestAgeMs);
     message.floor_age = Duration(static_cast<std::int64_t>(age_ms) * kMicrosecondsPerMillisecond);
   }
-  if (encoded.mark_ms() != 0) {
-    message.watermark = consistency::WriteWatermark{PositionFromMilliseconds(encoded.mark_ms()),
-                                                    ServerFrom(encoded.mark_by())};
+  if (encoded.watermark_ms() != 0) {
+    message.watermark = consistency::WriteWatermark{PositionFromMilliseconds(encoded.watermark_ms()),
+                                                    ServerFrom(encoded.watermark_server())};
   }
   if (encoded.forgotten_ms() != 0) message.forgotten = PositionFromMilliseconds(encoded.forgotten_ms());
   return message;
--- a/src/replication/replication_engine.cpp
+++ b/src/replication/replication_engine.cpp
@@ -66,7 +66,7 @@
 void ReplicationEngine::HandlePacket(TimePoint now, const std::string& sender_address,
                                      const proto::Packet& packet, Outbox& outbox) {
   using Completeness = LeaseView::Completeness;
-  if (packet.has_directory() && leases_ != nullptr)
+  if (packet.has_lease_batch() && leases_ != nullptr)
     leases_->HandlePacket(now, sender_address, packet, outbox);
   if (packet.sender().name().empty()) return;
   // The client has to see an acknowledgement that expired before this one came, or the view would seem to
--- a/src/replication/snapshot_transfer.cpp
+++ b/src/replication/snapshot_transfer.cpp
@@ -27,9 +27,9 @@
   std::uint64_t bucket = progress.next_outgoing_bucket;
   for (int sent = 0; sent < kChunksPerFlush && bucket < table.bucket_count(); ++sent) {
     proto::Packet packet;
-    proto::Chunk& chunk = *packet.mutable_chunk();
-    chunk.set_sync(progress.outgoing_id);
-    chunk.set_from(bucket);
+    proto::SnapshotChunk& chunk = *packet.mutable_snapshot_chunk();
+    chunk.set_transfer_id(progress.outgoing_id);
+    chunk.set_first_bucket(bucket);
     while (bucket < table.bucket_count() &&
            static_cast<std::size_t>(chunk.watermarks_size()) < kWatermarksPerPacket) {
       table.ForEachInBucket(
@@ -37,48 +37,48 @@
             EncodeWatermark(key, watermark, *chunk.add_watermarks());
           });
     }
-    chunk.set_to(bucket);
-    chunk.set_whole(table.bucket_count());
-    chunk.set_upto(progress.outgoing_sequence);
+    chunk.set_end_bucket(bucket);
+    chunk.set_bucket_count(table.bucket_count());
+    chunk.set_last_sequence(progress.outgoing_sequence);
     if (table.newest_evicted()) chunk.set_forgotten_us(MicrosecondsOf(*table.newest_evicted()));
     sender_.Send(address, std::move(packet), outbox);
   }
 }
 
 std::optional<SequenceNumber> SnapshotTransfer::HandleChunk(const std::string& sender_address,
-                                                            const proto::Chunk& chunk,
+                                                            const proto::SnapshotChunk& chunk,
                                                             SnapshotProgress& progress, Outbox& outbox) {
-  if (chunk.sync() != progress.incoming_id) {
-    if (chunk.sync() < progress.incoming_id || chunk.from() != 0) return std::nullopt;
-    progress.incoming_id = chunk.sync();
+  if (chunk.transfer_id() != progress.incoming_id) {
+    if (chunk.transfer_id() < progress.incoming_id || chunk.first_bucket() != 0) return std::nullopt;
+    progress.incoming_id = chunk.transfer_id();
     progress.next_incoming_bucket = 0;
   }
   std::optional<SequenceNumber> received_through;
-  if (chunk.from() == progress.next_incoming_bucket && chunk.to() > chunk.from()) {
+  if (chunk.first_bucket() == progress.next_incoming_bucket && chunk.end_bucket() > chunk.first_bucket()) {
     for (const proto::WriteWatermark& watermark : chunk.watermarks()) {
       ++counts_.watermarks_received;
       consistency_guard_.LearnWatermark(std::nullopt, consistency::SessionKey(watermark.key()),
                                         WatermarkFrom(watermark));
     }
-    progress.next_incoming_bucket = chunk.to();
-    if (chunk.to() >= chunk.whole()) {
-      received_through = chunk.upto();
+    progress.next_incoming_bucket = chunk.end_bucket();
+    if (chunk.end_bucket() >= chunk.bucket_count()) {
+      received_through = chunk.last_sequence();
       if (chunk.forgotten_us() > 0) {
         consistency_guard_.LearnEviction(PositionFromMicroseconds(chunk.forgotten_us()));
       }
     }
   }
   proto::Packet ack;
-  ack.mutable_chunk_ack()->set_sync(chunk.sync());
-  ack.mutable_chunk_ack()->set_next(progress.next_incoming_bucket);
+  ack.mutable_snapshot_chunk_ack()->set_transfer_id(chunk.transfer_id());
+  ack.mutable_snapshot_chunk_ack()->set_next_bucket(progress.next_incoming_bucket);
   sender_.Send(sender_address, std::move(ack), outbox);
   return received_through;
 }
 
-std::optional<SequenceNumber> SnapshotTransfer::HandleAck(const proto::ChunkAck& ack,
+std::optional<SequenceNumber> SnapshotTransfer::HandleAck(const proto::SnapshotChunkAck& ack,
                                                           SnapshotProgress& progress) const {
-  if (ack.sync() != progress.outgoing_id) return std::nullopt;
-  progress.next_outgoing_bucket = std::max(progress.next_outgoing_bucket, ack.next());
+  if (ack.transfer_id() != progress.outgoing_id) return std::nullopt;
+  progress.next_outgoing_bucket = std::max(progress.next_outgoing_bucket, ack.next_bucket());
   if (progress.next_outgoing_bucket < consistency_guard_.watermark_table().bucket_count())
     return std::nullopt;
   return progress.outgoing_sequence;
--- a/src/replication/snapshot_transfer.h
+++ b/src/replication/snapshot_transfer.h
@@ -32,11 +32,13 @@
 
   // Learns the watermarks of a chunk that comes in order and acknowledges it. Returns the sequence number
   // after which the peer's deltas go on, once the last chunk has come.
-  std::optional<SequenceNumber> HandleChunk(const std::string& sender_address, const proto::Chunk& chunk,
-                                            SnapshotProgress& progress, Outbox& outbox);
+  std::optional<SequenceNumber> HandleChunk(const std::string& sender_address,
+                                            const proto::SnapshotChunk& chunk, SnapshotProgress& progress,
+                                            Outbox& outbox);
   // Returns the sequence number up to which the peer has all watermarks, once it has acknowledged the last
   // chunk.
-  std::optional<SequenceNumber> HandleAck(const proto::ChunkAck& ack, SnapshotProgress& progress) const;
+  std::optional<SequenceNumber> HandleAck(const proto::SnapshotChunkAck& ack,
+                                          SnapshotProgress& progress) const;
 
   void OnLog(std::function<void(std::string)> log) { log_ = std::move(log); }
 
--- a/src/replication/timeline_bootstrap.cpp
+++ b/src/replication/timeline_bootstrap.cpp
@@ -14,7 +14,7 @@
   next_request_ = now + kRequestInterval;
   --requests_left_;
   membership::OutgoingPacket request = LeasePacketTo(address, links_.self_incarnation_id());
-  request.packet.mutable_directory()->set_reigns_wanted(true);
+  request.packet.mutable_lease_batch()->set_timelines_requested(true);
   outbox.push_back(std::move(request));
 }
 
--- a/src/replication/traffic_counter.cpp
+++ b/src/replication/traffic_counter.cpp
@@ -16,8 +16,8 @@
 }
 
 TrafficKind KindOf(const proto::Packet& packet) {
-  if (packet.has_delta() || packet.has_directory()) return TrafficKind::kWatermarks;
-  if (packet.has_chunk() || packet.has_chunk_ack()) return TrafficKind::kSnapshots;
+  if (packet.has_delta() || packet.has_lease_batch()) return TrafficKind::kWatermarks;
+  if (packet.has_snapshot_chunk() || packet.has_snapshot_chunk_ack()) return TrafficKind::kSnapshots;
   return TrafficKind::kMembership;
 }
 
--- a/src/replication/watermark_replicator.cpp
+++ b/src/replication/watermark_replicator.cpp
@@ -102,7 +102,7 @@
   for (int sent = 0; sent < kDeltasPerFlush; ++sent) {
     proto::Packet packet;
     proto::Delta& delta = *packet.mutable_delta();
-    delta.set_first(next);
+    delta.set_first_sequence(next);
     while (next <= last_sequence &&
            static_cast<std::size_t>(delta.watermarks_size()) < kWatermarksPerPacket) {
       const WatermarkLog::Entry& entry = log_.At(next);
@@ -112,13 +112,13 @@
       ++next;
       ++counts_.watermarks_sent;
     }
-    delta.set_upto(last_sequence);
-    delta.set_stamp_us(static_cast<std::uint64_t>(MicrosecondsOf(now)));
+    delta.set_last_sequence(last_sequence);
+    delta.set_timestamp_us(static_cast<std::uint64_t>(MicrosecondsOf(now)));
     delta.set_echo_incarnation_id(link.incarnation_id);
-    delta.set_echo_stamp_us(progress.newest_timestamp);
-    delta.set_have_incarnation_id(link.incarnation_id);
-    delta.set_have(progress.received);
-    delta.set_solicit(purpose == DeltaPurpose::kPoll);
+    delta.set_echo_timestamp_us(progress.newest_timestamp);
+    delta.set_received_incarnation_id(link.incarnation_id);
+    delta.set_received_sequence(progress.received);
+    delta.set_poll(purpose == DeltaPurpose::kPoll);
     delta.set_recovered(options_.recovery == Recovery::kComplete);
     if (sent == 0) timelines_.AppendTo(now, link.timelines, packet);
     sender_.Send(address, std::move(packet), outbox);
@@ -131,26 +131,27 @@
                                        const proto::Packet& packet, PeerLink& link, Outbox& outbox) {
   const std::string& name = packet.sender().name();
   WatermarkProgress& progress = link.watermarks;
-  if (packet.has_chunk()) {
-    const auto received = snapshots_.HandleChunk(sender_address, packet.chunk(), link.snapshot, outbox);
+  if (packet.has_snapshot_chunk()) {
+    const auto received =
+        snapshots_.HandleChunk(sender_address, packet.snapshot_chunk(), link.snapshot, outbox);
     if (received) progress.received = std::max(progress.received, *received);
   }
-  if (packet.has_chunk_ack()) {
-    if (const auto acknowledged = snapshots_.HandleAck(packet.chunk_ack(), link.snapshot)) {
+  if (packet.has_snapshot_chunk_ack()) {
+    if (const auto acknowledged = snapshots_.HandleAck(packet.snapshot_chunk_ack(), link.snapshot)) {
       progress.acknowledged = std::max(progress.acknowledged, *acknowledged);
       progress.sent = std::max(progress.sent, progress.acknowledged);
     }
   }
   if (!packet.has_delta()) return;
   HandleDelta(now, name, packet.delta(), link);
-  if (packet.delta().solicit()) Flush(now, name, DeltaPurpose::kUpdate, link, outbox);
+  if (packet.delta().poll()) Flush(now, name, DeltaPurpose::kUpdate, link, outbox);
 }
 
 void WatermarkReplicator::HandleAcknowledgement(TimePoint now, const proto::Delta& delta,
                                                 WatermarkProgress& progress) {
-  if (delta.have_incarnation_id() != swim_.self().incarnation_id()) return;
+  if (delta.received_incarnation_id() != swim_.self().incarnation_id()) return;
   progress.counts_this_instance = true;
-  const SequenceNumber acknowledged = std::min(delta.have(), log_.last_sequence());
+  const SequenceNumber acknowledged = std::min(delta.received_sequence(), log_.last_sequence());
   if (acknowledged <= progress.acknowledged) return;
   progress.acknowledged = acknowledged;
   progress.progressed = now;
@@ -158,8 +159,8 @@
 
 // In sequence, or not at all: what is missing is sent again.
 void WatermarkReplicator::LearnWatermarks(const proto::Delta& delta, WatermarkProgress& progress) {
-  if (delta.first() > progress.received + 1) return;
-  SequenceNumber sequence = delta.first();
+  if (delta.first_sequence() > progress.received + 1) return;
+  SequenceNumber sequence = delta.first_sequence();
   for (const proto::WriteWatermark& watermark : delta.watermarks()) {
     if (sequence++ <= progress.received) continue;
     ++progress.received;
@@ -173,13 +174,13 @@
 void WatermarkReplicator::HandleDelta(TimePoint now, const std::string& name, const proto::Delta& delta,
                                       PeerLink& link) {
   WatermarkProgress& progress = link.watermarks;
-  progress.newest_timestamp = std::max(progress.newest_timestamp, delta.stamp_us());
+  progress.newest_timestamp = std::max(progress.newest_timestamp, delta.timestamp_us());
   HandleAcknowledgement(now, delta, progress);
   LearnWatermarks(delta, progress);
   const bool echoes_this_incarnation =
-      delta.echo_incarnation_id() == swim_.self().incarnation_id() && delta.echo_stamp_us() != 0;
-  if (!echoes_this_incarnation || progress.received < delta.upto()) return;
-  const TimePoint echoed = PositionFromMicroseconds(static_cast<std::int64_t>(delta.echo_stamp_us()));
+      delta.echo_incarnation_id() == swim_.self().incarnation_id() && delta.echo_timestamp_us() != 0;
+  if (!echoes_this_incarnation || progress.received < delta.last_sequence()) return;
+  const TimePoint echoed = PositionFromMicroseconds(static_cast<std::int64_t>(delta.echo_timestamp_us()));
   progress.replicated_through = std::max(progress.replicated_through, std::min(now, echoed));
   progress.was_replicated = true;
   links_.MarkReplicated(name, link);
--- a/tests/replication/former_version_packets_test.cpp
+++ b/tests/replication/former_version_packets_test.cpp
@@ -55,7 +55,7 @@
   watermark.set_key(key);
   watermark.set_group(group);
   watermark.set_position_us(position_us);
-  watermark.set_by(server);
+  watermark.set_server(server);
 }
 
 TEST_CASE("a ping with gossip has the bytes of the former version") {
@@ -87,14 +87,14 @@
 TEST_CASE("a delta of watermarks has the bytes of the former version") {
   proto::Packet packet = PacketWithSender();
   proto::Delta& delta = *packet.mutable_delta();
-  delta.set_first(21);
-  delta.set_upto(23);
-  delta.set_stamp_us(24);
+  delta.set_first_sequence(21);
+  delta.set_last_sequence(23);
+  delta.set_timestamp_us(24);
   delta.set_echo_incarnation_id(25);
-  delta.set_echo_stamp_us(26);
-  delta.set_have_incarnation_id(27);
-  delta.set_have(28);
-  delta.set_solicit(true);
+  delta.set_echo_timestamp_us(26);
+  delta.set_received_incarnation_id(27);
+  delta.set_received_sequence(28);
+  delta.set_poll(true);
   delta.set_recovered(true);
   FillWatermark(*delta.add_watermarks(), 0x31, -32, 33, 34);
   CHECK(packet.SerializeAsString() == ReadFixture("delta"));
@@ -102,18 +102,18 @@
 
 TEST_CASE("a chunk of a snapshot transfer and its acknowledgement have the bytes of the former version") {
   proto::Packet packet = PacketWithSender();
-  proto::Chunk& chunk = *packet.mutable_chunk();
-  chunk.set_sync(41);
-  chunk.set_from(42);
-  chunk.set_to(43);
-  chunk.set_whole(44);
-  chunk.set_upto(45);
+  proto::SnapshotChunk& chunk = *packet.mutable_snapshot_chunk();
+  chunk.set_transfer_id(41);
+  chunk.set_first_bucket(42);
+  chunk.set_end_bucket(43);
+  chunk.set_bucket_count(44);
+  chunk.set_last_sequence(45);
   chunk.set_forgotten_us(46);
   FillWatermark(*chunk.add_watermarks(), 0x47, 48, -49, 50);
   CHECK(packet.SerializeAsString() == ReadFixture("chunk"));
   proto::Packet ack = PacketWithSender();
-  ack.mutable_chunk_ack()->set_sync(51);
-  ack.mutable_chunk_ack()->set_next(52);
+  ack.mutable_snapshot_chunk_ack()->set_transfer_id(51);
+  ack.mutable_snapshot_chunk_ack()->set_next_bucket(52);
   CHECK(ack.SerializeAsString() == ReadFixture("chunk_ack"));
 }
 
@@ -122,8 +122,8 @@
   proto::TimelineRecord& timeline = *packet.add_timelines();
   timeline.set_group(-61);
   timeline.set_primary(62);
-  timeline.set_since_us(63);
-  timeline.set_held_us(64);
+  timeline.set_began_us(63);
+  timeline.set_replicated_us(64);
   timeline.set_confirmed_us(65);
   CHECK(packet.SerializeAsString() == ReadFixture("reigns"));
 }
@@ -145,25 +145,25 @@
   packet.set_version(1);
   packet.mutable_sender()->set_incarnation_id(0x81);
   packet.set_counter(82);
-  proto::LeaseBatch& batch = *packet.mutable_directory();
+  proto::LeaseBatch& batch = *packet.mutable_lease_batch();
   batch.set_view_for_incarnation_id(83);
   batch.set_relay_to("127.0.0.1:7084");
   batch.set_origin_incarnation_id(85);
-  batch.set_reigns_wanted(true);
-  batch.set_by_way(true);
+  batch.set_timelines_requested(true);
+  batch.set_relayed(true);
   for (unsigned kind = 0; kind < 4; ++kind) {
     proto::LeaseBatch::Entry& entry = *batch.add_entries();
     entry.set_kind(static_cast<proto::LeaseBatch::Kind>(kind));
     entry.set_key(90 + kind);
     entry.set_group(91 + kind);
-    entry.set_id(92 + kind);
-    entry.set_serial(93 + kind);
-    entry.set_floor_age_ms(94 + kind);
-    entry.set_mark_ms(95 + kind);
-    entry.set_mark_by(96 + kind);
+    entry.set_request_id(92 + kind);
+    entry.set_grant_number(93 + kind);
+    entry.set_complete_through_age_ms(94 + kind);
+    entry.set_watermark_ms(95 + kind);
+    entry.set_watermark_server(96 + kind);
     entry.set_forgotten_ms(97 + kind);
-    entry.set_origin(98 + kind);
-    entry.set_to(99 + kind);
+    entry.set_origin_incarnation_id(98 + kind);
+    entry.set_destination_incarnation_id(99 + kind);
   }
   CHECK(packet.SerializeAsString() == ReadFixture("directory"));
   CHECK(proto::LeaseBatch::ACQUIRE == 0);
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -115,10 +115,10 @@
       bytes_out[from] += bytes;
       nodes[from]->engine->ChargeBandwidth(now, bytes);
       ++packets;
-      if (out.packet.has_directory()) {
+      if (out.packet.has_lease_batch()) {
         directory_bytes += bytes;
         ++directory_packets;
-        directory_entries += static_cast<std::uint64_t>(out.packet.directory().entries_size());
+        directory_entries += static_cast<std::uint64_t>(out.packet.lease_batch().entries_size());
       }
       if (cut.contains({from, to}) || to >= size) continue;
       const auto hundred = [this] { return static_cast<int>(random() % 100); };
