--- /dev/null
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -0,0 +1,192 @@
+// From when the times of attempts and health checks are counted, when they begin late in a pass of the event
+// loop.
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "replication/event_loop_steps.h"
+#include "support/simulated_fleet.h"
+
+namespace lynxgrade {
+namespace {
+
+// The statement is the time that it tells, in milliseconds.
+struct TellsTime final : proxy::Work {
+  std::string TextFor(Duration left) const override { return std::to_string(left.count() / 1000); }
+};
+
+// A pool of connections alone, with what became of its attempts and probes.
+struct Attempts final : proxy::BackendEvents {
+  explicit Attempts(upstream::PoolSettings settings = {})
+      : pool(loop, settings, budget, [] { return false; }),
+        server(loop, [](Peer& p, const std::string&) { p.Say(Row("v")); }) {
+    pool.SetEvents(*this);
+    pool.SetAddress(kServer, {"127.0.0.1", server.listener.port()});
+  }
+  void OnAttemptEnd(proxy::AttemptEnd end) override { ends.push_back(std::move(end)); }
+  void OnProbeEnd(const HealthCheckEvent& event) override { probed.push_back(event); }
+  void Send(int limit_ms, Duration write_within = Duration::max()) {
+    pool.Send(RequestId(++last), 0, kServer, work, {limit_ms * kMs, write_within});
+  }
+  // One attempt, so that a connection stands idle.
+  void Warm() {
+    Send(1000);
+    Until([&] { return ends.size() == 1; }, loop);
+    REQUIRE(ends.front().outcome == Outcome::kOk);
+  }
+  static constexpr ServerId kServer{1};
+  net::Loop loop;
+  net::DescriptorBudget budget{200};
+  upstream::Pool pool;
+  DataServer server;
+  std::shared_ptr<const proxy::Work> work = std::make_shared<TellsTime>();
+  std::vector<proxy::AttemptEnd> ends;
+  std::vector<HealthCheckEvent> probed;
+  std::uint32_t last = 0;
+};
+
+// A connection whose bytes take long to handle: what is ready behind it waits in the same pass.
+struct Slow final : Connection::Owner {
+  Slow(net::Loop& loop, int ms)
+      : ms(ms),
+        listener(
+            loop, [] { return true; },
+            [&loop, this](net::ObjectPtr<GSocket> s) {
+              there = Connection::Adopt(loop, std::move(s), far, 4096, 4096);
+            }) {
+    REQUIRE(listener.Open({"127.0.0.1", 0}).empty());
+    bool full = false;
+    here = Connection::Open(loop, {"127.0.0.1", listener.port()}, *this, 4096, 4096, &full);
+    Until([&] { return there != nullptr && here->up(); }, loop);
+  }
+  void OnReadable() override {
+    here->in().Consume(here->in().size());
+    StandStill(ms);
+  }
+  void OnPeerDone() override {}
+  void OnBroken() override {}
+  void Begin() { there->Write("x"); }
+  int ms;
+  Peer far;
+  net::Listener listener;
+  std::shared_ptr<Connection> here, there;
+};
+
+// ---- Attempts and probes ---------------------------------------------------------------------------------
+
+TEST_CASE("what an attempt tells is what is left as it is written, late in a long pass too") {
+  Attempts a;
+  a.Warm();
+  InAPass(a.loop, [&] {
+    StandStill(300);
+    a.Send(1000);
+  });
+  Until([&] { return a.server.queries.size() == 2; }, a.loop);
+  CHECK(std::stoi(a.server.queries[1]) <= 700);
+  CHECK(std::stoi(a.server.queries[1]) > 300);
+}
+
+TEST_CASE("an attempt whose connection comes up late tells what is left then") {
+  Attempts a;
+  a.server.greets = false;
+  a.Send(1000);
+  Until([&] { return a.server.peers.size() == 1 && a.server.peers[0]->started; }, a.loop);
+  Wait(a.loop, 150);
+  a.server.peers[0]->Say(Hello());
+  Until([&] { return a.server.queries.size() == 1; }, a.loop);
+  CHECK(std::stoi(a.server.queries[0]) <= 850);
+}
+
+TEST_CASE("an attempt whose time ends in the pass in which its connection is up is not written") {
+  Attempts a;
+  a.server.greets = false;
+  Slow slow(a.loop, 80);
+  const TimePoint from = a.loop.Now();
+  a.Send(120);
+  Until([&] { return a.server.peers.size() == 1 && a.server.peers[0]->started; }, a.loop);
+  Wait(a.loop, static_cast<int>((from + 80 * kMs - a.loop.Precise()) / kMs));
+  InAPass(a.loop, [&] {
+    slow.Begin();
+    a.server.peers[0]->Say(Hello());
+  });
+  Until([&] { return a.ends.size() == 1; }, a.loop);
+  CHECK(a.ends[0].outcome == Outcome::kUnreachable);
+  Wait(a.loop, 50);
+  CHECK(a.server.queries.empty());
+}
+
+TEST_CASE("a connection has its whole time to come up when it is wanted late in a long pass") {
+  Attempts a;
+  InAPass(a.loop, [&] {
+    StandStill(300);
+    a.Send(2000);
+  });
+  Until([&] { return a.ends.size() == 1; }, a.loop);
+  CHECK(a.ends[0].outcome == Outcome::kOk);
+  CHECK(a.server.queries.size() == 1);
+  CHECK(a.server.peers.size() == 1);
+}
+
+TEST_CASE("a probe has its whole time when it is sent late in a long pass") {
+  Attempts a;
+  InAPass(a.loop, [&] {
+    StandStill(300);
+    a.pool.Probe(Attempts::kServer);
+  });
+  Until([&] { return a.probed.size() == 1; }, a.loop);
+  CHECK(a.probed[0].outcome == Outcome::kOk);
+  CHECK(a.probed[0].taken < 100 * kMs);
+}
+
+TEST_CASE("the time of an answer counts from its writing, not from the pass in which it was written") {
+  Attempts a;
+  a.Warm();
+  InAPass(a.loop, [&] {
+    StandStill(200);
+    a.Send(2000);
+  });
+  Until([&] { return a.ends.size() == 2; }, a.loop);
+  CHECK(a.ends[1].outcome == Outcome::kOk);
+  CHECK(a.ends[1].taken < 100 * kMs);
+  CHECK(a.ends[1].taken >= Duration{0});
+}
+
+TEST_CASE("a connection that was refused at once is not taken for one that hung, late in a long pass") {
+  Attempts a;
+  a.pool.SetAddress(Attempts::kServer, {"127.0.0.1", ClosedPort(a.loop)});
+  InAPass(a.loop, [&] {
+    StandStill(200);
+    a.Send(2000);
+  });
+  Until([&] { return a.ends.size() == 1; }, a.loop);
+  CHECK(a.ends[0].outcome == Outcome::kUnreachable);
+  CHECK(a.ends[0].taken < 100 * kMs);
+  CHECK(a.ends[0].taken >= Duration{0});
+}
+
+TEST_CASE("an attempt that ends in the pass in which it began has taken no time, not less") {
+  Attempts a;
+  InAPass(a.loop, [&] {
+    StandStill(50);
+    a.pool.Send(RequestId(1), 0, ServerId(9), a.work, {1000 * kMs, Duration::max()});
+  });
+  REQUIRE(a.ends.size() == 1);
+  CHECK(a.ends[0].outcome == Outcome::kUnreachable);
+  CHECK(a.ends[0].taken == Duration{0});
+}
+
+TEST_CASE("a connection that has been idle for too long is not used between two retirements") {
+  upstream::PoolSettings settings;
+  settings.idle = 300 * kMs;
+  Attempts a(settings);
+  Wait(a.loop, 200);  // the next retirement is due 0.3 s later
+  a.Warm();
+  StandStill(230);  // and does not come while the process stands still
+  a.Send(1000);
+  Until([&] { return a.ends.size() == 2; }, a.loop);
+  CHECK(a.ends[1].outcome == Outcome::kOk);
+  CHECK(a.server.peers.size() == 2);
+}
+
+}  // namespace
+}  // namespace lynxgrade
--- /dev/null
+++ b/tests/replication/lease_settings_test.cpp
@@ -0,0 +1,175 @@
+// Session leases as the settings, the consistency guard and the proxy use them.
+#include <doctest/doctest.h>
+
+#include <functional>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "replication/lease_fleet.h"
+#include "settings/program_settings.h"
+#include "support/simulated_fleet.h"
+
+namespace lynxgrade::replication {
+namespace {
+
+TEST_CASE(
+    "settings: a directory is chosen by name, and not where views are not proven or nobody is to be asked") {
+  const std::string sessions = "[sessions]\nscope = \"everywhere\"\n[peers]\n";
+  const std::string listens = sessions + "listen = \"127.0.0.1:7000\"\nkey_file = \"k\"\n";
+  const auto watermarks = [](const std::string& text) -> std::optional<ReplicationMode> {
+    const auto setup = ParseProgramSettings(text);
+    if (!std::holds_alternative<ProgramSettings>(setup)) return std::nullopt;
+    return std::get<ProgramSettings>(setup).peers.watermarks;
+  };
+  CHECK(watermarks(listens) == ReplicationMode::kBroadcast);
+  CHECK(watermarks(listens + "marks = \"each\"\n") == ReplicationMode::kBroadcast);
+  CHECK(watermarks(listens + "marks = \"directory\"\nasks_per_s = 5\n") == ReplicationMode::kLeases);
+  const auto aside =
+      ParseProgramSettings(listens + "marks = \"directory\"\nowner = true\nbytes_per_s = 12000\n");
+  REQUIRE(std::holds_alternative<ProgramSettings>(aside));
+  CHECK(std::get<ProgramSettings>(aside).peers.owner);
+  CHECK(std::get<ProgramSettings>(aside).peers.bytes_per_s == 12000);
+  CHECK(std::get<ProgramSettings>(aside).peers.coalesce == kMs * 5);
+  const auto waits =
+      ParseProgramSettings(listens + "marks = \"directory\"\nbytes_per_s = 12000\ncoalesce_ms = 8\n");
+  REQUIRE(std::holds_alternative<ProgramSettings>(waits));
+  CHECK(std::get<ProgramSettings>(waits).peers.coalesce == kMs * 8);
+  const auto neither = ParseProgramSettings(listens + "marks = \"directory\"\n");
+  REQUIRE(std::holds_alternative<ProgramSettings>(neither));
+  CHECK_FALSE(std::get<ProgramSettings>(neither).peers.owner);
+  CHECK(std::get<ProgramSettings>(neither).peers.bytes_per_s == 0);
+  struct Wrong {
+    std::string text, names;
+  };
+  for (const Wrong& wrong :
+       {Wrong{listens + "marks = \"some\"\n", "'peers.marks' is not \"each\""},
+        Wrong{listens + "marks = \"directory\"\nmembers = \"plain\"\n", "proven members"},
+        Wrong{sessions + "marks = \"directory\"\n", "'peers.marks'"},
+        Wrong{listens + "asks_per_s = -1\n", "'peers.asks_per_s' lies outside"},
+        Wrong{listens + "owner = true\n", "'peers.owner' is of use only"},
+        Wrong{listens + "marks = \"directory\"\nowner = 1\n", "'peers.owner' is not true or false"},
+        Wrong{listens + "bytes_per_s = 12000\n", "'peers.bytes_per_s' holds back"},
+        Wrong{listens + "coalesce_ms = 101\n", "'peers.coalesce_ms' lies outside"},
+        Wrong{listens + "marks = \"directory\"\nbytes_per_s = -1\n", "'peers.bytes_per_s' lies outside"}}) {
+    CAPTURE(wrong.text);
+    const auto setup = ParseProgramSettings(wrong.text);
+    REQUIRE(std::holds_alternative<std::string>(setup));
+    CHECK(std::get<std::string>(setup).find(wrong.names) != std::string::npos);
+  }
+}
+
+TEST_CASE(
+    "keeper: what is known exactly has neither a gap nor a doubt after its floor, and the rest has as "
+    "before") {
+  struct Known final : consistency::SessionLeases {
+    std::optional<LogPosition> CompleteThrough(consistency::SessionKey) override { return exact; }
+    bool AcquireLease(GroupId, consistency::SessionKey, consistency::LeaseUse use) override {
+      ++(use == consistency::LeaseUse::kWrite ? writes : reads);
+      return true;
+    }
+    std::optional<LogPosition> exact;
+    int reads = 0, writes = 0;
+  } known;
+  constexpr ServerId kSuccessor{8};
+  consistency::Options options = Everywhere();
+  options.reject_uncertain_reads = true;
+  consistency::SessionConsistencyGuard consistency_guard(TwoClasses(), options);
+  consistency_guard.SetSessionLeases(&known);
+  TimePoint now{Duration(1'700'000'000'000'000)};
+  ListEvent list{ListKind::kPersisted, {}};
+  for (const ServerId member : {kPrimary, kSuccessor})
+    list.entries.push_back({.server = member, .group = kGroup});
+  Event event = std::move(list);
+  consistency_guard.PrepareEvent(now, event);
+  // A primary of long ago, and its successor two seconds ago, which held the log up to three seconds ago.
+  consistency_guard.LearnTimeline(kGroup, kPrimary, now - kSecond * 3600, now - kSecond * 3600,
+                                  now - kSecond * 3);
+  consistency_guard.LearnTimeline(kGroup, kSuccessor, now - kSecond * 2, now - kSecond * 3, now);
+  consistency_guard.DrainRejectedReads();
+  std::uint32_t last = 0;
+  const auto read = [&](const char* session) {
+    RequestEvent ask{.id = RequestId(++last), .group = kGroup, .cls = kRead};
+    ask.session = session;
+    Event of = ask;
+    consistency_guard.PrepareEvent(now, of);
+    return std::get<RequestEvent>(of).target;
+  };
+  // Not held: a write that may be lost may be its session's.
+  CHECK(consistency_guard.ShouldDelayRead({.group = kGroup, .cls = kRead, .session = "a", .arrived = now},
+                                          now));
+  read("a");
+  CHECK(consistency_guard.DrainRejectedReads().size() == 1);
+  // Held: it wrote nothing since the floor, which lies before the loss.
+  known.exact = now - kSecond * 20;
+  CHECK_FALSE(consistency_guard.ShouldDelayRead(
+      {.group = kGroup, .cls = kRead, .session = "a", .arrived = now}, now));
+  CHECK(read("a") == now - kSecond * 20);
+  CHECK(consistency_guard.DrainRejectedReads().empty());
+  // A floor within the loss is in doubt, and one that is later than the read is cut to it.
+  known.exact = now - kSecond * 2 - kMs * 500;
+  read("a");
+  CHECK(consistency_guard.DrainRejectedReads().size() == 1);
+  known.exact = now + kSecond;
+  CHECK(read("b") <= now);
+  CHECK(consistency_guard.DrainRejectedReads().size() == 1);
+  // Its own mark in the loss is in doubt as ever; one before it is served by itself.
+  known.exact = now - kSecond * 20;
+  consistency_guard.LearnWatermark(kGroup, consistency::SessionKeyOf(kGroup, "lost"),
+                                   {now - kSecond * 2 - kMs * 500, kPrimary});
+  read("lost");
+  CHECK(consistency_guard.DrainRejectedReads().size() == 1);
+  consistency_guard.LearnWatermark(kGroup, consistency::SessionKeyOf(kGroup, "kept"),
+                                   {now - kSecond * 4, kPrimary});
+  CHECK(read("kept") == now - kSecond * 4);
+  CHECK(consistency_guard.DrainRejectedReads().empty());
+  CHECK(known.reads == 2);
+}
+
+// An answer that has run and may not be told yet: it goes out when it may be, or fails at its request's end.
+TEST_CASE("proxy: a write's answer waits until its session is held, and fails at the end of its request") {
+  for (const int granted_after_ms : {0, 60, -1}) {
+    CAPTURE(granted_after_ms);
+    SimulatedFleet w;
+    DataServer& server =
+        w.Serve([](lynxgrade::Peer& p, const std::string&) { p.Say(Row("1", "primary", "1000")); });
+    server.report = "x1=1,x0=1";
+    std::function<void()> held;
+    std::vector<consistency::SessionKey> asked;
+    proxy::Proxy::Waits waits;
+    waits.safe = [&](GroupId group, consistency::SessionKey key, std::function<void()> call) {
+      CHECK(group == GroupId(2));
+      asked.push_back(key);
+      held = std::move(call);
+      return granted_after_ms != 0;
+    };
+    w.proxy.SetWaits(std::move(waits));
+    w.List();
+    const TimePoint begun = w.loop.Now();
+    lynxgrade::Peer& client = w.Client({Ask("write", "k", 400)});
+    w.Until([&] { return !asked.empty(); });
+    CHECK(asked[0] == consistency::SessionKeyOf(GroupId(2), "k"));
+    if (granted_after_ms > 0) {
+      w.Until([&] { return w.loop.Now() - begun > kMs * granted_after_ms; });
+      CHECK(client.Types().ends_with("Z"));  // of the start alone
+      CHECK_FALSE(client.Types().ends_with("TDCZ"));
+      held();
+    }
+    w.Until([&] { return client.Types().ends_with("CZ") || client.Types().ends_with("EZ"); });
+    if (granted_after_ms >= 0) {
+      CHECK(client.Types().ends_with("TDCZ"));
+      CHECK(w.proxy.counts().served == 1);
+    } else {
+      CHECK(client.Saw("58000"));
+      CHECK(w.loop.Now() - begun <= kMs * 400);
+      CHECK(w.loop.Now() - begun > kMs * 200);
+      CHECK(w.proxy.counts().failed == 1);
+      held();  // too late: nobody is there
+      CHECK(w.proxy.counts().served == 0);
+    }
+    CHECK(w.proxy.open() == 0);
+  }
+}
+
+}  // namespace
+}  // namespace lynxgrade::replication
