--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -74,7 +74,7 @@
 
 // ---- Attempts and probes ---------------------------------------------------------------------------------
 
-TEST_CASE("what an attempt tells is what is left as it is written, late in a long pass too") {
+TEST_CASE("an attempt written late in a long pass announces the time that is left then") {
   Attempts a;
   a.Warm();
   InAPass(a.loop, [&] {
@@ -86,7 +86,7 @@
   CHECK(std::stoi(a.server.queries[1]) > 300);
 }
 
-TEST_CASE("an attempt whose connection comes up late tells what is left then") {
+TEST_CASE("an attempt whose connection is established late announces the time that is left then") {
   Attempts a;
   a.server.greets = false;
   a.Send(1000);
@@ -97,7 +97,7 @@
   CHECK(std::stoi(a.server.queries[0]) <= 850);
 }
 
-TEST_CASE("an attempt whose time ends in the pass in which its connection is up is not written") {
+TEST_CASE("an attempt whose deadline passes as its connection is established is not written") {
   Attempts a;
   a.server.greets = false;
   Slow slow(a.loop, 80);
@@ -115,7 +115,7 @@
   CHECK(a.server.queries.empty());
 }
 
-TEST_CASE("a connection has its whole time to come up when it is wanted late in a long pass") {
+TEST_CASE("a connection requested late in a long pass has its full connect timeout") {
   Attempts a;
   InAPass(a.loop, [&] {
     StandStill(300);
@@ -127,7 +127,7 @@
   CHECK(a.server.peers.size() == 1);
 }
 
-TEST_CASE("a probe has its whole time when it is sent late in a long pass") {
+TEST_CASE("a health check sent late in a long pass has its full timeout") {
   Attempts a;
   InAPass(a.loop, [&] {
     StandStill(300);
@@ -138,7 +138,8 @@
   CHECK(a.probed[0].taken < 100 * kMs);
 }
 
-TEST_CASE("the time of an answer counts from its writing, not from the pass in which it was written") {
+TEST_CASE(
+    "the latency of a response counts from the writing of its request, not from the beginning of the pass") {
   Attempts a;
   a.Warm();
   InAPass(a.loop, [&] {
@@ -151,7 +152,7 @@
   CHECK(a.ends[1].taken >= Duration{0});
 }
 
-TEST_CASE("a connection that was refused at once is not taken for one that hung, late in a long pass") {
+TEST_CASE("a connection refused at once late in a long pass is not taken for one that timed out") {
   Attempts a;
   a.pool.SetAddress(Attempts::kServer, {"127.0.0.1", ClosedPort(a.loop)});
   InAPass(a.loop, [&] {
@@ -164,7 +165,7 @@
   CHECK(a.ends[0].taken >= Duration{0});
 }
 
-TEST_CASE("an attempt that ends in the pass in which it began has taken no time, not less") {
+TEST_CASE("an attempt that ends in the pass in which it began has a latency of zero") {
   Attempts a;
   InAPass(a.loop, [&] {
     StandStill(50);
@@ -175,7 +176,7 @@
   CHECK(a.ends[0].taken == Duration{0});
 }
 
-TEST_CASE("a connection that has been idle for too long is not used between two retirements") {
+TEST_CASE("a connection idle for longer than allowed is not used between two retirements") {
   upstream::PoolSettings settings;
   settings.idle = 300 * kMs;
   Attempts a(settings);
--- a/tests/replication/datagram_authenticator_test.cpp
+++ b/tests/replication/datagram_authenticator_test.cpp
@@ -32,7 +32,7 @@
   return packet;
 }
 
-TEST_CASE("keys: what is wrong with a file is named with its line") {
+TEST_CASE("keys: the error of a key file names its line") {
   struct Case {
     std::string text, says;
   };
@@ -51,7 +51,7 @@
   CHECK(Keys("# first\n 7 " + kOne + " # signs\r\n8\t" + kTwo).size() == 2);
 }
 
-TEST_CASE("envelope: each fault is told apart, and no changed byte gets through") {
+TEST_CASE("datagrams: each error is distinguished, and a changed byte is rejected") {
   DatagramAuthenticator sender(Keys("1 " + kOne)), receiver(Keys("1 " + kOne)), stranger(Keys("1 " + kTwo)),
       other(Keys("2 " + kOne));
   proto::Packet packet = APacket();
@@ -72,7 +72,9 @@
   CHECK(ErrorOf(receiver.Verify(sender.Sign(future))) == DatagramError::kUnsupportedVersion);
 }
 
-TEST_CASE("envelope: late and swapped datagrams are taken once each, those from long ago not at all") {
+TEST_CASE(
+    "datagrams: late and reordered ones are accepted once each, those outside the replay window are "
+    "rejected") {
   DatagramAuthenticator sender(Keys("1 " + kOne)), receiver(Keys("1 " + kOne));
   std::vector<std::string> sent;
   for (int i = 0; i < 6000; ++i) {
@@ -88,7 +90,7 @@
   CHECK(receiver.Verify(DatagramAuthenticator(Keys("1 " + kOne)).Sign(next_life)).has_value());
 }
 
-TEST_CASE("envelope: keys are rotated under way, and no datagram is lost by it") {
+TEST_CASE("datagrams: none is rejected while keys are rotated") {
   DatagramAuthenticator a(Keys("1 " + kOne)), b(Keys("1 " + kOne));
   int lost = 0;
   const auto both = [&] {
--- a/tests/replication/lease_bandwidth_test.cpp
+++ b/tests/replication/lease_bandwidth_test.cpp
@@ -9,7 +9,7 @@
 namespace lynxgrade::replication {
 namespace {
 
-TEST_CASE("directory: while bytes are short messages share packets, by way of an owner, and cost less") {
+TEST_CASE("leases: with little bandwidth left messages are batched through a relay, and cost less") {
   double alone = 0;
   int held_back = 0;
   for (const Duration coalesce : {Duration{0}, kMs * 5}) {
@@ -47,7 +47,7 @@
   }
 }
 
-TEST_CASE("directory: nothing waits while bytes are not short, nor beside an owner that passes nothing on") {
+TEST_CASE("leases: nothing is batched while bandwidth suffices, or while a manager does not relay") {
   for (const bool short_of_bytes : {false, true}) {
     Fleet fleet(8, {.owners = 2, .bytes_per_s = short_of_bytes ? 4000.0 : 1e6, .coalesce = kMs * 5});
     if (short_of_bytes) {
@@ -74,7 +74,7 @@
   }
 }
 
-TEST_CASE("directory: where the owner by way of which they speak stops, asks go straight after one wait") {
+TEST_CASE("leases: requests go directly to managers after one retry when the relay is suspended") {
   Fleet fleet(9, {.owners = 3, .bytes_per_s = 4000, .coalesce = kMs * 5});
   Crowd(fleet);
   fleet.Pass(kSecond);
@@ -101,7 +101,7 @@
   CHECK(fleet.stale == 0);
 }
 
-TEST_CASE("directory: storms while bytes are short, with owners that die, leave no read stale") {
+TEST_CASE("leases: faults with little bandwidth left and managers that die leave no read stale") {
   int done = 0, conservative = 0, answered = 0, failed = 0;
   std::uint64_t waited = 0;
   for (std::uint64_t seed = 1; seed <= 9; ++seed) {
@@ -129,7 +129,7 @@
   CHECK(failed * 10 < answered);
 }
 
-TEST_CASE("directory: asks for reads are capped, and what is not asked for is conservative") {
+TEST_CASE("leases: requests for reads are capped, and reads without one wait for a conservative position") {
   Fleet fleet(4, {Way::kLeases, 0, 1});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
@@ -144,7 +144,8 @@
   CHECK(fleet.stale == 0);
 }
 
-TEST_CASE("directory: a budget of bytes holds back reads' asks, never writes, and nothing is stale") {
+TEST_CASE(
+    "leases: a bandwidth budget holds back requests for reads, never for writes, and no read is stale") {
   double without = 0;
   int held_back = 0;
   // What cannot wait is some 8,000 here: half of the writes move as well.
--- a/tests/replication/lease_fleet.h
+++ b/tests/replication/lease_fleet.h
@@ -30,10 +30,10 @@
 inline constexpr Duration kMs{1000};
 inline constexpr Duration kSecond{1'000'000};
 inline constexpr Duration kTick{5000};
-inline constexpr std::size_t kHeads = 18 + 28;  // the envelope, UDP and IPv4
+inline constexpr std::size_t kHeads = 18 + 28;  // of the datagram, UDP and IPv4
 inline constexpr ClassIndex kRead = 0, kWrite = 1;
 
-enum class Way { kBroadcast, kLeases, kPlain };  // plain: writes do not wait to be held
+enum class Way { kBroadcast, kLeases, kPlain };  // plain: writes do not wait for leases
 
 inline Settings TwoClasses() {
   Settings settings;
@@ -75,11 +75,11 @@
   int loss = 0;
   double reads_per_s = 1000;
   Duration delay{300};
-  std::size_t owners = 0;    // the last so many are owners set aside: no clients are sent there
+  std::size_t owners = 0;    // the last so many are dedicated managers: no clients connect there
   double reads_a_write = 2;  // of a session, by Load
-  double bytes_per_s = 0;    // the budget; what reads ask is held back for it
+  double bytes_per_s = 0;    // the budget, which holds back requests for reads
   Duration coalesce{};       // while it is short
-  bool mixed = false;        // every other life knows nothing of owners set aside
+  bool mixed = false;        // every other incarnation does not know dedicated managers
   bool owners_named = true;  // the rule for these
 };
 
@@ -105,13 +105,14 @@
     ready_from[at] = TimePoint{};
     stopped[at] = now;
   }
-  // Of an older version: it chooses among all that go by the directory.
+  // Of an older version: it selects managers among all that use leases.
   bool Old(std::size_t at) const { return options.mixed && !Aside(at) && random_old[at]; }
 
   void Send(std::size_t from, Outbox& outs) {
     for (membership::OutgoingPacket& out : outs) {
       const auto to = static_cast<std::size_t>(std::atoi(out.address.c_str() + 1));
-      const std::size_t bytes = out.packet.ByteSizeLong() + 4 + kHeads;  // its counter is set as it is sealed
+      const std::size_t bytes =
+          out.packet.ByteSizeLong() + 4 + kHeads;  // its counter is set when it is signed
       bytes_out[from] += bytes;
       nodes[from]->engine->ChargeBandwidth(now, bytes);
       ++packets;
@@ -122,7 +123,7 @@
       }
       if (cut.contains({from, to}) || to >= size) continue;
       const auto hundred = [this] { return static_cast<int>(random() % 100); };
-      // The envelope takes each packet once.
+      // The authenticator accepts each packet once.
       if (hundred() < options.loss) continue;
       const Duration delay = options.delay + Duration(static_cast<std::int64_t>(random() % 3000));
       wire.push({now + delay, order++, to, "a" + std::to_string(from), std::move(out.packet)});
@@ -350,10 +351,10 @@
   std::vector<double> waited_ms;                                   // answers of writes, after they had run
   std::uint64_t order = 0, incarnation_ids = 100, directory_bytes = 0, packets = 0;
   std::uint64_t directory_packets = 0, directory_entries = 0;
-  std::vector<std::uint64_t> bytes_out, bytes_in;  // of each instance, heads included
-  std::vector<std::clock_t> spent;                 // processor time, of owners set aside
+  std::vector<std::uint64_t> bytes_out, bytes_in;  // of each instance, headers included
+  std::vector<std::clock_t> spent;                 // processor time, of dedicated managers
   std::vector<bool> random_old;
-  std::optional<std::size_t> old_owner;  // of a version that passes nothing on
+  std::optional<std::size_t> old_owner;  // of a version that does not relay
   int sessions = 0, stale = 0, reads_begun = 0, reads_done = 0, conservative = 0, writes_failed = 0;
 };
 
@@ -447,7 +448,7 @@
   }
 }
 
-// Poolers of which most sessions move, so that even what cannot wait is more than their budget.
+// Poolers of which most sessions migrate, so that even what cannot wait exceeds their budget.
 inline void Crowd(Fleet& fleet) {
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond * 5);
--- a/tests/replication/lease_managers_test.cpp
+++ b/tests/replication/lease_managers_test.cpp
@@ -10,7 +10,7 @@
 namespace lynxgrade::replication {
 namespace {
 
-TEST_CASE("directory: owners set aside alone own, and where none of them is left all do") {
+TEST_CASE("leases: dedicated managers alone manage leases, and all instances do once none is left") {
   Fleet fleet(6, {.owners = 2});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
@@ -56,7 +56,7 @@
   CHECK(fleet.stale == 0);
 }
 
-TEST_CASE("directory: owners set aside that die, restart and are cut off leave no read stale") {
+TEST_CASE("leases: dedicated managers that die, restart and are cut off leave no read stale") {
   int done = 0, conservative = 0, answered = 0, failed = 0;
   for (std::uint64_t seed = 1; seed <= 9; ++seed) {
     CAPTURE(seed);
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE(
-    "directory: beside lives that know nothing of owners set aside all own, and they go on being whole") {
+    "leases: beside incarnations that do not know dedicated managers all manage, and views stay complete") {
   Fleet fleet(5, {.owners = 2, .mixed = true});
   for (std::size_t at = 0; at < fleet.size; ++at) {
     while (fleet.random_old[at] != (at != 1 && at < 3)) fleet.Begin(at, Way::kLeases);
@@ -111,8 +111,7 @@
   CHECK(fleet.conservative * 20 < fleet.reads_done);
 }
 
-TEST_CASE(
-    "directory: were owners set aside chosen beside lives that do not know of them, reads would be stale") {
+TEST_CASE("leases: dedicated managers selected beside incarnations that do not know them make reads stale") {
   int stale = 0;
   for (std::uint64_t seed = 1; seed <= 8 && stale == 0; ++seed) {
     Fleet fleet(5, {.owners = 1 + seed % 2, .mixed = true, .owners_named = false}, seed);
@@ -125,7 +124,8 @@
 
 // An older version passes on what it does not know; were it lost on the way, views would differ instead of
 // owners.
-TEST_CASE("members: what a later version says of a life is passed on whole, and a view names its owners") {
+TEST_CASE(
+    "membership: unknown fields of a later version are forwarded, and a view names its dedicated managers") {
   proto::Member told;
   told.set_name("x");
   told.set_incarnation_id(77);
--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -13,8 +13,7 @@
 namespace lynxgrade::replication {
 namespace {
 
-TEST_CASE(
-    "settings: a directory is chosen by name, and not where views are not proven or nobody is to be asked") {
+TEST_CASE("settings: leases are enabled by name, and rejected without proven views or without peers") {
   const std::string sessions = "[sessions]\nscope = \"everywhere\"\n[peers]\n";
   const std::string listens = sessions + "listen = \"127.0.0.1:7000\"\nkey_file = \"k\"\n";
   const auto watermarks = [](const std::string& text) -> std::optional<ReplicationMode> {
@@ -59,9 +58,7 @@
   }
 }
 
-TEST_CASE(
-    "keeper: what is known exactly has neither a gap nor a doubt after its floor, and the rest has as "
-    "before") {
+TEST_CASE("guard: a session known completely has no gap after its position, and others keep theirs") {
   struct Known final : consistency::SessionLeases {
     std::optional<LogPosition> CompleteThrough(consistency::SessionKey) override { return exact; }
     bool AcquireLease(GroupId, consistency::SessionKey, consistency::LeaseUse use) override {
@@ -127,7 +124,8 @@
 }
 
 // An answer that has run and may not be told yet: it goes out when it may be, or fails at its request's end.
-TEST_CASE("proxy: a write's answer waits until its session is held, and fails at the end of its request") {
+TEST_CASE(
+    "proxy: a write's response waits for the session's lease, and fails at the deadline of its request") {
   for (const int granted_after_ms : {0, 60, -1}) {
     CAPTURE(granted_after_ms);
     SimulatedFleet w;
--- a/tests/replication/lease_transport_test.cpp
+++ b/tests/replication/lease_transport_test.cpp
@@ -10,7 +10,7 @@
 namespace lynxgrade::replication {
 namespace {
 
-TEST_CASE("directory: sessions that move are read with their own mark, and nothing is stale") {
+TEST_CASE("leases: sessions that migrate read by their own watermark, and no read is stale") {
   for (const std::size_t size : {1u, 2u, 3u, 8u}) {
     CAPTURE(size);
     Fleet fleet(size, {});
@@ -30,7 +30,9 @@
   }
 }
 
-TEST_CASE("directory: with losses, cuts, stops and restarts no read's target misses an answered write") {
+TEST_CASE(
+    "leases: with packet loss, partitions, suspensions and restarts no required position misses an answered "
+    "write") {
   int done = 0, conservative = 0, answered = 0, failed = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
@@ -49,7 +51,7 @@
   CHECK(failed * 10 < answered);
 }
 
-TEST_CASE("directory: where writes do not wait to be held, reads miss them") {
+TEST_CASE("leases: reads are stale if writes do not wait for leases") {
   int stale = 0;
   for (std::uint64_t seed = 1; seed <= 8 && stale == 0; ++seed) {
     Fleet fleet(3, {Way::kPlain}, seed);
@@ -60,8 +62,7 @@
   CHECK(stale > 0);
 }
 
-TEST_CASE(
-    "directory: beside instances that tell each of every write nothing is stale, and theirs stay covered") {
+TEST_CASE("leases: beside instances that broadcast watermarks no read is stale, and theirs stay replicated") {
   Fleet fleet(4, {Way::kBroadcast});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Load(kSecond * 3, 10, 30);
@@ -91,7 +92,8 @@
   CHECK(fleet.conservative * 20 < fleet.reads_done);
 }
 
-TEST_CASE("directory: a cut stops no writes for longer than views take to lapse, and reads fall back") {
+TEST_CASE(
+    "leases: a partition delays writes no longer than views take to expire, and reads become conservative") {
   Fleet fleet(4, {});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
@@ -117,7 +119,7 @@
   CHECK(fleet.conservative * 20 < fleet.reads_done);
 }
 
-TEST_CASE("directory: two who do not reach each other ask, recall and release through a third") {
+TEST_CASE("leases: two instances that cannot reach each other acquire, revoke and release through a third") {
   Fleet fleet(4, {});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
@@ -136,7 +138,7 @@
           fleet.waited_ms[fleet.waited_ms.size() * 99 / 100], ", at most ", fleet.waited_ms.back());
 }
 
-TEST_CASE("directory: one whose name another took later answers no writes until that one is over") {
+TEST_CASE("leases: an instance with a duplicate node name answers no writes while the newer one runs") {
   Fleet fleet(2, {});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   ReplicationEngine& engine = *fleet.nodes[0]->engine;
@@ -160,8 +162,7 @@
   CHECK(engine.MayAnswerWrite(fleet.now, key));
 }
 
-TEST_CASE(
-    "directory: a mark that is handed on tells no reign of the group of another session of the same key") {
+TEST_CASE("leases: a granted watermark starts no timeline in the group of another session of the same key") {
   constexpr GroupId kOther{2};
   const consistency::SessionKey key = consistency::SessionKeyOf(kGroup, "p10");
   REQUIRE(key == consistency::SessionKeyOf(kOther, "p11"));
@@ -186,7 +187,7 @@
   }
 }
 
-TEST_CASE("directory: one that starts from nothing is told the reigns that others know") {
+TEST_CASE("leases: an instance that starts without state receives the timelines that its peers know") {
   Fleet fleet(3, {});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Load(kSecond, 20, 0);
@@ -199,7 +200,7 @@
   CHECK(fleet.now - timelines.at(kGroup).since() > kSecond * 30);
 }
 
-TEST_CASE("exchange: where each tells each, all of 243 groups are told, again and again, also after losses") {
+TEST_CASE("replication: the timelines of all of 243 groups are sent, and repeated, also after packet loss") {
   Fleet fleet(2, {Way::kBroadcast, 0});
   REQUIRE(fleet.UntilWhole(kSecond * 20));
   fleet.Pass(kSecond);
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -72,7 +72,7 @@
   int asked = 0;
 };
 
-TEST_CASE("a read has to see the writes up to when it was taken, not to when the pass began") {
+TEST_CASE("a read requires the writes up to its arrival, not up to the beginning of the pass") {
   Reads r;
   // In one pass: word from the other instance, which then answers a write, and a read of that session.
   InAPass(r.loop, [&] {
@@ -88,7 +88,7 @@
   CHECK(r.sends.sent.size() == 1);
 }
 
-TEST_CASE("a read that was held back keeps the deadline that it came with") {
+TEST_CASE("a read that waited keeps the deadline with which it arrived") {
   Reads r;
   TimePoint from{};
   InAPass(r.loop, [&] {
@@ -103,7 +103,7 @@
   CHECK(r.loop.Now() + r.sends.sent[0] == from + 1000 * kMs);
 }
 
-TEST_CASE("the time for which a read was held back does not make a client's first try look like a repeat") {
+TEST_CASE("the time for which a read waited does not make a first attempt look like a retry") {
   Settings settings = Usual();
   Balancer balancer(settings, 7);
   TimePoint now{1000000 * kMs};
@@ -171,7 +171,7 @@
   std::vector<std::unique_ptr<std::string>> names;
 };
 
-TEST_CASE("the others have their whole time to count an instance whose start took long before that") {
+TEST_CASE("peers have their full time to count an instance whose recovery took long") {
   Pair pair(300);
   pair.setup.seeds = {net::Address{"127.0.0.1", ClosedPort(pair.loop)}};
   StandStill(400);  // as where the state is long, or the disk slow
@@ -182,7 +182,7 @@
   CHECK(one->Ready());
 }
 
-TEST_CASE("word that was asked for before a read came is asked for again") {
+TEST_CASE("peers polled before a read arrived are polled again") {
   Pair pair(0);
   pair.setup.listen = net::Address{"127.0.0.1", ClosedPort(pair.loop)};
   const auto one = pair.Start("one");
@@ -202,7 +202,8 @@
 }
 
 TEST_CASE(
-    "what comes while the loop is busy or stands still is known to have come no sooner than it looked") {
+    "input that arrives while the loop is busy or suspended counts as arrived no earlier than the last "
+    "poll") {
   net::Loop loop;
   Wait(loop, 5);
   TimePoint before{};
@@ -219,7 +220,7 @@
   CHECK(loop.Now() - loop.Since() < 20 * kMs);
 }
 
-TEST_CASE("the quiet of a watch counts from when its last line came, not from when it was read") {
+TEST_CASE("the silence of a watch counts from the arrival of its last line, not from when it was read") {
   // The second draw of this seed is near the end of what may be waited.
   constexpr std::uint64_t kSeed = 10;
   std::minstd_rand random(kSeed);
@@ -247,7 +248,7 @@
   CHECK(*watch.calls_at() - w.loop.Now() > most - 100 * kMs);
 }
 
-TEST_CASE("a call for the list has its whole time when it is made late in a long pass") {
+TEST_CASE("a list request made late in a long pass has its full timeout") {
   SimulatedFleet w;
   Agent agent(w.loop);
   agent.line = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
@@ -260,7 +261,7 @@
   CHECK(agent.peers.size() == 1);
 }
 
-TEST_CASE("an answer does not go out before its write is safe because this process stood still") {
+TEST_CASE("a response is not sent before its write is durable because this process was suspended") {
   Pair folder(0);  // for its folder
   const std::string state = folder.folder + "/state";
   consistency::SessionConsistencyGuard consistency_guard(Usual(), Reads::Everywhere());
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr GroupId kGroup{1};
 constexpr Duration kTick{5000};
-constexpr std::size_t kHeads = 18 + 28;  // the envelope, UDP and IPv4
+constexpr std::size_t kHeads = 18 + 28;  // of the datagram, UDP and IPv4
 
 Settings SessionSettings() {
   Settings settings;
@@ -102,7 +102,7 @@
         if (nodes[i] == nullptr) continue;
         nodes[i]->engine->Tick(now + nodes[i]->clock, outs);
         Send(i, outs);
-        // What counts as covered must be held: the one property that staleness hangs on.
+        // What counts as replicated must be known: the property on which reads rely.
         for (const auto& [name, upto] : nodes[i]->engine->ReplicatedThrough()) {
           for (const auto& [by, key, at] : written) {
             if ("n" + std::to_string(by) != name || upto - nodes[i]->clock <= at) continue;
@@ -174,8 +174,8 @@
 constexpr Duration kSecond{1'000'000};
 
 TEST_CASE(
-    "exchange: every write gets to every instance, whatever is lost, doubled or late; none is covered "
-    "before") {
+    "replication: every write reaches every instance under loss, duplicates and delay; none counts before it "
+    "did") {
   for (const int loss : {0, 5, 30}) {
     CAPTURE(loss);
     Net net(4, loss);
@@ -194,7 +194,7 @@
   }
 }
 
-TEST_CASE("exchange: peers with nothing to say are quiet, and a write goes out as soon as ever") {
+TEST_CASE("replication: idle peers send little, and a write is sent without delay") {
   std::map<bool, std::uint64_t> bytes;
   for (const bool quiet : {false, true}) {
     Net net(8, 0, 65536, quiet ? ReplicationEngine::Options{}.idle_interval : Duration{0});
@@ -219,7 +219,7 @@
 }
 
 // By hand: how long until a write is covered at each other instance, and what each sends meanwhile.
-TEST_CASE("exchange: curves" * doctest::skip()) {
+TEST_CASE("replication: delay curves" * doctest::skip()) {
   for (const int count : {3, 16, 64}) {
     for (const int loss : {0, 5, 30}) {
       Net net(count, loss);
@@ -253,7 +253,7 @@
   }
 }
 
-TEST_CASE("exchange: a seed that was never heard counts as not covered") {
+TEST_CASE("replication: a seed that was never heard counts as not replicated") {
   Net net(1);
   net.Pass(kSecond * 2);
   CHECK(net.Behind(0) > kSecond * 3600);
@@ -262,7 +262,7 @@
   CHECK(net.Behind(0) < kSecond);
 }
 
-TEST_CASE("exchange: who is cut off in one direction only is not covered, on the side that hears nothing") {
+TEST_CASE("replication: a link cut in one direction counts as not replicated on both sides") {
   Net net(2);
   net.Pass(kSecond * 2);
   net.cut.insert({0, 1});  // what 0 says does not reach 1
@@ -276,8 +276,7 @@
   CHECK(net.wrongly_covered == 0);
 }
 
-TEST_CASE(
-    "exchange: a peer that comes back under its name with nothing leaves a gap; with its state it does not") {
+TEST_CASE("replication: a peer that restarts without state leaves a gap, one that recovered does not") {
   for (const bool recovered : {false, true}) {
     CAPTURE(recovered);
     Net net(2);
@@ -294,7 +293,7 @@
   }
 }
 
-TEST_CASE("exchange: a clock that is off by an hour stretches no coverage") {
+TEST_CASE("replication: a clock that is off by an hour extends no replication watermark") {
   for (const Duration off : {kSecond * 3600, kSecond * -3600}) {
     Net net(1);
     net.Begin(1, false, off);
@@ -313,7 +312,7 @@
   }
 }
 
-TEST_CASE("exchange: a storm beyond what is kept in sequence is said to be not covered, then made good") {
+TEST_CASE("replication: more writes than are retained count as not replicated until a snapshot has come") {
   Net net(2, 0, 100);
   net.Pass(kSecond * 2);
   net.cut = {{0, 1}, {1, 0}};
@@ -329,7 +328,9 @@
   CHECK(net.wrongly_covered == 0);
 }
 
-TEST_CASE("exchange: two instances of one name are noticed, and the older one's time is not covered") {
+TEST_CASE(
+    "replication: a duplicate node name is noticed, and the older instance's writes count as not "
+    "replicated") {
   Net net(3);
   net.Pass(kSecond * 2);
   // A second process under the name of 2, at an address of its own.
@@ -350,7 +351,7 @@
   CHECK(net.TargetOfUnknown(0));
 }
 
-TEST_CASE("membership: a death is told to all, nobody else is held dead, and a leave is no death") {
+TEST_CASE("membership: all learn of a death, nobody else is declared dead, and a leave is no death") {
   Net net(8, 5);
   net.Pass(kSecond * 3);
   for (int at = 0; at < 8; ++at) {
