--- a/src/replication/lease_transport.cpp
+++ b/src/replication/lease_transport.cpp
@@ -98,9 +98,9 @@
 }
 
 void LeaseTransport::Forward(const proto::Packet& packet, Outbox& outbox) const {
-  const proto::LeaseBatch& batch = packet.directory();
+  const proto::LeaseBatch& batch = packet.lease_batch();
   membership::OutgoingPacket forwarded = LeasePacketTo(batch.relay_to(), links_.self_incarnation_id());
-  proto::LeaseBatch& forwarded_batch = *forwarded.packet.mutable_directory();
+  proto::LeaseBatch& forwarded_batch = *forwarded.packet.mutable_lease_batch();
   forwarded_batch = batch;
   forwarded_batch.clear_relay_to();
   forwarded_batch.set_origin_incarnation_id(packet.sender().incarnation_id());
@@ -110,7 +110,7 @@
 
 void LeaseTransport::HandlePacket(TimePoint now, const std::string& sender_address,
                                   const proto::Packet& packet, Outbox& outbox) {
-  const proto::LeaseBatch& batch = packet.directory();
+  const proto::LeaseBatch& batch = packet.lease_batch();
   if (!batch.relay_to().empty()) return Forward(packet, outbox);
   lease::IncarnationId origin = packet.sender().incarnation_id();
   if (batch.origin_incarnation_id() != 0) {
@@ -127,15 +127,15 @@
     if (!IsKnownKind(entry.kind())) continue;
     Hop hop;
     hop.message = LeaseMessageFrom(entry, view);
-    hop.via_relay = batch.by_way();
-    hop.origin = entry.origin();
-    hop.relay_to = entry.to();
+    hop.via_relay = batch.relayed();
+    hop.origin = entry.origin_incarnation_id();
+    hop.relay_to = entry.destination_incarnation_id();
     const lease::IncarnationId author = relay_.Receive(now, origin, hop, hops);
     if (author != 0) client_.HandleMessage(now, author, hop.message, responses);
   }
   SendHops(now, hops, outbox);
   SendMessages(now, responses, outbox);
-  if (batch.reigns_wanted()) bootstrap_.SendAll(sender_address, outbox);
+  if (batch.timelines_requested()) bootstrap_.SendAll(sender_address, outbox);
 }
 
 void LeaseTransport::SendMessages(TimePoint now, const lease::LeaseOutbox& messages, Outbox& outbox) {
@@ -170,15 +170,15 @@
                                                 std::size_t& next) const {
   const Hop& first = *hops[next];
   membership::OutgoingPacket packed = LeasePacketTo(address, links_.self_incarnation_id());
-  proto::LeaseBatch& batch = *packed.packet.mutable_directory();
+  proto::LeaseBatch& batch = *packed.packet.mutable_lease_batch();
   batch.set_view_for_incarnation_id(BindViewTo(first.receiver, first.message.view));
-  batch.set_by_way(first.via_relay);
+  batch.set_relayed(first.via_relay);
   for (; next < hops.size() && static_cast<std::size_t>(batch.entries_size()) < kLeaseMessagesPerPacket;
        ++next) {
     const Hop& hop = *hops[next];
     proto::LeaseBatch::Entry& entry = *batch.add_entries();
-    entry.set_origin(hop.origin);
-    entry.set_to(hop.relay_to);
+    entry.set_origin_incarnation_id(hop.origin);
+    entry.set_destination_incarnation_id(hop.relay_to);
     EncodeLeaseMessage(hop.message, entry);
     if (hop.message.watermark) timelines_.AppendIfRecent(now, hop.message.group, packed.packet);
   }
@@ -191,7 +191,7 @@
   ++counts_.lease_packets_sent;
   if (const std::string detour = DetourTo(now, receiver, unanswered); !detour.empty()) {
     membership::OutgoingPacket relayed = packet;
-    relayed.packet.mutable_directory()->set_relay_to(std::exchange(relayed.address, detour));
+    relayed.packet.mutable_lease_batch()->set_relay_to(std::exchange(relayed.address, detour));
     outbox.push_back(std::move(relayed));
   }
   outbox.push_back(std::move(packet));
