--- a/src/capacity/model.cpp
+++ b/src/capacity/model.cpp
@@ -850,9 +850,9 @@
       [](const Target& target, Column column) {
         const double poolers = SizeIn(target, column).poolers;
         fleet::DiscoveryRetryPolicy waits(true, static_cast<std::uint32_t>(poolers),
-                                          fleet::Duration(static_cast<std::int64_t>(kDrainGraceS * 1e6)));
+                                          Duration(static_cast<std::int64_t>(kDrainGraceS * 1e6)));
         // All that draw just under one draw the window's end.
-        const double window = static_cast<double>(waits.Next(0.999999, fleet::Duration{}).count()) / 1e6;
+        const double window = static_cast<double>(waits.NextWait(0.999999, Duration{}).count()) / 1e6;
         return Worked(poolers / window);
       });
   build.NotMeasured(Named(role, "processor", "% of a core", "none"));
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -35,7 +35,7 @@
 // members that their agents had long known to drain.
 void Watch::CallFirst() {
   // Half of the grace at most: the rest is for the answer, or a retry.
-  const Duration wait = callers_.shared ? waits_.First(Chance(), callers_.grace / 2) : Duration{0};
+  const Duration wait = callers_.shared ? waits_.FirstWait(Chance(), callers_.grace / 2) : Duration{0};
   again_.After(wait, [this] { Call(); });
 }
 
@@ -53,7 +53,7 @@
   if (address.host == address_.host && address.port == address_.port) return;
   address_ = address;
   if (connection_ != nullptr) connection_->Close();
-  waits_.Succeeded();  // the failures were the old address's
+  waits_.RecordSuccess();  // the failures were the old address's
   heard_at_ = loop_.Now();
   deadline_.Clear();
   CallFirst();
@@ -101,7 +101,7 @@
       return false;
     }
     if (!wrong.empty()) spdlog::warn("discovery: {}", wrong);
-    waits_.Succeeded();
+    waits_.RecordSuccess();
     // It may have come while this loop was busy or stood still, and what was missed counts from then.
     heard_at_ = std::max(heard_at_, loop_.Since());
     ExpectWithin(waits_.silence(), "silent for too long");
@@ -133,7 +133,7 @@
 void Watch::Again(const char* why) {
   if (connection_ != nullptr) connection_->Close();
   deadline_.Clear();
-  const Duration wait = waits_.Next(Chance(), loop_.Now() - heard_at_);
+  const Duration wait = waits_.NextWait(Chance(), loop_.Now() - heard_at_);
   if (waits_.failures() == 1) {
     spdlog::info("discovery: {}; watching anew from version {}", why, since_);
   } else {
--- a/src/estimation/client_patience_estimator.cpp
+++ b/src/estimation/client_patience_estimator.cpp
@@ -5,25 +5,26 @@
 namespace lynxgrade::estimation {
 namespace {
 
-constexpr double kKept = 0.998;  // of all counts with each client: about the last five hundred tell
-constexpr double kPrior = 5;     // clients taken to have stayed throughout: the first to leave is no proof
-constexpr double kEnough = 0.5;  // of the clients: an answer is more likely of use than not
+constexpr double kDecay = 0.998;     // of all counts with each client: about the last five hundred count
+constexpr double kPriorClients = 5;  // taken to have stayed throughout: the first to leave is no proof
+constexpr double kMedian = 0.5;
 
 }  // namespace
 
-void ClientPatienceEstimator::Seen(double aims, bool left) {
-  const auto last = static_cast<std::size_t>(std::max(0.0, aims) * kBins);
+void ClientPatienceEstimator::RecordStay(double objectives, StayEnd end) {
+  const auto last_bin = static_cast<std::size_t>(std::max(0.0, objectives) * kBins);
   for (std::size_t i = 0; i < kBins; ++i) {
-    there_[i] = there_[i] * kKept + (i <= last ? 1 : 0);
-    left_[i] = left_[i] * kKept + (left && i == last ? 1 : 0);
+    const bool left_here = end == StayEnd::kLeft && i == last_bin;
+    present_[i] = present_[i] * kDecay + (i <= last_bin ? 1 : 0);
+    left_[i] = left_[i] * kDecay + (left_here ? 1 : 0);
   }
 }
 
-double ClientPatienceEstimator::Part() const {
-  double still = 1;
+double ClientPatienceEstimator::MedianStay() const {
+  double still_present = 1;
   for (std::size_t i = 0; i < kBins; ++i) {
-    still *= 1 - left_[i] / (there_[i] + kPrior);
-    if (still < kEnough) return static_cast<double>(i + 1) / kBins;
+    still_present *= 1 - left_[i] / (present_[i] + kPriorClients);
+    if (still_present < kMedian) return static_cast<double>(i + 1) / kBins;
   }
   return 1;
 }
--- a/src/estimation/client_patience_estimator.h
+++ b/src/estimation/client_patience_estimator.h
@@ -1,4 +1,4 @@
-// How long clients stay for an answer, which may be shorter than their word. Owns counts by age.
+// Estimates how long clients stay for a response, which may be shorter than the deadline that they state.
 #pragma once
 
 #include <array>
@@ -6,19 +6,22 @@
 
 namespace lynxgrade::estimation {
 
-// The product-limit estimate (Kaplan and Meier, "Nonparametric Estimation from Incomplete Observations",
-// 1958) of how many clients are still there at an age: those who were answered before tell that they had
-// stayed so long, and no more. Few who leave early do not stand for all.
+// How the time that a client stayed came to its end.
+enum class StayEnd { kAnswered, kLeft };
+
+// The product-limit estimate of how many clients are still there at an age (E. L. Kaplan and P. Meier,
+// "Nonparametric Estimation from Incomplete Observations", 1958). Clients that were answered only show that
+// they stayed until then, so that few clients who leave early do not stand for all.
 class ClientPatienceEstimator {
  public:
-  // A client left, or was answered or turned away, after so many of its class's aims.
-  void Seen(double aims, bool left);
-  // The part of its aim up to which at least half of the clients are still there, 1 at most.
-  double Part() const;
+  // A client left, or was answered or rejected, after so many latency objectives of its class.
+  void RecordStay(double objectives, StayEnd end);
+  // The fraction of the latency objective up to which at least half of the clients stay; at most 1.
+  double MedianStay() const;
 
  private:
-  static constexpr std::size_t kBins = 10;  // of an aim; a leaving after it changes nothing
-  std::array<double, kBins> there_{};       // clients that came to the beginning of a bin
+  static constexpr std::size_t kBins = 10;  // of one objective; whoever leaves after it changes nothing
+  std::array<double, kBins> present_{};     // clients that were there at the beginning of a bin
   std::array<double, kBins> left_{};        // and those of them that left in it
 };
 
--- a/src/estimation/first_attempt_estimator.cpp
+++ b/src/estimation/first_attempt_estimator.cpp
@@ -6,30 +6,32 @@
 namespace lynxgrade::estimation {
 namespace {
 
-constexpr double kAlike = 0.02;    // of the deadline: what a network and whole milliseconds make of one part
-constexpr int kSure = 10;          // votes in hand before the part is relied on
-constexpr int kMostVotes = 50;     // so that clients which change their ways are followed
-constexpr double kAgeGain = 0.05;  // EWMA gain: the last twenty unserved tries
-
-double Seconds(Duration d) { return static_cast<double>(d.count()) * 1e-6; }
+// Of the deadline: what network delay and rounding to milliseconds make of one fraction.
+constexpr double kFractionTolerance = 0.02;
+constexpr int kVotesToTrust = 10;
+constexpr int kMaxVotes = 50;           // so that clients which change their behavior are followed
+constexpr double kUnservedGain = 0.05;  // about the last twenty unserved attempts
 
 }  // namespace
 
-Duration FirstAttemptEstimator::Age(Duration deadline, Duration left, bool repeat) {
+Duration FirstAttemptEstimator::EstimateAge(Duration deadline, Duration left, AttemptKind kind) {
   if (deadline <= Duration{0}) return Duration{0};
-  const double part = Seconds(left) / Seconds(deadline);
-  const bool alike = votes_ > 0 && std::abs(part - usual_) < kAlike;
-  if (!repeat) {
-    if (votes_ == 0) usual_ = part;
-    votes_ = std::clamp(votes_ + (alike || votes_ == 0 ? 1 : -1), 0, kMostVotes);
+  const double fraction = ToSeconds(left) / ToSeconds(deadline);
+  const bool is_usual = votes_ > 0 && std::abs(fraction - first_fraction_) < kFractionTolerance;
+  if (kind == AttemptKind::kFirst) {
+    if (votes_ == 0) first_fraction_ = fraction;
+    votes_ = std::clamp(votes_ + (is_usual || votes_ == 0 ? 1 : -1), 0, kMaxVotes);
   }
-  if (votes_ < kSure) return Duration{0};
+  if (votes_ < kVotesToTrust) return Duration{0};
   const Duration most = std::max(Duration{0}, deadline - left);
-  // Another part than the usual one is what the deadline leaves.
-  if (!alike) return most;
-  return repeat ? std::min(most, Duration(static_cast<std::int64_t>(age_ * 1e6))) : Duration{0};
+  // Another fraction than the usual one is what the deadline leaves.
+  if (!is_usual) return most;
+  if (kind == AttemptKind::kFirst) return Duration{0};
+  return std::min(most, Duration(static_cast<std::int64_t>(unserved_age_seconds_ * 1e6)));
 }
 
-void FirstAttemptEstimator::Unserved(Duration age) { age_ += kAgeGain * (Seconds(age) - age_); }
+void FirstAttemptEstimator::RecordUnserved(Duration age) {
+  unserved_age_seconds_ += kUnservedGain * (ToSeconds(age) - unserved_age_seconds_);
+}
 
 }  // namespace lynxgrade::estimation
--- a/src/estimation/replica_position.cpp
+++ b/src/estimation/replica_position.cpp
@@ -5,57 +5,54 @@
 namespace lynxgrade::estimation {
 namespace {
 
-constexpr Duration kSameWithin{50000};   // the same position again tells nothing new so soon
-constexpr Duration kPaceOver{300000};    // the least span that a pace is read off: some reports long
-constexpr Duration kTrusted{400000};     // how long an expectation is relied on
-constexpr Duration kForgotten{1000000};  // unheard for longer, anything may have become of it
-constexpr double kMostPace = 10;         // a log is taken to need a tenth of its time to apply, at the least
-
-double Seconds(Duration d) { return static_cast<double>(d.count()) * 1e-6; }
-Duration Times(Duration d, double by) {
-  return Duration(static_cast<std::int64_t>(by * static_cast<double>(d.count())));
-}
+constexpr Duration kRepeatWindow{50000};       // the same position again is nothing new so soon
+constexpr Duration kPaceInterval{300000};      // least span to measure a pace over: some reports are delayed
+constexpr Duration kExpectationTrust{400000};  // how long an expectation is relied on
+constexpr Duration kForgetAfter{1000000};      // unheard for longer, the server may be anywhere
+constexpr double kMaxPace = 10;                // the fastest that a server applies the log, against the clock
 
 }  // namespace
 
-bool ReplicaPosition::Seen(Instant now, Instant position) {
-  if (proven_ && position <= *proven_ && now - heard_ < kSameWithin) return false;
+bool ReplicaPosition::RecordPosition(Instant now, Instant position) {
+  if (proven_ && position <= *proven_ && now - last_heard_ < kRepeatWindow) return false;
   proven_ = std::max(position, proven_.value_or(position));
-  heard_ = now;
-  if (!pace_at_ || now - *pace_at_ >= kPaceOver) {
-    measured_ = pace_at_.has_value();
-    if (measured_) pace_ = Seconds(*proven_ - pace_from_) / Seconds(now - *pace_at_);
-    pace_ = std::clamp(pace_, 0.0, kMostPace);
+  last_heard_ = now;
+  if (!pace_since_ || now - *pace_since_ >= kPaceInterval) {
+    is_pace_measured_ = pace_since_.has_value();
+    if (is_pace_measured_) pace_ = ToSeconds(*proven_ - pace_from_) / ToSeconds(now - *pace_since_);
+    pace_ = std::clamp(pace_, 0.0, kMaxPace);
     pace_from_ = *proven_;
-    pace_at_ = now;
+    pace_since_ = now;
   }
   return true;
 }
 
-Instant ReplicaPosition::Expected(Instant now) const {
-  return proven_.value_or(Instant{0}) + Times(now - heard_, std::min(1.0, pace_));
+Instant ReplicaPosition::ExpectedPosition(Instant now) const {
+  return proven_.value_or(Instant{0}) + Scale(now - last_heard_, std::min(1.0, pace_));
 }
 
-bool ReplicaPosition::Known(Instant now, Instant target) const {
-  if (Proven(target)) return true;
-  return proven_ && now - heard_ <= kTrusted + std::max(Duration{0}, target - Expected(now));
+bool ReplicaPosition::IsKnown(Instant now, Instant target) const {
+  if (IsProven(target)) return true;
+  const Duration behind = std::max(Duration{0}, target - ExpectedPosition(now));
+  return proven_ && now - last_heard_ <= kExpectationTrust + behind;
 }
 
-bool ReplicaPosition::MayHold(Instant now, Instant target) const {
-  return !measured_ || target - *proven_ <= Times(now - heard_, kMostPace);
+bool ReplicaPosition::MayHaveReached(Instant now, Instant target) const {
+  return !is_pace_measured_ || target - *proven_ <= Scale(now - last_heard_, kMaxPace);
 }
 
-bool ReplicaPosition::MayReach(Instant now, Duration within, Instant target, bool moves) const {
-  if (!measured_ || now - heard_ > kForgotten) return true;
-  const Duration behind = target - *proven_ - Times(now - heard_, pace_);
-  const double closes = std::max(0.0, pace_ - (moves ? 1 : 0));
+bool ReplicaPosition::MayReach(Instant now, Duration within, Instant target, TargetMotion motion) const {
+  if (!is_pace_measured_ || now - last_heard_ > kForgetAfter) return true;
+  const Duration behind = target - *proven_ - Scale(now - last_heard_, pace_);
+  const double target_pace = motion == TargetMotion::kWithClock ? 1 : 0;
+  const double closing_pace = std::max(0.0, pace_ - target_pace);
   // A report is as old as an expectation may be, so that much of the distance may be gone already.
-  return behind - kTrusted <= Times(within, closes);
+  return behind - kExpectationTrust <= Scale(within, closing_pace);
 }
 
-void ReplicaPosition::Forgive(Instant now, Duration stall) {
-  if (!pace_at_) return;
-  pace_at_ = std::min(now, *pace_at_ + stall);
+void ReplicaPosition::ExcludeStall(Instant now, Duration stall) {
+  if (!pace_since_) return;
+  pace_since_ = std::min(now, *pace_since_ + stall);
   pace_from_ = std::min(*proven_, pace_from_ + stall);
 }
 
--- a/src/fleet/backoff.cpp
+++ b/src/fleet/backoff.cpp
@@ -5,25 +5,23 @@
 namespace lynxgrade::fleet {
 namespace {
 
-// Eight windows at most: a lone instance finds what has come back within about a second, a hundred spread
-// over some 17 s, in which discovery's word is still fresher than the time by which it counts as told.
-constexpr int kMostDoublings = 3;
-
-Duration Part(Duration window, double chance) {
-  return Duration(static_cast<std::int64_t>(chance * static_cast<double>(window.count())));
-}
+// Eight windows at most: a single instance finds what has come back within about a second, a hundred spread
+// over some 17 s, within which the endpoint list is still fresh enough to be followed.
+constexpr int kMaxDoublings = 3;
 
 }  // namespace
 
 Backoff::Backoff(std::uint32_t instances, Duration least, Duration spacing, Duration most)
-    : window_(least + spacing * static_cast<std::int64_t>(std::max(1u, instances) - 1)), most_(most) {}
+    : window_(least + spacing * static_cast<std::int64_t>(std::max(1U, instances) - 1)), most_(most) {}
 
-Duration Backoff::Window(int failures) const {
-  return std::min(most_, window_ * (1 << std::min(failures, kMostDoublings)));
+Duration Backoff::WindowAfter(int failures) const {
+  return std::min(most_, window_ * (1 << std::min(failures, kMaxDoublings)));
 }
 
-Duration Backoff::Next(double chance) { return Part(Window(failures_++), chance); }
+Duration Backoff::NextWait(double uniform) { return Scale(WindowAfter(failures_++), uniform); }
 
-Duration Backoff::Spread(double chance, Duration most) const { return Part(std::min(window_, most), chance); }
+Duration Backoff::InitialWait(double uniform, Duration most) const {
+  return Scale(std::min(window_, most), uniform);
+}
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/capped_weighted_choice.cpp
+++ b/src/fleet/capped_weighted_choice.cpp
@@ -4,37 +4,55 @@
 #include <vector>
 
 namespace lynxgrade::fleet {
+namespace {
 
-std::optional<std::size_t> ChooseCapped(std::span<const WeightedCandidate> lots, double chance) {
-  std::vector<double> part(lots.size(), -1);  // of all draws; below zero: not at its cap
-  double free = 1;
-  for (bool again = true; again;) {
-    again = false;
-    double odds = 0;
-    for (std::size_t i = 0; i < lots.size(); ++i) odds += part[i] < 0 ? lots[i].odds : 0;
-    if (odds <= 0) break;
-    // A cap that is met frees odds for the others, which may take them over theirs.
-    const double share = free / odds;
-    for (std::size_t i = 0; i < lots.size(); ++i) {
-      if (part[i] >= 0 || lots[i].odds * share <= lots[i].most) continue;
-      part[i] = std::clamp(lots[i].most, 0.0, free);
-      free -= part[i];
-      again = true;
-      break;
-    }
-    if (again) continue;
-    for (std::size_t i = 0; i < lots.size(); ++i) {
-      if (part[i] < 0) part[i] = lots[i].odds * share;
+constexpr double kNotCapped = -1;
+
+// Finds one more candidate whose share of the remaining probability exceeds its cap, and caps it. False if
+// there is none.
+bool CapOne(std::span<const WeightedCandidate> candidates, double share_per_weight, double& remaining,
+            std::vector<double>& probabilities) {
+  for (std::size_t i = 0; i < candidates.size(); ++i) {
+    const WeightedCandidate& candidate = candidates[i];
+    if (probabilities[i] >= 0 || candidate.weight * share_per_weight <= candidate.max_probability) continue;
+    probabilities[i] = std::clamp(candidate.max_probability, 0.0, remaining);
+    remaining -= probabilities[i];
+    return true;
+  }
+  return false;
+}
+
+std::vector<double> CappedProbabilities(std::span<const WeightedCandidate> candidates) {
+  std::vector<double> probabilities(candidates.size(), kNotCapped);
+  double remaining = 1;
+  while (true) {
+    double weight = 0;
+    for (std::size_t i = 0; i < candidates.size(); ++i)
+      weight += probabilities[i] < 0 ? candidates[i].weight : 0;
+    if (weight <= 0) return probabilities;
+    // A cap frees probability for the others, which may then exceed their caps.
+    const double share_per_weight = remaining / weight;
+    if (CapOne(candidates, share_per_weight, remaining, probabilities)) continue;
+    for (std::size_t i = 0; i < candidates.size(); ++i) {
+      if (probabilities[i] < 0) probabilities[i] = candidates[i].weight * share_per_weight;
     }
+    return probabilities;
   }
-  std::optional<std::size_t> last;
-  for (std::size_t i = 0; i < lots.size(); ++i) {
-    if (part[i] <= 0) continue;
-    if (chance < part[i]) return i;
-    chance -= part[i];
-    if (lots[i].most >= 1) last = i;
+}
+
+}  // namespace
+
+std::optional<std::size_t> ChooseCapped(std::span<const WeightedCandidate> candidates, double uniform) {
+  const std::vector<double> probabilities = CappedProbabilities(candidates);
+  std::optional<std::size_t> last_uncapped;
+  for (std::size_t i = 0; i < candidates.size(); ++i) {
+    if (probabilities[i] <= 0) continue;
+    if (uniform < probabilities[i]) return i;
+    uniform -= probabilities[i];
+    if (candidates[i].max_probability >= 1) last_uncapped = i;
   }
-  return last;  // where sums of odds fall short of one by rounding alone, the last without a cap
+  // Reached without a cap where the probabilities fall short of one by rounding alone.
+  return last_uncapped;
 }
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/capped_weighted_choice.h
+++ b/src/fleet/capped_weighted_choice.h
@@ -1,4 +1,4 @@
-// A draw in which some may be picked only so often. Free of chance of its own.
+// A weighted random choice in which some candidates may be chosen only so often.
 #pragma once
 
 #include <cstddef>
@@ -7,15 +7,14 @@
 
 namespace lynxgrade::fleet {
 
-// One that may be drawn: its odds against the others', and the most of all draws that may fall on it (1: no
-// cap).
 struct WeightedCandidate {
-  double odds = 0;
-  double most = 1;
+  double weight = 0;           // against the others'
+  double max_probability = 1;  // 1: no cap
 };
 
-// Picks one with `chance`, even in [0, 1). Nobody is picked more often than its cap; what a cap cuts off goes
-// to those that are under theirs, in proportion to their odds, and to nobody once all are at theirs.
-std::optional<std::size_t> ChooseCapped(std::span<const WeightedCandidate> lots, double chance);
+// Returns the index of the candidate that `uniform`, drawn from [0, 1), falls on. None is chosen more often
+// than its cap; what a cap cuts off goes to the candidates below theirs, in proportion to their weights, and
+// to none once all are at their caps.
+std::optional<std::size_t> ChooseCapped(std::span<const WeightedCandidate> candidates, double uniform);
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/demand.cpp
+++ b/src/fleet/demand.cpp
@@ -6,40 +6,39 @@
 namespace lynxgrade::fleet {
 namespace {
 
-constexpr double kOver = 3;         // seconds: short beside a warm-up, long beside the gaps between arrivals
-constexpr double kPriorWeight = 3;  // seconds of watching that the prior stands for
-constexpr double kLeastWatched = 0.3;  // seconds: one arrival in the first instant is no flood
-
-double Seconds(Duration d) { return static_cast<double>(d.count()) * 1e-6; }
+constexpr double kTimeConstantSeconds = 3;  // short against a slow start, long against gaps between arrivals
+constexpr double kPriorSeconds = 3;         // of observation that the prior stands for
+constexpr double kLeastObservedSeconds = 0.3;  // one arrival in the first instant is no flood
 
 }  // namespace
 
-double DemandEstimator::Sum(Duration now) const {
-  return begun_ ? sum_ * std::exp(-Seconds(std::max(Duration{0}, now - last_)) / kOver) : 0;
+double DemandEstimator::DecayedSum(Duration now) const {
+  if (!first_) return 0;
+  return sum_ * std::exp(-ToSeconds(std::max(Duration{0}, now - last_)) / kTimeConstantSeconds);
 }
 
-// How much time the sum stands for: less than its time constant while that has not passed yet.
-double DemandEstimator::Watched(Duration now) const {
-  if (!begun_) return 0;
-  return kOver * (1 - std::exp(-Seconds(std::max(Duration{0}, now - first_)) / kOver));
+// How much time the sum stands for: less than its time constant until that has passed.
+double DemandEstimator::ObservedSeconds(Duration now) const {
+  if (!first_) return 0;
+  const double age = ToSeconds(std::max(Duration{0}, now - *first_));
+  return kTimeConstantSeconds * (1 - std::exp(-age / kTimeConstantSeconds));
 }
 
-void DemandEstimator::Add(Duration now, double work) {
-  sum_ = Sum(now) + work;
-  if (!begun_) first_ = now;
-  begun_ = true;
+void DemandEstimator::RecordWork(Duration now, double work) {
+  sum_ = DecayedSum(now) + work;
+  if (!first_) first_ = now;
   last_ = std::max(last_, now);
 }
 
 double DemandEstimator::PerSecond(Duration now, double prior) const {
-  return (Sum(now) + prior * kPriorWeight) / (Watched(now) + kPriorWeight);
+  return (DecayedSum(now) + prior * kPriorSeconds) / (ObservedSeconds(now) + kPriorSeconds);
 }
 
 double DemandEstimator::PerSecond(Duration now) const {
-  return Sum(now) / std::max(kLeastWatched, Watched(now));
+  return DecayedSum(now) / std::max(kLeastObservedSeconds, ObservedSeconds(now));
 }
 
-double Odds(double allowed, double wanted) {
+double AdmissionProbability(double allowed, double wanted) {
   return wanted <= allowed || wanted <= 0 ? 1 : std::max(0.0, allowed) / wanted;
 }
 
--- a/src/fleet/fleet_size.h
+++ b/src/fleet/fleet_size.h
@@ -5,10 +5,13 @@
 
 namespace lynxgrade::fleet {
 
-// The operators' full fleet. Taken for too many, instances call later than they need and leave cold members
-// idle for longer; taken for too few, what all of them do adds up to too much, and cold members fall.
-constexpr std::uint32_t kUnknownSize = 300;
+// The operators' full fleet. Too high an assumption makes instances poll later than they need to and use
+// warming servers less; too low a one lets all instances together overload them.
+constexpr std::uint32_t kAssumedFleetSize = 300;
 
-constexpr std::uint32_t Size(std::uint32_t told) { return told > 0 ? told : kUnknownSize; }
+// `configured`: from the settings; 0: unknown.
+constexpr std::uint32_t EffectiveFleetSize(std::uint32_t configured) {
+  return configured > 0 ? configured : kAssumedFleetSize;
+}
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/latency.cpp
+++ b/src/fleet/latency.cpp
@@ -6,54 +6,56 @@
 namespace lynxgrade::fleet {
 namespace {
 
-// A queue that matters is some of the shortest aims long (hundreds of milliseconds): it builds up and goes
-// within about a second, and what was heard so long ago has half faded.
-constexpr double kFades = 1.5;          // seconds
-constexpr double kLeastGain = 0.08;     // about the last twenty answers, where they come fast
-constexpr double kMostGain = 0.6;       // one answer is not all: requests of a class differ by themselves
-constexpr double kMostLostGain = 0.25;  // where none came: it may be the connection that is lost
-constexpr double kCrowdPrior = 1;       // answers that the absence of news stands for
-constexpr double kOldAfter = 3;         // seconds: two such spans, as the member's own news tells more
-
-double Seconds(Duration d) { return static_cast<double>(d.count()) * 1e-6; }
+// A queue that matters is some of the shortest latency objectives long (hundreds of milliseconds). It builds
+// up and drains within about a second, so that what was recorded so long ago has half decayed.
+constexpr double kTimeConstantSeconds = 1.5;
+constexpr double kMinGain = 0.08;         // about the last twenty responses, where they come fast
+constexpr double kMaxGain = 0.6;          // one response is not all: requests of a class differ
+constexpr double kMaxOverdueGain = 0.25;  // without a response it may be the connection that is lost
+constexpr double kPriorResponses = 1;
+constexpr double kOwnTimeConstantSeconds =
+    3;  // longer, as the server's own responses say more than its group's
+
+double ElapsedSeconds(Duration now, Duration since) { return ToSeconds(std::max(Duration{0}, now - since)); }
 
 }  // namespace
 
-double GroupLatencyEstimator::Kept(Duration now) const {
-  return std::exp(-Seconds(std::max(Duration{0}, now - last_)) / kFades);
+double GroupLatencyEstimator::Decay(Duration now) const {
+  return std::exp(-ElapsedSeconds(now, last_) / kTimeConstantSeconds);
 }
 
-void GroupLatencyEstimator::Add(Duration now, double slowness) {
-  const double kept = Kept(now);
-  sum_ = sum_ * kept + slowness;
-  count_ = count_ * kept + 1;
+void GroupLatencyEstimator::RecordResponse(Duration now, double slowness) {
+  const double decay = Decay(now);
+  sum_ = sum_ * decay + slowness;
+  count_ = count_ * decay + 1;
   last_ = std::max(last_, now);
 }
 
-double GroupLatencyEstimator::Mean(Duration now, double otherwise) const {
-  const double kept = Kept(now);
-  return (sum_ * kept + kCrowdPrior * otherwise) / (count_ * kept + kCrowdPrior);
+double GroupLatencyEstimator::Mean(Duration now, double prior) const {
+  const double decay = Decay(now);
+  return (sum_ * decay + kPriorResponses * prior) / (count_ * decay + kPriorResponses);
 }
 
 double ServerLatencyEstimator::Gain(Duration now) const {
-  const double faded = 1 - std::exp(-Seconds(std::max(Duration{0}, now - heard_)) / kFades);
-  return std::clamp(faded, kLeastGain, kMostGain);
+  const double decayed = 1 - std::exp(-ElapsedSeconds(now, last_recorded_) / kTimeConstantSeconds);
+  return std::clamp(decayed, kMinGain, kMaxGain);
 }
 
-void ServerLatencyEstimator::Answered(Duration now, double slowness, std::size_t beside) {
+void ServerLatencyEstimator::RecordResponse(Duration now, double slowness, std::size_t in_flight) {
   const double gain = Gain(now);
+  const double per_request = slowness / static_cast<double>(in_flight + 1);
   slowness_ += gain * (slowness - slowness_);
-  each_ += gain * (slowness / static_cast<double>(beside + 1) - each_);
-  heard_ = std::max(heard_, now);
+  slowness_per_request_ += gain * (per_request - slowness_per_request_);
+  last_recorded_ = std::max(last_recorded_, now);
 }
 
-void ServerLatencyEstimator::Overdue(Duration now, double slowness) {
-  slowness_ += std::min(kMostLostGain, Gain(now)) * std::max(0.0, slowness - slowness_);
-  heard_ = std::max(heard_, now);
+void ServerLatencyEstimator::RecordOverdue(Duration now, double slowness) {
+  slowness_ += std::min(kMaxOverdueGain, Gain(now)) * std::max(0.0, slowness - slowness_);
+  last_recorded_ = std::max(last_recorded_, now);
 }
 
 double ServerLatencyEstimator::Slowness(Duration now, const GroupLatencyEstimator& group) const {
-  const double own = std::exp(-Seconds(std::max(Duration{0}, now - heard_)) / kOldAfter);
+  const double own = std::exp(-ElapsedSeconds(now, last_recorded_) / kOwnTimeConstantSeconds);
   return own * slowness_ + (1 - own) * group.Mean(now, slowness_);
 }
 
--- a/src/fleet/latency.h
+++ b/src/fleet/latency.h
@@ -1,47 +1,49 @@
-// How slow a member is just now, from answers that one instance of many gets once in a while. Owns the
-// estimates of a member and of the group that it is in; has no clock of its own.
+// Estimates how slow a server is just now, from responses that one instance of many gets now and then.
 #pragma once
 
 #include <cstddef>
 
-#include "fleet/backoff.h"
+#include "estimation/duration.h"
 
 namespace lynxgrade::fleet {
 
-// The mean of what a group's members showed lately, each answer for about a second: what they are asked comes
-// from the same clients, and the log that they apply is the same, so they are crowded together.
+// The mean slowness of a group's servers, each response weighed for about a second: the group's requests come
+// from the same clients and its replicas apply the same log, so that they slow down together. Has no clock.
 class GroupLatencyEstimator {
  public:
-  void Add(Duration now, double slowness);
-  // Nearer to `otherwise` the less was heard.
-  double Mean(Duration now, double otherwise) const;
+  // `slowness`: a latency as a multiple of the usual.
+  void RecordResponse(Duration now, double slowness);
+  // Nearer to `prior` the less was recorded.
+  double Mean(Duration now, double prior) const;
 
  private:
-  double Kept(Duration now) const;
+  double Decay(Duration now) const;
 
   Duration last_{0};
   double sum_ = 0;
   double count_ = 0;
 };
 
-// A member's latency as a multiple of what its requests usually take.
+// The slowness of one server: its latency as a multiple of what its requests usually take. Has no clock.
 class ServerLatencyEstimator {
  public:
-  // An answer, with `beside` others of this instance at the member when it was asked.
-  void Answered(Duration now, double slowness, std::size_t beside);
-  // An attempt that ended without one after so long, and would have taken longer: it can only raise.
-  void Overdue(Duration now, double slowness);
-  // By now: what was heard of the member itself, and of its group as that grows old.
+  // A response to an attempt; `in_flight` attempts of this instance were at the server when it was sent,
+  // itself included.
+  void RecordResponse(Duration now, double slowness, std::size_t in_flight);
+  // An attempt that ended without a response and would have taken longer still: it can only raise the
+  // estimate.
+  void RecordOverdue(Duration now, double slowness);
+  // By now: of the server itself, and of its group as that grows old.
   double Slowness(Duration now, const GroupLatencyEstimator& group) const;
   // What each request in flight adds.
-  double each() const { return each_; }
+  double slowness_per_request() const { return slowness_per_request_; }
 
  private:
   double Gain(Duration now) const;
 
-  Duration heard_{0};
+  Duration last_recorded_{0};
   double slowness_ = 1;
-  double each_ = 0;
+  double slowness_per_request_ = 0;
 };
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/slow_start.cpp
+++ b/src/fleet/slow_start.cpp
@@ -5,35 +5,42 @@
 namespace lynxgrade::fleet {
 namespace {
 
-constexpr double kSafety = 0.7;  // of the rule's budget in use: the parts are estimates
-constexpr double kGrowth = 0.4;  // more of it in the end, as what the member can do is under-rated ever more
-constexpr double kLeastHold = 0.1;  // seconds
-
-double Seconds(Duration d) { return static_cast<double>(d.count()) * 1e-6; }
-
-double Grown(Duration age, Duration time) {
-  return std::clamp(Seconds(age) / std::max(1e-6, Seconds(time)), 0.0, 1.0);
+// Of the allowed work: the instances' rates are estimates.
+constexpr double kSafetyFactor = 0.7;
+// More of it by the end of the slow start, as the least capacity underrates the server ever more.
+constexpr double kSafetyGrowth = 0.4;
+constexpr double kLeastBurstSeconds = 0.1;
+constexpr double kLeastDurationSeconds = 1e-6;
+
+double Progress(Duration age, Duration duration) {
+  return std::clamp(ToSeconds(age) / std::max(kLeastDurationSeconds, ToSeconds(duration)), 0.0, 1.0);
 }
 
 }  // namespace
 
-double SlowStartRule::Share(Duration age) const { return start + (1 - start) * Grown(age, time); }
+double SlowStartRule::CapacityShare(Duration age) const {
+  return initial_capacity + (1 - initial_capacity) * Progress(age, duration);
+}
 
-double SlowStartRule::Rate(Duration age, double carry) const {
-  return kSafety * (1 + kGrowth * Grown(age, time)) * factor * Share(age) * carry;
+double SlowStartRule::InstanceRate(Duration age, double throughput) const {
+  return kSafetyFactor * (1 + kSafetyGrowth * Progress(age, duration)) * overload_factor *
+         CapacityShare(age) * throughput;
 }
 
-double SlowStartRule::Hold() const { return std::max(kLeastHold, Seconds(fall) / 2); }
+double SlowStartRule::BurstSeconds() const {
+  return std::max(kLeastBurstSeconds, ToSeconds(overload_duration) / 2);
+}
 
 void WarmingTokenBucket::Begin(Duration now, const SlowStartRule& rule) {
   work_ = 0;
-  at_ = now - rule.fall / 2;
+  refilled_at_ = now - rule.overload_duration / 2;
 }
 
-double WarmingTokenBucket::Fill(Duration now, double rate, double hold, double most) {
-  work_ = std::min(rate * hold, work_ + rate * std::min(Seconds(now - at_), most));
-  at_ = now;
-  return rate * hold;
+double WarmingTokenBucket::Refill(Duration now, double rate, double burst_seconds, double credit_seconds) {
+  work_ =
+      std::min(rate * burst_seconds, work_ + rate * std::min(ToSeconds(now - refilled_at_), credit_seconds));
+  refilled_at_ = now;
+  return rate * burst_seconds;
 }
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/slow_start.h
+++ b/src/fleet/slow_start.h
@@ -1,43 +1,43 @@
-// What a member that has just started may be sent by one instance of many, so that all of them together stay
-// under what makes it fall over. Owns the arithmetic of the rule and one instance's store of it; has no
-// clock.
+// How much one instance of many may send to a server that has just started, so that all of them together stay
+// below what overloads it.
 #pragma once
 
-#include "fleet/backoff.h"
+#include "estimation/duration.h"
 
 namespace lynxgrade::fleet {
 
-// The rule as the settings give it: sent `factor` times what it can do at the moment for `fall` a cold member
-// falls.
+// The rule as the settings give it: a warming server that is sent `overload_factor` times what it can do for
+// `overload_duration` fails.
 struct SlowStartRule {
-  double start = 1;  // the share of its capacity that a member begins with, at least
-  Duration time{0};  // in which it is warm, at the latest
-  double factor = 1;
-  Duration fall{0};
+  double initial_capacity = 1;  // the least share of its capacity that a server begins with
+  Duration duration{0};         // until it is warm, at the latest
+  double overload_factor = 1;
+  Duration overload_duration{0};
 
-  // The least share of its capacity that a member has `age` after its start.
-  double Share(Duration age) const;
-  // An instance's part in work a second, where it gets `carry` through a warm member: the instances' parts
-  // add up whatever their sizes.
-  double Rate(Duration age, double carry) const;
-  // How much of the part may be saved up, in seconds of it.
-  double Hold() const;
+  // The least share of its capacity that a server has `age` after its start.
+  double CapacityShare(Duration age) const;
+  // What an instance may send in work per second, where it gets `throughput` through a warm server. The rates
+  // of all instances add up to the allowed one, whatever their sizes.
+  double InstanceRate(Duration age, double throughput) const;
+  // How much of the rate may be saved up, in seconds of it.
+  double BurstSeconds() const;
 };
 
-// What one instance has saved up for one member, in work; below zero: a debt.
+// What one instance has saved up for one server, in seconds of work; below zero: a debt.
 class WarmingTokenBucket {
  public:
-  // Full as of `now`, for a member that starts.
+  // The server starts at `now`; its bucket fills as if it had begun to a while before.
   void Begin(Duration now, const SlowStartRule& rule);
-  // Adds what the time since the last call brought, of which no more than `most` seconds count; returns what
-  // may be held at most. A longer request than that goes when the store is full, and leaves a debt.
-  double Fill(Duration now, double rate, double hold, double most);
-  void Take(double work) { work_ -= work; }
+  // Adds what the time since the last call brought, of which at most `credit_seconds` count, up to
+  // `burst_seconds` of the rate. Returns that limit. A request that costs more is sent when the bucket is
+  // full, and leaves a debt.
+  double Refill(Duration now, double rate, double burst_seconds, double credit_seconds);
+  void Consume(double work) { work_ -= work; }
   double work() const { return work_; }
 
  private:
   double work_ = 0;
-  Duration at_{0};
+  Duration refilled_at_{0};
 };
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/warm_server_throughput.cpp
+++ b/src/fleet/warm_server_throughput.cpp
@@ -6,13 +6,13 @@
 namespace lynxgrade::fleet {
 namespace {
 
-constexpr double kOver = 5;  // seconds: short beside a warm-up, long beside a burst
+constexpr double kTimeConstantSeconds = 5;  // short against a slow start, long against a burst
 
 }  // namespace
 
-void WarmServerThroughput::End(double span, double warm) {
-  const double keep = std::exp(-span / kOver);
-  rate_ = rate_ * keep + work_ / span / std::max(1.0, warm) * (1 - keep);
+void WarmServerThroughput::EndInterval(double seconds, double warm_servers) {
+  const double keep = std::exp(-seconds / kTimeConstantSeconds);
+  rate_ = rate_ * keep + work_ / seconds / std::max(1.0, warm_servers) * (1 - keep);
   work_ = 0;
 }
 
--- a/src/fleet/warm_server_throughput.h
+++ b/src/fleet/warm_server_throughput.h
@@ -1,15 +1,17 @@
-// What an instance gets through a warm member: the measure of its part of a cold one. Owns a smoothed rate.
+// Measures what one instance gets through a warm server: its share of what a warming one may be sent.
 #pragma once
 
 namespace lynxgrade::fleet {
 
+// A smoothed rate of work. Has no clock.
 class WarmServerThroughput {
  public:
-  // Work that was answered, in seconds of it.
-  void Add(double work) { work_ += work; }
-  // Ends a span of so many seconds, in which `warm` members' worth of warm capacity stood open.
-  void End(double span, double warm);
-  // Work a second, for one warm member.
+  // Work that was answered, in seconds.
+  void RecordWork(double work) { work_ += work; }
+  // Ends an interval of so many seconds, in which usable servers had the capacity of `warm_servers` warm
+  // ones.
+  void EndInterval(double seconds, double warm_servers);
+  // Work per second, for one warm server.
   double PerSecond() const { return rate_; }
 
  private:
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -31,11 +31,11 @@
   if (!fault.empty()) return fault;
   proxy_.ListChanged(std::move(first));
   const Settings& settings = config_.settings;
-  const discovery::Watch::Callers callers{settings.poll_endpoint_list, fleet::Size(settings.peers_total),
-                                          settings.drain_grace};
+  const discovery::Watch::Callers callers{
+      settings.poll_endpoint_list, fleet::EffectiveFleetSize(settings.peers_total), settings.drain_grace};
   if (settings.peers_total == 0) {
     spdlog::warn("the settings do not say how many poolers there are (peers_total): taken for {}",
-                 fleet::Size(0));
+                 fleet::EffectiveFleetSize(0));
   }
   watch_.emplace(loop_, config_.discovery, reader_, since, config_.seed, callers,
                  [this](const discovery::EndpointListUpdate& change) { Changed(change); });
--- a/src/limits/aimd_window.cpp
+++ b/src/limits/aimd_window.cpp
@@ -5,21 +5,22 @@
 namespace lynxgrade::limits {
 namespace {
 
-constexpr double kStep = 0.5;         // growth with each that came back well
-constexpr double kCut = 0.7;          // of the window, when there is nothing to spare
-constexpr Duration kStretch{200000};  // some answers long: what is out when it is cut tells of the old window
+constexpr double kIncrease = 0.5;  // requests
+constexpr double kDecreaseFactor = 0.7;
+// Some responses long: what is in flight at a decrease shows the window before it.
+constexpr Duration kDecreaseInterval{200000};
 
 }  // namespace
 
-void AimdWindow::Return(bool grow) {
-  --out_;
-  if (grow) size_ += kStep;
+void AimdWindow::Release(WindowGrowth growth) {
+  --in_flight_;
+  if (growth == WindowGrowth::kIncrease) size_ += kIncrease;
 }
 
-void AimdWindow::Cut(Duration now) {
-  if (now - cut_ <= kStretch) return;
-  size_ = std::max(1.0, size_ * kCut);
-  cut_ = now;
+void AimdWindow::Decrease(Duration now) {
+  if (now - decreased_at_ <= kDecreaseInterval) return;
+  size_ = std::max(1.0, size_ * kDecreaseFactor);
+  decreased_at_ = now;
 }
 
 }  // namespace lynxgrade::limits
--- a/src/limits/aimd_window.h
+++ b/src/limits/aimd_window.h
@@ -1,29 +1,30 @@
-// How many requests may be out at once where there is only room to spare. Owns the count and its limit; has
-// no clock.
+// Limits how many requests are in flight at once where a server has only spare capacity for them.
 #pragma once
 
-#include <chrono>
-#include <cstdint>
+#include "estimation/duration.h"
 
 namespace lynxgrade::limits {
 
-using Duration = std::chrono::duration<std::int64_t, std::micro>;
+// What the end of a request does to the window.
+enum class WindowGrowth { kNone, kIncrease };
 
-// Additive increase and multiplicative decrease: grows with each that came back well, is cut once for each
-// stretch in which there was none to spare, and never falls below one.
+// A window with additive increase and multiplicative decrease (D.-M. Chiu and R. Jain, "Analysis of the
+// Increase and Decrease Algorithms for Congestion Avoidance in Computer Networks", 1989). Decreases at most
+// once in a fixed interval, and never below one request. Has no clock.
 class AimdWindow {
  public:
-  bool Open() const { return out_ < static_cast<int>(size_); }
-  void Take() { ++out_; }
-  // One of those taken came back; `grow`: with an answer, and with room left.
-  void Return(bool grow);
-  // There is no room to spare at `now`.
-  void Cut(Duration now);
+  bool HasCapacity() const { return in_flight_ < static_cast<int>(size_); }
+  // A request was sent.
+  void Acquire() { ++in_flight_; }
+  // It ended; the window grows if it was answered while there was capacity left.
+  void Release(WindowGrowth growth);
+  // The server has no spare capacity at `now`.
+  void Decrease(Duration now);
 
  private:
   double size_ = 1;
-  int out_ = 0;
-  Duration cut_{0};
+  int in_flight_ = 0;
+  Duration decreased_at_{0};
 };
 
 }  // namespace lynxgrade::limits
--- /dev/null
+++ b/src/routing/decision_context.cpp
@@ -0,0 +1,22 @@
+#include "routing/decision_context.h"
+
+namespace lynxgrade {
+
+DecisionContext::DecisionContext(Settings settings, std::uint64_t seed)
+    : settings_(std::move(settings)), random_(seed) {}
+
+void DecisionContext::BeginEvent(TimePoint now, Actions& actions) {
+  now_ = now;
+  actions_ = &actions;
+}
+
+void DecisionContext::SetTimer(TimerKind kind, Duration delay, std::uint64_t request_id) {
+  const auto timer_id = TimerId((static_cast<std::uint64_t>(kind) << 32) | request_id);
+  Emit(lynxgrade::SetTimer{timer_id, delay});
+}
+
+Duration DecisionContext::Jitter(Duration duration) {
+  return Scale(duration, std::uniform_real_distribution<double>(0.5, 1.5)(random_));
+}
+
+}  // namespace lynxgrade
--- /dev/null
+++ b/src/routing/eligibility.cpp
@@ -0,0 +1,94 @@
+#include "routing/eligibility.h"
+
+namespace lynxgrade {
+
+bool Eligibility::MaySend(const Request& request, Server& server) {
+  if (server.group != request.event.group || server.draining) return false;
+  if (!retry_policy_.MayAttempt(request, server.zone)) return false;
+  if (MustProvePosition(request) && !server.IsPrimary()) {
+    if (context_.ClassOf(request).kind == AccessKind::kStrongRead) return false;
+    if (!ReplicationState::IsProven(server, replication_.RequiredPosition(request))) return false;
+  }
+  return slow_start_.HasCapacity(request, server);
+}
+
+bool Eligibility::MustProvePosition(const Request& request) const {
+  return context_.settings().position_check == PositionCheck::kNone || request.event.require_proven_position;
+}
+
+std::vector<Server*> Eligibility::ReadCandidates(const Request& request) {
+  const std::optional<LogPosition> required = replication_.RequiredPosition(request);
+  std::vector<Server*> at_position;
+  std::vector<Server*> others;
+  std::vector<Server*> ejected;
+  bool any_usable = false;
+  Server* primary = replication_.PrimaryOf(request.event.group);
+  for (ServerId id : servers_.GroupOf(request.event.group).servers) {
+    Server& server = servers_.At(id);
+    if (&server == primary) continue;
+    const bool usable = server.IsUsable(context_.now());
+    any_usable = any_usable || (usable && slow_start_.HasCapacity(request, server));
+    if (!MaySend(request, server)) continue;
+    if (!usable) {
+      ejected.push_back(&server);
+    } else if (replication_.HasReached(server, required)) {
+      at_position.push_back(&server);
+    } else {
+      others.push_back(&server);
+    }
+  }
+  if (!at_position.empty()) return at_position;
+  if (!others.empty()) return others;
+  if (any_usable) return {};
+  if (primary != nullptr && primary->IsUsable(context_.now()) && MaySend(request, *primary)) return {primary};
+  return ejected;
+}
+
+bool Eligibility::HasReplicaAtPosition(const Request& request) const {
+  const std::optional<LogPosition> required = replication_.RequiredPosition(request);
+  if (!required) return false;
+  for (ServerId id : servers_.GroupOf(request.event.group).servers) {
+    const Server& server = servers_.At(id);
+    const bool usable_replica = server.IsUsable(context_.now()) && !server.IsPrimary();
+    if (usable_replica && replication_.HasReached(server, required)) return true;
+  }
+  return false;
+}
+
+bool Eligibility::MayReplicaCatchUpWhileHolding(const Request& request) const {
+  const std::optional<LogPosition> required = replication_.RequiredPosition(request);
+  for (ServerId id : servers_.GroupOf(request.event.group).servers) {
+    const Server& server = servers_.At(id);
+    if (!server.IsUsable(context_.now()) || server.IsPrimary()) continue;
+    if (!required || !context_.settings().may_health_check) return true;
+    if (replication_.IsKnown(server, required)) {
+      const Duration hold = context_.settings().replica_wait_limit;
+      if (replication_.ExpectedPosition(server) + hold >= *required) return true;
+    } else if (!request.misrouted_to.contains(id)) {
+      // Where little is heard the read's own rejection is evidence too: that server is not asked blindly
+      // again.
+      return true;
+    }
+  }
+  return false;
+}
+
+bool Eligibility::MayReplicaCatchUp(const Request& request, Duration within) const {
+  const std::optional<LogPosition> required = replication_.RequiredPosition(request);
+  const auto motion = context_.ClassOf(request).kind == AccessKind::kBoundedRead
+                          ? estimation::TargetMotion::kWithClock
+                          : estimation::TargetMotion::kFixed;
+  bool has_replica = false;
+  for (ServerId id : servers_.GroupOf(request.event.group).servers) {
+    const Server& server = servers_.At(id);
+    if (server.draining || server.IsPrimary()) continue;
+    if (!required) return true;
+    if (server.position.MayReach(context_.now_since_epoch(), within, required->time_since_epoch(), motion)) {
+      return true;
+    }
+    has_replica = true;
+  }
+  return !has_replica;
+}
+
+}  // namespace lynxgrade
--- /dev/null
+++ b/src/routing/endpoint_list_updater.cpp
@@ -0,0 +1,81 @@
+#include "routing/endpoint_list_updater.h"
+
+#include <algorithm>
+#include <set>
+
+namespace lynxgrade {
+namespace {
+
+constexpr int kMaxErrorDoublings = 4;
+constexpr int kErrorBackoffTicks = 4;
+// What a delayed list says of a role is taken to be this old.
+constexpr Duration kDelayedListAge{5000000};
+// How long a deleted server is kept, longer than servers are away before they come back.
+constexpr Duration kDeletedRetention{30000000};
+
+}  // namespace
+
+void EndpointListUpdater::Apply(const ListEvent& event) {
+  if (event.kind == ListKind::kPersisted) {
+    // Instances that start together must not act in step.
+    context_.SetTimer(TimerKind::kPeriodicTick, context_.Jitter(kTickInterval));
+    if (context_.settings().poll_endpoint_list) {
+      context_.SetTimer(TimerKind::kWatchEndpointList, context_.Jitter(kTickInterval));
+    }
+  }
+  if (event.kind == ListKind::kError) return HandleError();
+  consecutive_errors_ = 0;
+  for (const ListEntry& entry : event.entries) ApplyEntry(entry, event.kind);
+  if (event.kind != ListKind::kPartial && !context_.settings().unlisted_stay_usable) DrainUnlisted(event);
+  context_.RequestRetryOfWaiting();
+}
+
+void EndpointListUpdater::HandleError() {
+  consecutive_errors_ = std::min(consecutive_errors_ + 1, kMaxErrorDoublings);
+  if (!context_.settings().poll_endpoint_list) return;
+  const Duration backoff = kTickInterval * kErrorBackoffTicks * (1 << consecutive_errors_);
+  context_.SetTimer(TimerKind::kWatchEndpointList, context_.Jitter(backoff));
+}
+
+void EndpointListUpdater::DrainUnlisted(const ListEvent& event) {
+  std::set<ServerId> listed;
+  for (const ListEntry& entry : event.entries) listed.insert(entry.server);
+  servers_.ForEach([&](Server& server) {
+    if (listed.contains(server.id)) return;
+    server.draining = true;
+    if (!server.deleted_since) server.deleted_since = context_.now();
+  });
+}
+
+void EndpointListUpdater::ApplyEntry(const ListEntry& entry, ListKind kind) {
+  Server& server = servers_.FindOrAdd(entry.server, entry.group, entry.zone);
+  server.weight = entry.weight > 0 ? entry.weight : 1;
+  // A server that was listed as draining gets nothing until it is listed as serving again, also once it is
+  // deleted.
+  const bool deleted = entry.lifecycle == Lifecycle::kDeleted;
+  const bool deletion_drains = server.draining || !context_.settings().unlisted_stay_usable;
+  server.draining = entry.lifecycle == Lifecycle::kDraining || (deleted && deletion_drains);
+  if (!server.draining || !deleted) {
+    server.deleted_since.reset();
+  } else if (!server.deleted_since) {
+    server.deleted_since = context_.now();
+  }
+  if (entry.started && (!server.started || *entry.started > *server.started)) {
+    slow_start_.BeginSlowStart(server, *entry.started);
+  }
+  const ListedRole listed_role = context_.settings().listed_role;
+  if (listed_role == ListedRole::kNone) return;
+  // What the list says of a role is as old as the list may be: any response or report outweighs it.
+  const bool is_old = kind == ListKind::kPersisted || listed_role == ListedRole::kInitial;
+  const TimePoint as_of = is_old ? TimePoint{} : context_.now() - kDelayedListAge;
+  if (entry.primary && (!server.role.as_primary || *server.role.as_primary < as_of)) {
+    replication_.RecordRole(server, ServerRole::kPrimary, as_of);
+  }
+}
+
+bool EndpointListUpdater::IsExpired(const Server& server) const {
+  if (!server.deleted_since || context_.now() - *server.deleted_since < kDeletedRetention) return false;
+  return !server.health_check.in_flight && server.load.in_flight.empty();
+}
+
+}  // namespace lynxgrade
--- /dev/null
+++ b/src/routing/events.h
@@ -0,0 +1,125 @@
+// The events that the host of the decision module feeds to it.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "routing/types.h"
+
+namespace lynxgrade {
+
+// What a server reports of itself. Absent: not reported.
+struct LoadReport {
+  std::optional<LogPosition> position{};
+  std::optional<bool> primary{};
+  std::optional<double> queued{};
+  std::optional<double> in_flight{};
+  std::optional<double> utilization{};
+};
+
+// What a response says of its server.
+struct ResponseMetadata {
+  std::optional<LogPosition> position{};
+  std::optional<bool> primary{};
+};
+
+enum class Lifecycle { kServing, kDraining, kDeleted };
+
+// One server of the endpoint list.
+struct ListEntry {
+  ServerId server{};
+  GroupId group{};
+  ZoneIndex zone = 0;
+  Lifecycle lifecycle = Lifecycle::kServing;
+  bool primary = false;
+  double weight = 1;
+  std::optional<TimePoint> started{};
+};
+
+enum class ListKind {
+  kPersisted,  // a stored list, at the start of the instance
+  kComplete,
+  kPartial,  // changes only
+  kError     // the list could not be had
+};
+
+// How an attempt or a health check ended.
+enum class Outcome {
+  kOk,
+  kError,  // the server answered with an error
+  kOverloaded,
+  kTimeout,
+  kUnreachable,     // nothing was sent: no connection
+  kConnectionLost,  // after something was sent; the request may have run
+  kCancelled,
+  kNotRun,    // never sent, or of no use to any server
+  kMisrouted  // the server is not the primary, or does not hold the required position
+};
+
+struct ListEvent {
+  ListKind kind = ListKind::kComplete;
+  std::vector<ListEntry> entries;
+};
+
+struct RequestEvent {
+  RequestId id{};
+  GroupId group{};
+  ClassIndex request_class = 0;
+  TenantIndex tenant = 0;
+  std::string session{};
+  bool is_retry = false;  // the client says that it asked before
+  std::optional<Duration> time_since_write{};
+  std::optional<LogPosition> required_position{};  // kSessionRead: from src/consistency/
+  bool require_proven_position = false;  // only proven positions suffice, even where servers check them
+  std::optional<TimePoint> arrived{};    // the latest at which it can have been sent; absent: now
+  Duration waited{0};                    // from its last byte until this event
+  Duration time_left{0};                 // from this event until the client gives up; 0: it has
+};
+
+struct AttemptEndedEvent {
+  RequestId id{};
+  AttemptNumber attempt = 0;
+  ServerId server{};
+  Outcome outcome = Outcome::kOk;
+  Duration elapsed{0};
+  bool request_done = false;  // the host has given the final answer
+  ResponseMetadata metadata{};
+  std::optional<LoadReport> report{};
+};
+
+// The first byte of a response has gone to the client: the attempt is final.
+struct ResponseStartedEvent {
+  RequestId id{};
+  AttemptNumber attempt = 0;
+  ServerId server{};
+  Duration elapsed{0};
+};
+
+struct HealthCheckEvent {
+  ServerId server{};
+  Outcome outcome = Outcome::kError;
+  Duration elapsed{0};
+  std::optional<LoadReport> report{};
+};
+
+struct TimerEvent {
+  TimerId id{};
+};
+
+struct ClientDisconnectedEvent {
+  RequestId id{};
+};
+
+// A message of another instance.
+struct PeerEvent {
+  std::uint32_t from = 0;
+  std::string message;
+};
+
+using Event = std::variant<ListEvent, RequestEvent, AttemptEndedEvent, ResponseStartedEvent, HealthCheckEvent,
+                           TimerEvent, ClientDisconnectedEvent, PeerEvent>;
+
+}  // namespace lynxgrade
--- /dev/null
+++ b/src/routing/replication_state.cpp
@@ -0,0 +1,78 @@
+#include "routing/replication_state.h"
+
+namespace lynxgrade {
+
+void ReplicationState::RecordRole(Server& server, ServerRole role, TimePoint when) {
+  const bool was_primary = server.IsPrimary();
+  std::optional<TimePoint>& evidence =
+      role == ServerRole::kPrimary ? server.role.as_primary : server.role.as_replica;
+  if (!evidence || when > *evidence) evidence = when;
+  if (was_primary == server.IsPrimary()) return;
+  Group& group = servers_.GroupOf(server.group);
+  if (!was_primary) ++group.role_changes;
+  group.searching_primary = was_primary;
+  context_.RequestRetryOfWaiting();
+}
+
+void ReplicationState::RecordPosition(Server& server, LogPosition position) {
+  if (server.position.RecordPosition(context_.now_since_epoch(), position.time_since_epoch())) {
+    context_.RequestRetryOfWaiting();
+  }
+}
+
+void ReplicationState::RecordResponse(Server& server, const RequestClass& request_class,
+                                      const ResponseMetadata& metadata) {
+  if (metadata.primary) {
+    RecordRole(server, *metadata.primary ? ServerRole::kPrimary : ServerRole::kReplica, context_.now());
+  }
+  if (!metadata.position) return;
+  const bool is_write = request_class.kind == AccessKind::kWrite;
+  if (!is_write && !context_.settings().responses_report_position) return;
+  if (!is_write || metadata.primary.value_or(true)) RecordPosition(server, *metadata.position);
+}
+
+void ReplicationState::RecordReport(Server& server, const LoadReport& report) {
+  if (report.queued) server.load.queued = *report.queued;
+  if (report.primary && report.position) {
+    // A primary is at the present and a replica not past it, so the position dates the claim.
+    RecordRole(server, *report.primary ? ServerRole::kPrimary : ServerRole::kReplica, *report.position);
+  }
+  if (report.position) RecordPosition(server, *report.position);
+}
+
+Server* ReplicationState::PrimaryOf(GroupId group) {
+  Server* newest = nullptr;
+  for (ServerId id : servers_.GroupOf(group).servers) {
+    Server& server = servers_.At(id);
+    if (!server.IsPrimary()) continue;
+    if (newest == nullptr || *server.role.as_primary > *newest->role.as_primary) newest = &server;
+  }
+  return newest;
+}
+
+std::optional<LogPosition> ReplicationState::RequiredPosition(const Request& request) const {
+  const RequestClass& request_class = context_.ClassOf(request);
+  if (request_class.kind == AccessKind::kBoundedRead) return context_.now() - request_class.staleness_bound;
+  if (request_class.kind == AccessKind::kSessionRead) return request.event.required_position;
+  return std::nullopt;
+}
+
+bool ReplicationState::IsProven(const Server& server, const std::optional<LogPosition>& required) {
+  return !required || server.position.IsProven(required->time_since_epoch());
+}
+
+bool ReplicationState::IsKnown(const Server& server, const std::optional<LogPosition>& required) const {
+  return !required || server.position.IsKnown(context_.now_since_epoch(), required->time_since_epoch());
+}
+
+bool ReplicationState::HasReached(const Server& server, const std::optional<LogPosition>& required) const {
+  if (IsProven(server, required)) return true;
+  if (context_.settings().position_check == PositionCheck::kNone) return false;
+  return IsKnown(server, required) && ExpectedPosition(server) >= *required;
+}
+
+LogPosition ReplicationState::ExpectedPosition(const Server& server) const {
+  return LogPosition(server.position.ExpectedPosition(context_.now_since_epoch()));
+}
+
+}  // namespace lynxgrade
--- /dev/null
+++ b/src/routing/request_router.h
@@ -0,0 +1,83 @@
+// Routes each request until it has its final answer: to a server, back to waiting, or to a rejection.
+#pragma once
+
+#include <map>
+#include <set>
+
+#include "routing/candidate_selection.h"
+#include "routing/eligibility.h"
+#include "routing/health_checks.h"
+#include "routing/load_shedding.h"
+#include "routing/primary_overflow.h"
+#include "routing/primary_selection.h"
+
+namespace lynxgrade {
+
+// The parts of the decision module that routing uses; they outlive the router.
+struct RoutingParts {
+  DecisionContext& context;
+  ServerTable& servers;
+  ReplicationState& replication;
+  LatencyModel& latencies;
+  SlowStartAdmission& slow_start;
+  RetryPolicy& retry_policy;
+  HealthChecks& health_checks;
+  LoadShedding& load_shedding;
+  Eligibility& eligibility;
+  CandidateSelection& candidate_selection;
+  PrimarySelection& primary_selection;
+  PrimaryOverflow& primary_overflow;
+};
+
+// Owns the requests that have no final answer yet.
+class RequestRouter {
+ public:
+  explicit RequestRouter(const RoutingParts& parts) : parts_(parts), context_(parts.context) {}
+
+  void HandleRequest(const RequestEvent& event);
+  // An attempt at the server ended. What that says of the server has been recorded before.
+  void HandleAttemptEnd(Server& server, const AttemptEndedEvent& event);
+  void HandleResponseStarted(const ResponseStartedEvent& event);
+  void HandleClientDisconnected(const ClientDisconnectedEvent& event);
+  void HandleDeadline(RequestId id);
+
+  // Routes the waiting requests that may go somewhere by now, the most valuable first.
+  void RetryWaiting();
+  // Groups that have requests waiting for a primary that is searched for.
+  std::set<GroupId> GroupsSearchingPrimary() const;
+
+ private:
+  // Where a request goes, and the candidates that were considered; no server: nowhere yet.
+  struct Route {
+    Server* server = nullptr;
+    bool overflow = false;
+    std::vector<Server*> candidates;
+  };
+
+  Request* Find(RequestId id);
+  void RouteRequest(Request& request);
+  Route ChooseRoute(const Request& request);
+  // The server to send to after load shedding; null if the request is to be rejected.
+  Server* ApplyLoadShedding(const Request& request, const Route& route);
+  void WaitForServer(Request& request);
+  void Wait(Request& request, Duration pause);
+  void SendTo(Request& request, const Route& route);
+  bool MayRouteNow(const Request& request) const;
+  bool MayReplicaCatchUpInTime(const Request& request) const;
+
+  // An attempt ended without a response: retries, waits or finishes.
+  void ContinueAfterFailure(Request& request, Server& server, Outcome outcome);
+  void ContinueAfterMisrouting(Request& request, Server& server);
+
+  // Gives the final answer: a rejection where that is allowed, else a failure.
+  void Finish(Request& request);
+  void CancelPendingAttempts(const Request& request);
+  void Forget(RequestId id);
+
+  RoutingParts parts_;
+  DecisionContext& context_;
+  std::map<RequestId, Request> requests_;
+  std::set<RequestId> waiting_;
+};
+
+}  // namespace lynxgrade
--- a/tests/estimation/estimation_test.cpp
+++ b/tests/estimation/estimation_test.cpp
@@ -15,7 +15,6 @@
 namespace {
 
 Duration Ms(double ms) { return Duration(static_cast<std::int64_t>(ms * 1000)); }
-double Seconds(Duration d) { return static_cast<double>(d.count()) * 1e-6; }
 
 // Clients of one class: a first try gets a fixed part of the deadline, later ones that or what is left.
 struct Clients {
@@ -46,15 +45,16 @@
       const double part = c.part > 0 ? c.part : 0.3 + 0.7 * even(random);
       const double left = std::min(part * 3000, 3000 - age) - even(random);
       if (left <= 0) break;
-      const Duration told = estimate.Age(kDeadline, Ms(left), c.marks && attempt > 0);
+      const auto kind = c.marks && attempt > 0 ? AttemptKind::kRetry : AttemptKind::kFirst;
+      const Duration told = estimate.EstimateAge(kDeadline, Ms(left), kind);
       if (i >= 100) {
-        (attempt == 0 ? sum.first : sum.estimated) += std::abs(Seconds(told) - age * 1e-3);
+        (attempt == 0 ? sum.first : sum.estimated) += std::abs(ToSeconds(told) - age * 1e-3);
         if (attempt > 0) sum.without += age * 1e-3;
         (attempt == 0 ? first : later) += 1;
       }
       if (even(random) >= c.refused) break;
       const double wait = std::min(held(random), left);
-      estimate.Unserved(told + Ms(wait));
+      estimate.RecordUnserved(told + Ms(wait));
       age += wait + off(random);
     }
   }
@@ -87,13 +87,13 @@
 
 TEST_CASE("the age of a try is bounded by what the deadline leaves, whatever was seen") {
   FirstAttemptEstimator estimate;
-  CHECK(estimate.Age(Duration{0}, Ms(100), true) == Duration{0});
-  for (int i = 0; i < 40; ++i) estimate.Age(Ms(1000), Ms(600), false);
-  for (int i = 0; i < 100; ++i) estimate.Unserved(Ms(900));
-  CHECK(estimate.Age(Ms(1000), Ms(600), true) == Ms(400));
-  CHECK(estimate.Age(Ms(1000), Ms(250), false) == Ms(750));
-  CHECK(estimate.Age(Ms(1000), Ms(1400), true) == Duration{0});
-  CHECK(estimate.Age(Ms(1000), Ms(600), false) == Duration{0});
+  CHECK(estimate.EstimateAge(Duration{0}, Ms(100), AttemptKind::kRetry) == Duration{0});
+  for (int i = 0; i < 40; ++i) estimate.EstimateAge(Ms(1000), Ms(600), AttemptKind::kFirst);
+  for (int i = 0; i < 100; ++i) estimate.RecordUnserved(Ms(900));
+  CHECK(estimate.EstimateAge(Ms(1000), Ms(600), AttemptKind::kRetry) == Ms(400));
+  CHECK(estimate.EstimateAge(Ms(1000), Ms(250), AttemptKind::kFirst) == Ms(750));
+  CHECK(estimate.EstimateAge(Ms(1000), Ms(1400), AttemptKind::kRetry) == Duration{0});
+  CHECK(estimate.EstimateAge(Ms(1000), Ms(600), AttemptKind::kFirst) == Duration{0});
 }
 
 // A replica that gets the log late and applies it by one thread, heard by reports that are some time old.
@@ -135,14 +135,15 @@
       due = now + 73 + 157 * even(random);
     }
     // Heard about every 60 ms, a report's delay late.
-    if (even(random) < 1.0 / 60 && now > reported_at + 40) estimate.Seen(Ms(now), Ms(reported));
+    if (even(random) < 1.0 / 60 && now > reported_at + 40) estimate.RecordPosition(Ms(now), Ms(reported));
     if (even(random) < 0.02) {
       const bool moves = even(random) < 0.5;
       const double target = now - (moves ? 500 : 200);
-      const bool up = !estimate.MayReach(Ms(now), Ms(1000), Ms(target), moves);
-      if (!estimate.Proven(Ms(target))) open.push_back({now, target, moves, up});
+      const auto motion = moves ? TargetMotion::kWithClock : TargetMotion::kFixed;
+      const bool up = !estimate.MayReach(Ms(now), Ms(1000), Ms(target), motion);
+      if (!estimate.IsProven(Ms(target))) open.push_back({now, target, moves, up});
       const bool has = replica.at >= target;
-      const bool ask = estimate.MayHold(Ms(now), Ms(target));
+      const bool ask = estimate.MayHaveReached(Ms(now), Ms(target));
       v.asked += ask;
       v.could += has;
       v.missed += has && !ask;
@@ -173,33 +174,34 @@
 
 TEST_CASE("a position is a floor, and what was not heard for long rules nothing out") {
   ReplicaPosition p;
-  CHECK_FALSE(p.Proven(Ms(1)));
-  CHECK(p.MayHold(Ms(5000), Ms(4900)));
-  CHECK(p.MayReach(Ms(5000), Ms(100), Ms(4900), false));
-  CHECK(p.Seen(Ms(5000), Ms(1000)));
-  CHECK_FALSE(p.Seen(Ms(5010), Ms(900)));
-  CHECK(p.MayReach(Ms(5010), Ms(100), Ms(4900), false));  // how fast it moves is not known yet
-  CHECK(p.Seen(Ms(5100), Ms(900)));
-  CHECK(p.Seen(Ms(5500), Ms(1000)));
-  CHECK(p.Proven(Ms(1000)));
-  CHECK_FALSE(p.Proven(Ms(1001)));
-  CHECK_FALSE(p.MayHold(Ms(5510), Ms(4900)));
-  CHECK_FALSE(p.MayReach(Ms(5510), Ms(1000), Ms(4900), false));
-  CHECK(p.MayReach(Ms(6600), Ms(1000), Ms(4900), false));
-  CHECK(p.MayHold(Ms(5900), Ms(4900)));
+  CHECK_FALSE(p.IsProven(Ms(1)));
+  CHECK(p.MayHaveReached(Ms(5000), Ms(4900)));
+  CHECK(p.MayReach(Ms(5000), Ms(100), Ms(4900), TargetMotion::kFixed));
+  CHECK(p.RecordPosition(Ms(5000), Ms(1000)));
+  CHECK_FALSE(p.RecordPosition(Ms(5010), Ms(900)));
+  CHECK(p.MayReach(Ms(5010), Ms(100), Ms(4900), TargetMotion::kFixed));  // how fast it moves is not known yet
+  CHECK(p.RecordPosition(Ms(5100), Ms(900)));
+  CHECK(p.RecordPosition(Ms(5500), Ms(1000)));
+  CHECK(p.IsProven(Ms(1000)));
+  CHECK_FALSE(p.IsProven(Ms(1001)));
+  CHECK_FALSE(p.MayHaveReached(Ms(5510), Ms(4900)));
+  CHECK_FALSE(p.MayReach(Ms(5510), Ms(1000), Ms(4900), TargetMotion::kFixed));
+  CHECK(p.MayReach(Ms(6600), Ms(1000), Ms(4900), TargetMotion::kFixed));
+  CHECK(p.MayHaveReached(Ms(5900), Ms(4900)));
 }
 
 TEST_CASE("what an instance stood still for is not taken for the member's delay") {
   ReplicaPosition with, without;
   for (double now = 1000; now <= 2000; now += 100) {
-    with.Seen(Ms(now), Ms(now - 10));
-    without.Seen(Ms(now), Ms(now - 10));
+    with.RecordPosition(Ms(now), Ms(now - 10));
+    without.RecordPosition(Ms(now), Ms(now - 10));
   }
   // Three seconds without a turn: what was reported meanwhile is read now.
-  with.Forgive(Ms(5000), Ms(3000));
-  for (ReplicaPosition* p : {&with, &without}) p->Seen(Ms(5000), Ms(2050)), p->Seen(Ms(5400), Ms(2100));
-  CHECK(with.Expected(Ms(5500)) >= without.Expected(Ms(5500)));
-  CHECK_FALSE(with.Proven(Ms(2101)));
+  with.ExcludeStall(Ms(5000), Ms(3000));
+  for (ReplicaPosition* p : {&with, &without})
+    p->RecordPosition(Ms(5000), Ms(2050)), p->RecordPosition(Ms(5400), Ms(2100));
+  CHECK(with.ExpectedPosition(Ms(5500)) >= without.ExpectedPosition(Ms(5500)));
+  CHECK_FALSE(with.IsProven(Ms(2101)));
 }
 
 // Clients of whom `early` leave at `at` aims, the others never; answered after a mean of `mean` aims.
@@ -211,7 +213,7 @@
   for (int i = 0; i < 3000; ++i) {
     const double answer = taken(random);
     const bool left = even(random) < early && answer > at;
-    stay.Seen(left ? at : answer, left);
+    stay.RecordStay(left ? at : answer, left ? StayEnd::kLeft : StayEnd::kAnswered);
   }
   return stay;
 }
@@ -219,16 +221,16 @@
 // Seen on the second deployment: of a hundred clients one went away early, and late answers, which alone
 // corrected the figure, were given up: it sank to a third of the aim for all.
 TEST_CASE("few clients that leave early do not stand for all, and where most leave it shows") {
-  CHECK(ClientPatienceEstimator().Part() == 1);
+  CHECK(ClientPatienceEstimator().MedianStay() == 1);
   for (std::uint64_t seed : {1, 2, 3}) {
     for (double mean : {0.1, 0.3, 1.0}) {
-      CHECK(Stays(0.01, 0.25, mean, seed).Part() == 1);
-      CHECK(Stays(0.2, 0.25, mean, seed).Part() == 1);
+      CHECK(Stays(0.01, 0.25, mean, seed).MedianStay() == 1);
+      CHECK(Stays(0.2, 0.25, mean, seed).MedianStay() == 1);
       if (mean < 0.3) continue;  // hardly anybody waits for so long
-      CHECK(Stays(0.9, 0.25, mean, seed).Part() == doctest::Approx(0.3));
-      CHECK(Stays(1, 0.75, mean, seed).Part() == doctest::Approx(0.8));
+      CHECK(Stays(0.9, 0.25, mean, seed).MedianStay() == doctest::Approx(0.3));
+      CHECK(Stays(1, 0.75, mean, seed).MedianStay() == doctest::Approx(0.8));
     }
-    CHECK(Stays(1, 1.5, 0.3, seed).Part() == 1);
+    CHECK(Stays(1, 1.5, 0.3, seed).MedianStay() == 1);
   }
   // Answers later than that are given up, so none tells that a client had stayed for it.
   std::mt19937_64 random(1);
@@ -236,49 +238,50 @@
   ClientPatienceEstimator loop;
   for (int i = 0; i < 3000; ++i) {
     const bool left = even(random) < 0.02;
-    loop.Seen(left ? 0.1 * even(random) : std::min(loop.Part(), 1.5 * even(random)), left);
+    loop.RecordStay(left ? 0.1 * even(random) : std::min(loop.MedianStay(), 1.5 * even(random)),
+                    left ? StayEnd::kLeft : StayEnd::kAnswered);
   }
-  CHECK(loop.Part() == 1);
+  CHECK(loop.MedianStay() == 1);
   ClientPatienceEstimator turned = Stays(1, 0.25, 0.3, 1);
-  for (int i = 0; i < 3000; ++i) turned.Seen(0.6, false);
-  CHECK(turned.Part() == 1);
+  for (int i = 0; i < 3000; ++i) turned.RecordStay(0.6, StayEnd::kAnswered);
+  CHECK(turned.MedianStay() == 1);
   ClientPatienceEstimator first;
-  first.Seen(0.1, true);
-  CHECK(first.Part() == 1);
+  first.RecordStay(0.1, StayEnd::kLeft);
+  CHECK(first.MedianStay() == 1);
 }
 
 TEST_CASE("what a warm member carries is a rate, smoothed over seconds") {
   fleet::WarmServerThroughput carried;
   for (int i = 0; i < 600; ++i) {
-    carried.Add(0.1);
-    carried.End(0.05, 4);
+    carried.RecordWork(0.1);
+    carried.EndInterval(0.05, 4);
   }
   CHECK(carried.PerSecond() == doctest::Approx(0.5).epsilon(0.02));
-  for (int i = 0; i < 100; ++i) carried.End(0.05, 4);
+  for (int i = 0; i < 100; ++i) carried.EndInterval(0.05, 4);
   CHECK(carried.PerSecond() == doctest::Approx(0.5 * std::exp(-1)).epsilon(0.02));
 }
 
 TEST_CASE("a window grows with what came back well, is cut once a stretch, and never closes for good") {
   limits::AimdWindow window;
-  CHECK(window.Open());
-  window.Take();
-  CHECK_FALSE(window.Open());
-  window.Return(false);
+  CHECK(window.HasCapacity());
+  window.Acquire();
+  CHECK_FALSE(window.HasCapacity());
+  window.Release(limits::WindowGrowth::kNone);
   int most = 0;
   for (int i = 0; i < 20; ++i) {
     int out = 0;
-    while (window.Open()) window.Take(), ++out;
+    while (window.HasCapacity()) window.Acquire(), ++out;
     most = std::max(most, out);
-    while (out-- > 0) window.Return(i < 5);
+    while (out-- > 0) window.Release(i < 5 ? limits::WindowGrowth::kIncrease : limits::WindowGrowth::kNone);
   }
   CHECK(most >= 3);
-  for (int i = 0; i < 100; ++i) window.Cut(Ms(1000 + i));  // one stretch
+  for (int i = 0; i < 100; ++i) window.Decrease(Ms(1000 + i));  // one stretch
   int out = 0;
-  while (window.Open()) window.Take(), ++out;
+  while (window.HasCapacity()) window.Acquire(), ++out;
   CHECK(out >= 0.6 * most);
-  while (out-- > 0) window.Return(false);
-  for (int i = 0; i < 100; ++i) window.Cut(Ms(2000 + 300 * i));
-  CHECK(window.Open());
+  while (out-- > 0) window.Release(limits::WindowGrowth::kNone);
+  for (int i = 0; i < 100; ++i) window.Decrease(Ms(2000 + 300 * i));
+  CHECK(window.HasCapacity());
 }
 
 }  // namespace
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -23,7 +23,7 @@
 
 using fleet::Backoff;
 using fleet::DiscoveryRetryPolicy;
-using Micros = fleet::Duration;
+using Micros = Duration;
 
 constexpr Micros kLeast{150000}, kSpacing{20000};
 
@@ -40,7 +40,7 @@
   std::uniform_real_distribution<double> even(0, 1);
   std::vector<Backoff> all(instances, Backoff(instances, kLeast, kSpacing));
   std::multimap<std::int64_t, std::size_t> calls;
-  for (std::size_t i = 0; i < all.size(); ++i) calls.emplace(all[i].Next(even(random)).count(), i);
+  for (std::size_t i = 0; i < all.size(); ++i) calls.emplace(all[i].NextWait(even(random)).count(), i);
   std::map<std::int64_t, int> made, served;
   Outage outage;
   while (!calls.empty()) {
@@ -53,7 +53,7 @@
       outage.all_back_s = static_cast<double>(at) * 1e-6;
       continue;
     }
-    calls.emplace(at + all[who].Next(even(random)).count(), who);
+    calls.emplace(at + all[who].NextWait(even(random)).count(), who);
   }
   outage.first_second = made[0];
   for (const auto& [second, count] : made) {
@@ -90,14 +90,14 @@
   std::uniform_real_distribution<double> even(0, 1);
   std::set<std::int64_t> tenths;
   for (int i = 0; i < 200; ++i)
-    tenths.insert(Backoff(100, kLeast, kSpacing).Spread(even(random), Micros(5000000)).count() / 213000);
+    tenths.insert(Backoff(100, kLeast, kSpacing).InitialWait(even(random), Micros(5000000)).count() / 213000);
   CHECK(tenths.size() == 10);
   Backoff one(1, kLeast, kSpacing);
-  for (int i = 0; i < 9; ++i) one.Next(0.5);
-  CHECK(one.Next(0.5) == Micros(600000));
-  one.Succeeded();
-  CHECK(one.Next(0.5) == Micros(75000));
-  CHECK(Backoff(0, kLeast, kSpacing).Next(0.5) == Micros(75000));
+  for (int i = 0; i < 9; ++i) one.NextWait(0.5);
+  CHECK(one.NextWait(0.5) == Micros(600000));
+  one.RecordSuccess();
+  CHECK(one.NextWait(0.5) == Micros(75000));
+  CHECK(Backoff(0, kLeast, kSpacing).NextWait(0.5) == Micros(75000));
 }
 
 // Who fails at each point, and how late the list is known: a watch that falls silent just after a sign of
@@ -118,12 +118,12 @@
         std::uniform_real_distribution<double> even(0, 1);
         for (int play = 0; play < 2000; ++play) {
           DiscoveryRetryPolicy waits(shared, instances, grace);
-          const Duration first = waits.silence() + waits.Next(even(random), waits.silence());
+          const Duration first = waits.silence() + waits.NextWait(even(random), waits.silence());
           silent = std::max(silent, first + waits.answer());
-          refused = std::max(refused, first + waits.Next(even(random), first) + waits.answer());
+          refused = std::max(refused, first + waits.NextWait(even(random), first) + waits.answer());
           // It comes back just as a call has begun that will hang, after any number of failures.
-          for (int i = 0; i < play % 12; ++i) waits.Next(even(random), long_ago);
-          hung = std::max(hung, waits.call() + waits.Next(even(random), long_ago) + waits.answer());
+          for (int i = 0; i < play % 12; ++i) waits.NextWait(even(random), long_ago);
+          hung = std::max(hung, waits.call() + waits.NextWait(even(random), long_ago) + waits.answer());
         }
         CHECK(silent < told + grace);
         CHECK(refused < told + grace);
@@ -144,7 +144,7 @@
       std::map<std::int64_t, int> made;
       for (std::uint32_t i = 0; i < instances; ++i) {
         DiscoveryRetryPolicy waits(true, instances, Duration(2000000));
-        for (Duration at{0}; (at += waits.Next(even(random), at)) < Duration(60000000);)
+        for (Duration at{0}; (at += waits.NextWait(even(random), at)) < Duration(60000000);)
           ++made[at.count() / 1000000];
       }
       for (const auto& [second, count] : made) {
@@ -463,8 +463,8 @@
 // Read as one, each of 300 would take a cold member's whole part, as far as the tenants' shares stand for it.
 TEST_CASE("a fleet that is not told its size spares cold members all the same") {
   CHECK(Fleet(300, 0, true, 311).WorstPart() < 1);
-  CHECK(fleet::Size(0) >= 300);
-  CHECK(fleet::Size(7) == 7);
+  CHECK(fleet::EffectiveFleetSize(0) >= 300);
+  CHECK(fleet::EffectiveFleetSize(7) == 7);
 }
 
 // What each instance does alone adds up: at 300 a probe each for a write that is held, or for each position
