--- a/src/estimation/replica_position.h
+++ b/src/estimation/replica_position.h
@@ -26,7 +26,7 @@
   bool IsProven(Instant target) const { return proven_ && *proven_ >= target; }
   // Where the server is by now if it goes on as it did, at the clock's pace at most.
   Instant ExpectedPosition(Instant now) const;
-  // Whether it can be told if the server has reached `target`: it is proven, or was heard of recently. That
+  // Whether it is known if the server has reached `target`: it is proven, or was heard of recently. That
   // it is behind is known for about as long as it is behind.
   bool IsKnown(Instant now, Instant target) const;
 
--- a/src/routing/candidate_selection.cpp
+++ b/src/routing/candidate_selection.cpp
@@ -47,7 +47,7 @@
                   (latencies_.Slowness(server) * (1 + in_flight + server.load.queued));
   const bool is_known = replication_.IsKnown(server, required);
   // One instance of many hears little of each server, but much of all: the miss rates stand for all replicas
-  // of unknown position, told apart only by whether they run the long reads.
+  // of unknown position, apart for those that run the long reads and others.
   if (required && !is_known) weight *= 1 - (&server == host ? host_miss_rate_ : replica_miss_rate_);
   weight = std::pow(weight, kWeightExponent) * slow_start_.CapacityShare(server);
   const bool is_behind =
--- a/src/routing/load_shedding.h
+++ b/src/routing/load_shedding.h
@@ -25,8 +25,8 @@
   TimePoint UsefulUntil(const Request& request) const;
   // Whether not even a quick response would come in time: it would take the place of one that can.
   bool IsTooLate(const Request& request) const;
-  // Whether the request waited for half of its time and no server was asked: its client is better told when
-  // to retry.
+  // Whether the request waited for half of its time and no server was asked: its client does better to retry
+  // later.
   bool HasWaitedTooLong(const Request& request) const;
   // Draws whether the request is rejected rather than sent to the server, the more likely the later it would
   // be.
--- a/src/routing/replication_state.h
+++ b/src/routing/replication_state.h
@@ -18,7 +18,7 @@
 
   // Evidence that the server had the role at the time `when`.
   void RecordRole(Server& server, ServerRole role, TimePoint when);
-  // A position that the server was told to have reached.
+  // A position that the server has reached, by its own report or response.
   void RecordPosition(Server& server, LogPosition position);
   // The role and position that came with a response to a request of the class.
   void RecordResponse(Server& server, const RequestClass& request_class, const ResponseMetadata& metadata);
@@ -32,7 +32,7 @@
   std::optional<LogPosition> RequiredPosition(const Request& request) const;
   // Whether the server is proven to hold the position. True where none is required.
   static bool IsProven(const Server& server, const std::optional<LogPosition>& required);
-  // Whether it can be told if the server holds the position: see ReplicaPosition::IsKnown.
+  // Whether it is known if the server holds the position: see ReplicaPosition::IsKnown.
   bool IsKnown(const Server& server, const std::optional<LogPosition>& required) const;
   // Whether the server may be expected to hold it. An expectation suffices only where servers check
   // themselves.
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -14,7 +14,8 @@
   using period = Duration::period;
   using duration = Duration;
   using time_point = std::chrono::time_point<ProxyClock>;
-  static constexpr bool is_steady = true;
+  // The Clock requirements name it so.
+  static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming)
 };
 using TimePoint = ProxyClock::time_point;
 
