--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -1,5 +1,5 @@
-// The time of a decision as the fleet grows: one request from its event to its end, and one beat, with 10, 60
-// and 600 members in groups of six. What the request's own group does not hold must not cost it anything.
+// The time of a decision as the fleet grows: one request from its event to its end, and one periodic tick,
+// with 10, 60 and 600 servers in groups of six. Servers of other groups must not cost a request anything.
 #include <benchmark/benchmark.h>
 
 #include <variant>
@@ -9,32 +9,32 @@
 namespace lynxgrade {
 namespace {
 
-constexpr std::uint32_t kGroup = 6;
+constexpr std::uint32_t kServersPerGroup = 6;
 
-Settings Site() {
-  Settings s;
+Settings SiteSettings() {
+  Settings settings;
   RequestClass read;
   read.kind = AccessKind::kBoundedRead;
   read.staleness_bound = Duration(500000);
   read.latency_objective = Duration(400000);
   read.deadline = Duration(1600000);
-  s.classes = {read};
-  s.peers_total = 300;
-  s.max_attempts = 8;
-  s.responses_report_position = s.may_cancel = s.may_health_check = true;
-  s.health_check_price = 0.01;
-  s.position_check = PositionCheck::kReject;
-  s.load_reporting = LoadReporting::kWithResponses;
-  return s;
+  settings.classes = {read};
+  settings.peers_total = 300;
+  settings.max_attempts = 8;
+  settings.responses_report_position = settings.may_cancel = settings.may_health_check = true;
+  settings.health_check_price = 0.01;
+  settings.position_check = PositionCheck::kReject;
+  settings.load_reporting = LoadReporting::kWithResponses;
+  return settings;
 }
 
-struct Rig {
-  explicit Rig(std::uint32_t servers) : balancer(Site(), 1) {
+struct LoadedBalancer {
+  explicit LoadedBalancer(std::uint32_t servers) : balancer(SiteSettings(), 1) {
     ListEvent list{ListKind::kPersisted, {}};
     for (std::uint32_t i = 0; i < servers; ++i) {
-      list.entries.push_back({.server = ServerId(i + 1), .group = GroupId(i / kGroup)});
+      list.entries.push_back({.server = ServerId(i + 1), .group = GroupId(i / kServersPerGroup)});
     }
-    groups = (servers + kGroup - 1) / kGroup;
+    groups = (servers + kServersPerGroup - 1) / kServersPerGroup;
     Feed(list);
   }
 
@@ -42,12 +42,12 @@
     actions.clear();
     balancer.Handle(now, event, actions);
     for (const Action& action : actions) {
-      if (const auto* timer = std::get_if<SetTimer>(&action)) beat = timer->id;
+      if (const auto* timer = std::get_if<SetTimer>(&action)) tick_timer = timer->id;
     }
   }
 
   // One request to the next group, answered after 30 ms.
-  void Request() {
+  void RunRequest() {
     RequestEvent ask;
     ask.id = RequestId(++last);
     ask.group = GroupId(last % groups);
@@ -69,28 +69,28 @@
   TimePoint now{Duration(1000000000)};
   Balancer balancer;
   Actions actions;
-  TimerId beat{};
+  TimerId tick_timer{};
   std::uint32_t groups = 1, last = 0;
 };
 
 void Decision(benchmark::State& state) {
-  Rig rig(static_cast<std::uint32_t>(state.range(0)));
-  for (int i = 0; i < 2000; ++i) rig.Request();
-  for (auto _ : state) rig.Request();
+  LoadedBalancer loaded(static_cast<std::uint32_t>(state.range(0)));
+  for (int i = 0; i < 2000; ++i) loaded.RunRequest();
+  for (auto _ : state) loaded.RunRequest();
 }
 
-// The beat comes twenty times a second, whatever is asked.
-void Beat(benchmark::State& state) {
-  Rig rig(static_cast<std::uint32_t>(state.range(0)));
-  const TimerId beat = rig.beat;
+// The tick comes twenty times a second, whatever the load.
+void Tick(benchmark::State& state) {
+  LoadedBalancer loaded(static_cast<std::uint32_t>(state.range(0)));
+  const TimerId tick_timer = loaded.tick_timer;
   for (auto _ : state) {
-    rig.now += Duration(50000);
-    rig.Feed(TimerEvent{beat});
+    loaded.now += Duration(50000);
+    loaded.Feed(TimerEvent{tick_timer});
   }
 }
 
 BENCHMARK(Decision)->Arg(10)->Arg(60)->Arg(600);
-BENCHMARK(Beat)->Arg(10)->Arg(60)->Arg(600);
+BENCHMARK(Tick)->Arg(10)->Arg(60)->Arg(600);
 
 }  // namespace
 }  // namespace lynxgrade
--- a/tests/routing/balancer_long_run_test.cpp
+++ b/tests/routing/balancer_long_run_test.cpp
@@ -1,4 +1,4 @@
-// The decision module by itself, on days that last: what it forgets, and whom it refuses.
+// The decision module by itself over long times: what it forgets, and which requests it rejects.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -13,19 +13,19 @@
 
 constexpr ServerId kFirst{1}, kSecond{2};
 
-// One module with a clock of its own; attempts are answered after the time that is set for their member.
-struct Rig {
-  Rig() : Rig(SettingsHere()) {}
-  explicit Rig(const Settings& settings) : balancer(settings, 7) {
+// One decision module with a clock of its own, in front of two servers that respond after a set time.
+struct LongRun {
+  LongRun() : LongRun(DefaultSettings()) {}
+  explicit LongRun(const Settings& settings) : balancer(settings, 7) {
     List(ListKind::kPersisted, Lifecycle::kServing);
   }
 
-  static Settings SettingsHere() {
+  static Settings DefaultSettings() {
     Settings s;
-    RequestClass any;
-    any.latency_objective = Duration(300000);
-    any.deadline = Duration(1200000);
-    s.classes = {any};
+    RequestClass eventual_read;
+    eventual_read.latency_objective = Duration(300000);
+    eventual_read.deadline = Duration(1200000);
+    s.classes = {eventual_read};
     s.max_attempts = 8;
     s.may_cancel = s.clients_honor_retry_after = true;
     s.max_retry_after = Duration(500000);
@@ -45,22 +45,22 @@
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action))
         due.emplace(now + timer->delay, TimerEvent{timer->id});
-      if (const auto* refuse = std::get_if<Reject>(&action)) {
-        ++refused;
-        shortest = std::min(shortest, refuse->retry_after);
+      if (const auto* reject = std::get_if<Reject>(&action)) {
+        ++rejected;
+        shortest_retry_after = std::min(shortest_retry_after, reject->retry_after);
       }
-      if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
-        ++probes;
+      if (const auto* check = std::get_if<StartHealthCheck>(&action)) {
+        ++health_checks;
         const LoadReport report{.position = now - lag, .primary = false};
         due.emplace(now + Duration(1000),
-                    HealthCheckEvent{probe->server, Outcome::kOk, Duration(1000), report});
+                    HealthCheckEvent{check->server, Outcome::kOk, Duration(1000), report});
       }
       if (const auto* send = std::get_if<StartAttempt>(&action)) {
         ++sent[send->server];
         AttemptEndedEvent end;
         end.id = send->id;
         end.server = send->server;
-        end.elapsed = takes[send->server];
+        end.elapsed = response_time[send->server];
         end.request_done = true;
         due.emplace(now + end.elapsed, end);
       }
@@ -80,7 +80,7 @@
 
   void Ask(int count, Duration every = Duration(20000)) {
     sent.clear();
-    refused = 0;
+    rejected = 0;
     for (int i = 0; i < count; ++i) {
       RequestEvent ask;
       ask.id = RequestId(++last);
@@ -94,108 +94,109 @@
   TimePoint now{Duration(1000000000)};
   Balancer balancer;
   std::multimap<TimePoint, Event> due;
-  std::map<ServerId, Duration> takes{{kFirst, Duration(30000)}, {kSecond, Duration(30000)}};
+  std::map<ServerId, Duration> response_time{{kFirst, Duration(30000)}, {kSecond, Duration(30000)}};
   std::map<ServerId, int> sent;
-  int refused = 0;
-  int probes = 0;
-  Duration lag{0};  // of both members, as probes tell it
-  Duration shortest{1000000000};
+  int rejected = 0;
+  int health_checks = 0;
+  Duration lag{0};  // of both servers' positions
+  Duration shortest_retry_after{1000000000};
   std::uint32_t last = 0;
 };
 
-TEST_CASE("a member that is gone for long is forgotten: under its id another may come") {
-  Rig rig;
-  rig.takes[kFirst] = Duration(250000);
-  rig.Ask(300);
-  const int when_slow = rig.sent[kFirst];
-  rig.takes[kFirst] = Duration(30000);
-  rig.List(ListKind::kPartial, Lifecycle::kDeleted);
-  rig.Run(Duration(31000000));
-  rig.List(ListKind::kPartial, Lifecycle::kServing);
-  rig.Ask(20);
+TEST_CASE("a server that was deleted for long is forgotten, so that its id can stand for another") {
+  LongRun run;
+  run.response_time[kFirst] = Duration(250000);
+  run.Ask(300);
+  const int when_slow = run.sent[kFirst];
+  run.response_time[kFirst] = Duration(30000);
+  run.List(ListKind::kPartial, Lifecycle::kDeleted);
+  run.Run(Duration(31000000));
+  run.List(ListKind::kPartial, Lifecycle::kServing);
+  run.Ask(20);
   CHECK(when_slow < 100);
-  CHECK(rig.sent[kFirst] >= 5);
+  CHECK(run.sent[kFirst] >= 5);
 }
 
-// One connection that falls silent must not make its data server look lost.
-TEST_CASE("an attempt that is overtaken does not make its member look slow") {
-  Rig rig;
-  rig.List(ListKind::kPartial, Lifecycle::kDeleted);
-  rig.Ask(200);
-  rig.takes[kSecond] = Duration(60000000);
-  rig.Ask(1);
-  rig.takes[kSecond] = Duration(30000);
-  rig.Ask(200);
-  CHECK(rig.refused < 10);
+// One connection that falls silent must not make its server look lost.
+TEST_CASE("an attempt that is overtaken does not make its server look slow") {
+  LongRun run;
+  run.List(ListKind::kPartial, Lifecycle::kDeleted);
+  run.Ask(200);
+  run.response_time[kSecond] = Duration(60000000);
+  run.Ask(1);
+  run.response_time[kSecond] = Duration(30000);
+  run.Ask(200);
+  CHECK(run.rejected < 10);
 }
 
-TEST_CASE("a request is not refused for the member that the draw fell on while another is clearly quicker") {
-  Rig rig;
-  rig.Ask(200);
-  rig.takes[kFirst] = Duration(280000);
-  rig.Ask(2000);
-  CHECK(rig.sent[kFirst] > 0);
-  CHECK(rig.refused == 0);
+TEST_CASE("a request is not rejected for the server that was drawn while another is clearly faster") {
+  LongRun run;
+  run.Ask(200);
+  run.response_time[kFirst] = Duration(280000);
+  run.Ask(2000);
+  CHECK(run.sent[kFirst] > 0);
+  CHECK(run.rejected == 0);
 }
 
-// One pooler of hundreds asks a group once a second, and each of its members every six. What it heard last of
-// any of them tells of all: a crowded group was sent its usual load until its queues were full.
-TEST_CASE("a pooler that asks a group seldom refuses soon after the group is crowded, and not for long") {
-  Rig rig;
+// One instance of hundreds sends to a group once a second, and to each of its servers every six seconds. What
+// it recorded last of any of them has to count for all.
+TEST_CASE(
+    "an instance that seldom sends to a group rejects soon after the group is overloaded, and not for long") {
+  LongRun run;
   ListEvent six{ListKind::kPartial, {}};
   for (std::uint32_t i = 3; i <= 6; ++i) six.entries.push_back({.server = ServerId(i), .group = GroupId(1)});
-  rig.Feed(six);
-  const auto all_take = [&](Duration time) {
-    for (std::uint32_t i = 1; i <= 6; ++i) rig.takes[ServerId(i)] = time;
+  run.Feed(six);
+  const auto all_respond_in = [&](Duration time) {
+    for (std::uint32_t i = 1; i <= 6; ++i) run.response_time[ServerId(i)] = time;
   };
-  all_take(Duration(60000));
-  rig.Ask(60, Duration(1000000));
-  CHECK(rig.refused == 0);
-  all_take(Duration(200000));
-  rig.Ask(20, Duration(1000000));
-  CHECK(rig.refused >= 5);
-  all_take(Duration(60000));
-  rig.Ask(10, Duration(1000000));
-  rig.Ask(20, Duration(1000000));
-  CHECK(rig.refused <= 2);
+  all_respond_in(Duration(60000));
+  run.Ask(60, Duration(1000000));
+  CHECK(run.rejected == 0);
+  all_respond_in(Duration(200000));
+  run.Ask(20, Duration(1000000));
+  CHECK(run.rejected >= 5);
+  all_respond_in(Duration(60000));
+  run.Ask(10, Duration(1000000));
+  run.Ask(20, Duration(1000000));
+  CHECK(run.rejected <= 2);
 }
 
-TEST_CASE("where answers are quick, the advice to come back is short") {
-  Rig rig;
-  rig.takes[kFirst] = rig.takes[kSecond] = Duration(10000);
-  rig.Ask(400);
-  rig.takes[kFirst] = rig.takes[kSecond] = Duration(260000);
-  rig.Ask(200);
-  REQUIRE(rig.refused > 0);
-  CHECK(rig.shortest > Duration{0});
-  CHECK(rig.shortest < Duration(50000));
+TEST_CASE("where responses are fast, Retry-After is short") {
+  LongRun run;
+  run.response_time[kFirst] = run.response_time[kSecond] = Duration(10000);
+  run.Ask(400);
+  run.response_time[kFirst] = run.response_time[kSecond] = Duration(260000);
+  run.Ask(200);
+  REQUIRE(run.rejected > 0);
+  CHECK(run.shortest_retry_after > Duration{0});
+  CHECK(run.shortest_retry_after < Duration(50000));
 }
 
-TEST_CASE("a write that can be sent to nobody is refused before half of its time has gone") {
-  Rig rig;
-  rig.balancer = Balancer(
+TEST_CASE("a write that no server can take is rejected before half of its time has passed") {
+  LongRun run;
+  run.balancer = Balancer(
       [] {
-        Settings s = Rig::SettingsHere();
+        Settings s = LongRun::DefaultSettings();
         s.classes[0].kind = AccessKind::kWrite;
         s.classes[0].late_response_value = 1;
         return s;
       }(),
       7);
-  rig.Feed(ListEvent{ListKind::kPersisted,
+  run.Feed(ListEvent{ListKind::kPersisted,
                      {{.server = kFirst, .group = GroupId(1), .lifecycle = Lifecycle::kDraining}}});
   RequestEvent ask;
   ask.id = RequestId(1);
   ask.group = GroupId(1);
   ask.time_left = Duration(1200000);
-  rig.Feed(ask);
-  CHECK(rig.refused == 0);
-  rig.Run(Duration(600000));
-  CHECK(rig.refused == 1);
+  run.Feed(ask);
+  CHECK(run.rejected == 0);
+  run.Run(Duration(600000));
+  CHECK(run.rejected == 1);
 }
 
-// Data servers that answer from what they have, however old, and report positions.
-Settings Unchecked() {
-  Settings s = Rig::SettingsHere();
+// Servers that answer from what they have, however old, and report positions.
+Settings UncheckedSettings() {
+  Settings s = LongRun::DefaultSettings();
   s.classes[0].kind = AccessKind::kBoundedRead;
   s.classes[0].staleness_bound = Duration(500000);
   s.classes[0].latency_objective = Duration(1000000);
@@ -206,85 +207,87 @@
   return s;
 }
 
-// Seen on the second deployment: reads waited a second for replicas that were ten seconds behind, with a
-// probe of each every pause, were refused then, and clients came again when nothing was of use any more.
-TEST_CASE("a read that no replica can come to in time is refused at once, and nobody is asked for it") {
-  Rig rig(Unchecked());
-  rig.lag = Duration(10000000);
-  rig.Run(Duration(2000000));
-  rig.probes = 0;
-  rig.Ask(10, Duration(100000));
-  CHECK(rig.refused >= 9);
-  CHECK(rig.sent[kFirst] + rig.sent[kSecond] == 0);
-  CHECK(rig.probes < 10);
-  CHECK(rig.shortest > Duration{0});
+// A read that waits in vain costs health checks, and its client retries when no response is of use any more.
+TEST_CASE(
+    "a read that no replica can catch up for in time is rejected at once, without health checks for it") {
+  LongRun run(UncheckedSettings());
+  run.lag = Duration(10000000);
+  run.Run(Duration(2000000));
+  run.health_checks = 0;
+  run.Ask(10, Duration(100000));
+  CHECK(run.rejected >= 9);
+  CHECK(run.sent[kFirst] + run.sent[kSecond] == 0);
+  CHECK(run.health_checks < 10);
+  CHECK(run.shortest_retry_after > Duration{0});
 }
 
-TEST_CASE("a read waits for a replica that is near its target, and goes there once it is proven") {
-  Rig rig(Unchecked());
-  rig.lag = Duration(600000);
-  rig.Run(Duration(2000000));
-  rig.Ask(1, Duration(150000));
-  CHECK(rig.refused == 0);
-  CHECK(rig.sent[kFirst] + rig.sent[kSecond] == 0);
-  rig.lag = Duration(10000);
-  rig.Run(Duration(200000));
-  CHECK(rig.refused == 0);
-  CHECK(rig.sent[kFirst] + rig.sent[kSecond] == 1);
+TEST_CASE(
+    "a read waits for a replica that is near its required position, and goes there once that is proven") {
+  LongRun run(UncheckedSettings());
+  run.lag = Duration(600000);
+  run.Run(Duration(2000000));
+  run.Ask(1, Duration(150000));
+  CHECK(run.rejected == 0);
+  CHECK(run.sent[kFirst] + run.sent[kSecond] == 0);
+  run.lag = Duration(10000);
+  run.Run(Duration(200000));
+  CHECK(run.rejected == 0);
+  CHECK(run.sent[kFirst] + run.sent[kSecond] == 1);
 }
 
-// The same: a tenth of all answers came after the aim, which is counted from the client's first try, on days
-// on which half of the reads were refused.
-TEST_CASE("a client that comes again after its aim has passed does not take the place of one in time") {
-  Rig rig;
+// The latency objective counts from the client's first attempt.
+TEST_CASE("a client that retries after its latency objective does not take the place of one in time") {
+  LongRun run;
   const auto ask = [&](Duration left, bool is_retry) {
     RequestEvent event;
-    event.id = RequestId(++rig.last);
+    event.id = RequestId(++run.last);
     event.group = GroupId(1);
     event.time_left = left;
     event.is_retry = is_retry;
-    rig.Feed(event);
-    rig.Run(Duration(50000));
+    run.Feed(event);
+    run.Run(Duration(50000));
   };
   for (int i = 0; i < 20; ++i) ask(Duration(800000), false);
-  CHECK(rig.refused == 0);
-  // 1.2 s in all: a try with 0.85 s left is the last of one that began 0.35 s ago, and its aim is 0.3 s.
+  CHECK(run.rejected == 0);
+  // 1.2 s in all: an attempt with 0.85 s left is a retry of one that began 0.35 s ago; the objective is 0.3
+  // s.
   ask(Duration(850000), true);
   ask(Duration(400000), true);
-  CHECK(rig.refused == 2);
+  CHECK(run.rejected == 2);
   ask(Duration(800000), false);
-  CHECK(rig.refused == 2);
+  CHECK(run.rejected == 2);
 }
 
-TEST_CASE("a group that no list names is refused at once, whatever time there is") {
-  Rig rig;
+TEST_CASE("a request for an unlisted group is rejected at once, whatever time it has left") {
+  LongRun run;
   RequestEvent ask;
   ask.id = RequestId(1);
   ask.group = GroupId(5);
   ask.time_left = Duration(1200000);
-  rig.Feed(ask);
-  CHECK(rig.refused == 1);
+  run.Feed(ask);
+  CHECK(run.rejected == 1);
 }
 
-// The key is known in the zone of the member that may have run it, to its group, or to all.
-TEST_CASE("a write that may have run is repeated within its window, where its key's scope allows") {
+// The key is known in the zone of the server that may have run it, or in its group.
+TEST_CASE("a write that may have run is retried within its window, where its key's scope allows") {
   struct Scope {
     bool in_zone;
-    ZoneIndex other;  // of the member that is primary by then
+    ZoneIndex other;  // of the server that is primary by then
     Duration window;
     bool sent;
   };
-  for (const Scope& c : {Scope{false, 1, Duration(900000), true}, Scope{true, 1, Duration(900000), false},
-                         Scope{true, 0, Duration(900000), true}, Scope{false, 0, Duration(250000), false}}) {
-    CAPTURE(c.in_zone);
-    CAPTURE(c.other);
-    CAPTURE(c.window.count());
-    Settings s = Rig::SettingsHere();
+  for (const Scope& scope :
+       {Scope{false, 1, Duration(900000), true}, Scope{true, 1, Duration(900000), false},
+        Scope{true, 0, Duration(900000), true}, Scope{false, 0, Duration(250000), false}}) {
+    CAPTURE(scope.in_zone);
+    CAPTURE(scope.other);
+    CAPTURE(scope.window.count());
+    Settings s = LongRun::DefaultSettings();
     s.classes[0].kind = AccessKind::kWrite;
     s.classes[0].idempotency = Idempotency::kIdempotencyKey;
     s.classes[0].deduplicated_everywhere = false;
-    s.classes[0].deduplicated_in_zone = c.in_zone;
-    s.classes[0].idempotency_window = c.window;
+    s.classes[0].deduplicated_in_zone = scope.in_zone;
+    s.classes[0].idempotency_window = scope.window;
     s.classes[0].latency_objective = Duration(1200000);
     Balancer balancer(s, 3);
     TimePoint now{Duration(1000000000)};
@@ -300,7 +303,7 @@
     };
     feed(ListEvent{ListKind::kPersisted,
                    {{.server = kFirst, .group = GroupId(1), .zone = 0},
-                    {.server = kSecond, .group = GroupId(1), .zone = c.other}}});
+                    {.server = kSecond, .group = GroupId(1), .zone = scope.other}}});
     RequestEvent ask;
     ask.id = RequestId(1);
     ask.group = GroupId(1);
@@ -312,7 +315,7 @@
     now += Duration(300000);
     feed(AttemptEndedEvent{
         .id = RequestId(1), .server = ran, .outcome = Outcome::kConnectionLost, .elapsed = now - sent});
-    // Another write shows that the other member is the primary now.
+    // The other server is found to be the primary now.
     feed(HealthCheckEvent{other, Outcome::kOk, Duration(1000), LoadReport{.position = now, .primary = true}});
     while (!due.empty() && due.begin()->first < sent + Duration(1150000)) {
       const auto [when, id] = *due.begin();
@@ -323,11 +326,11 @@
     std::size_t there = 0;
     for (std::size_t i = 1; i < sends.size(); ++i) {
       there += sends[i].server == other;
-      // It says until when the repeat may be written: within the window of the first.
-      CHECK(sends[i].write_within <= c.window - Duration(300000));
+      // The retry may be written within the window of the first attempt.
+      CHECK(sends[i].write_within <= scope.window - Duration(300000));
       CHECK(sends[i].write_within > Duration(0));
     }
-    CHECK((there > 0) == c.sent);
+    CHECK((there > 0) == scope.sent);
     CHECK(sends[0].write_within == Duration::max());
   }
 }
