--- a/src/routing/balancer.h
+++ b/src/routing/balancer.h
@@ -20,6 +20,8 @@
  public:
   Balancer(Settings settings, std::uint64_t seed);
   ~Balancer();
+  Balancer(const Balancer&) = delete;
+  Balancer& operator=(const Balancer&) = delete;
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
--- a/tests/fleet/routing_fleet.h
+++ b/tests/fleet/routing_fleet.h
@@ -46,54 +46,37 @@
 // instances restart. Servers answer all they get; what counts is what they are sent.
 class RoutingFleet {
  public:
-  // `configured`: how many instances the settings say that there are; `probes`: what one costs, 0 where none
-  // may be sent; `ended`: a server of the second group whose process has ended, though it is listed; 0: none;
-  // `restarts`: each instance restarts once more while the new servers warm up, one after another.
-  RoutingFleet(std::uint32_t instances, std::uint32_t configured, bool uneven, std::uint64_t seed,
-               double probes = 0, std::uint32_t ended = 0, bool restarts = false)
-      : settings_(SiteSettings(configured)), random_(seed), ended_(ended) {
-    settings_.may_health_check = probes > 0;
-    settings_.health_check_price = probes;
-    settings_.load_reporting = probes > 0 ? LoadReporting::kOnHealthCheck : LoadReporting::kNone;
-    for (std::uint32_t i = 0; i < instances; ++i) {
-      weights_.push_back(uneven ? 1.0 / (1 + i % 5) : 1);
-      StartInstance(i, Entries(false), seed * 1000 + i);
+  struct Options {
+    std::uint32_t instances = 1;
+    std::uint32_t configured_instances = 1;  // as the settings say; 0: unknown
+    bool uneven_traffic = false;
+    std::uint64_t seed = 1;
+    double health_check_price = 0;   // 0: none may be sent
+    std::uint32_t ended_server = 0;  // of the second group: listed, but its process has ended; 0: none
+    bool restarts = false;  // each instance restarts once more while the new servers warm up, one by one
+  };
+
+  // Runs the fleet to its end.
+  explicit RoutingFleet(const Options& options)
+      : options_(options), settings_(SiteSettings(options.configured_instances)), random_(options.seed) {
+    const double price = options.health_check_price;
+    settings_.may_health_check = price > 0;
+    settings_.health_check_price = price;
+    settings_.load_reporting = price > 0 ? LoadReporting::kOnHealthCheck : LoadReporting::kNone;
+    std::vector<double> weights;
+    for (std::uint32_t i = 0; i < options.instances; ++i) {
+      weights.push_back(options.uneven_traffic ? 1.0 / (1 + i % 5) : 1);
+      StartInstance(i, Entries(ServerSet::kInitial), options.seed * 1000 + i);
     }
-    std::discrete_distribution<std::uint32_t> which(weights_.begin(), weights_.end());
+    std::discrete_distribution<std::uint32_t> which(weights.begin(), weights.end());
     std::exponential_distribution<double> gap(0.6 * 12 * kCores / kWork);
-    std::uint32_t id = 0;
-    std::uint32_t again = 0;
-    bool replaced = false;
     for (double t = 0; t < 1e-6 * static_cast<double>(kEnd.count()); t += gap(random_)) {
       const TimePoint now{Duration(1000000000 + static_cast<std::int64_t>(t * 1e6))};
-      while (!due_.empty() && due_.begin()->first <= now) {
-        const auto [when, what] = *due_.begin();
-        due_.erase(due_.begin());
-        if (what.incarnation == incarnations_[what.who]) Feed(what.who, when, what.event);
-      }
-      if (!replaced && now - start_ >= kReplacedAt) {
-        replaced = true;
-        for (std::uint32_t i = 0; i < instances; ++i) {
-          if (i % 10 < 7) {
-            StartInstance(i, Entries(true), seed * 1000 + 500 + i);
-          } else {
-            Feed(i, now, ListEvent{ListKind::kComplete, Entries(true)});
-          }
-        }
-      }
-      const double since = 1e-6 * static_cast<double>((now - start_ - kReplacedAt).count());
-      while (restarts && again < instances && since > 8.0 * (again + 1) / instances) {
-        StartInstance(again, Entries(true), seed * 1000 + 700 + again);
-        ++again;
-      }
-      RequestEvent ask;
-      ask.id = RequestId(++id);
-      ask.group = GroupId(1 + id % 2);
-      ask.request_class = id % 8 == 0 ? 1 : 0;
-      ask.time_left = settings_.classes[ask.request_class].deadline;
-      Feed(which(random_), now, ask);
+      FeedDueEvents(now);
+      ReplaceServersWhenDue(now);
+      RestartInstancesWhenDue(now);
+      SendRequest(now, which);
     }
-    requests_ = id;
   }
 
   std::uint32_t requests() const { return requests_; }
@@ -107,7 +90,7 @@
   int connects() const { return connects_; }
   int refused() const { return refused_; }
 
-  // The most work sent to a new server within any three seconds, as a part of what overloads it over if it
+  // The most work sent to a new server within any three seconds, as a part of what overloads it if it
   // warms up as slowly as the settings allow.
   double WorstOverload() const {
     double worst = 0;
@@ -174,10 +157,50 @@
     Event event;
   };
 
-  std::vector<ListEntry> Entries(bool replaced) const {
+  enum class ServerSet { kInitial, kReplaced };
+
+  void FeedDueEvents(TimePoint now) {
+    while (!due_.empty() && due_.begin()->first <= now) {
+      const auto [when, what] = *due_.begin();
+      due_.erase(due_.begin());
+      if (what.incarnation == incarnations_[what.who]) Feed(what.who, when, what.event);
+    }
+  }
+
+  void ReplaceServersWhenDue(TimePoint now) {
+    if (replaced_ || now - start_ < kReplacedAt) return;
+    replaced_ = true;
+    for (std::uint32_t i = 0; i < options_.instances; ++i) {
+      if (i % 10 < 7) {
+        StartInstance(i, Entries(ServerSet::kReplaced), options_.seed * 1000 + 500 + i);
+      } else {
+        Feed(i, now, ListEvent{ListKind::kComplete, Entries(ServerSet::kReplaced)});
+      }
+    }
+  }
+
+  void RestartInstancesWhenDue(TimePoint now) {
+    if (!options_.restarts) return;
+    const double since = 1e-6 * static_cast<double>((now - start_ - kReplacedAt).count());
+    while (restarted_ < options_.instances && since > 8.0 * (restarted_ + 1) / options_.instances) {
+      StartInstance(restarted_, Entries(ServerSet::kReplaced), options_.seed * 1000 + 700 + restarted_);
+      ++restarted_;
+    }
+  }
+
+  void SendRequest(TimePoint now, std::discrete_distribution<std::uint32_t>& which) {
+    RequestEvent request;
+    request.id = RequestId(++requests_);
+    request.group = GroupId(1 + requests_ % 2);
+    request.request_class = requests_ % 8 == 0 ? 1 : 0;
+    request.time_left = settings_.classes[request.request_class].deadline;
+    Feed(which(random_), now, request);
+  }
+
+  std::vector<ListEntry> Entries(ServerSet set) const {
     std::vector<ListEntry> entries;
     for (std::uint32_t i = 1; i <= 12; ++i) {
-      const bool fresh = replaced && i <= 6;
+      const bool fresh = set == ServerSet::kReplaced && i <= 6;
       ListEntry entry{.server = ServerId(fresh ? 100 + i : i), .group = GroupId(i <= 6 ? 1 : 2)};
       if (fresh) entry.started = start_ + kReplacedAt;
       entries.push_back(entry);
@@ -206,7 +229,7 @@
       if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
         ++health_checks_;
         received_[static_cast<std::uint32_t>(probe->server)].emplace_back(now_, kHealthCheckWork / kWork);
-        const bool found = static_cast<std::uint32_t>(probe->server) != ended_;
+        const bool found = static_cast<std::uint32_t>(probe->server) != options_.ended_server;
         const HealthCheckEvent end{
             probe->server, found ? Outcome::kOk : Outcome::kUnreachable, Duration(1000), {}};
         due_.emplace(now_ + end.elapsed, Due{who, incarnations_[who], end});
@@ -228,7 +251,7 @@
       end.outcome = write && !primary ? Outcome::kMisrouted : Outcome::kOk;
       end.request_done = end.outcome == Outcome::kOk;
       end.elapsed = end.request_done ? Duration(80000) : Duration(1000);
-      if (server == ended_) {
+      if (server == options_.ended_server) {
         ++refused_;
         end.outcome = Outcome::kUnreachable;
         end.request_done = false;
@@ -255,21 +278,22 @@
   }
 
   void Disconnect(std::uint32_t who, ServerId member) {
-    if (static_cast<std::uint32_t>(member) == ended_) return;
+    if (static_cast<std::uint32_t>(member) == options_.ended_server) return;
     Link& link = links_[{who, static_cast<std::uint32_t>(member)}];
     --link.out;
     link.idle.push_back(now_);
   }
 
+  Options options_;
   Settings settings_;
   std::mt19937_64 random_;
-  std::uint32_t ended_;
+  bool replaced_ = false;
+  std::uint32_t restarted_ = 0;  // instances
   std::uint32_t requests_ = 0;
   int health_checks_ = 0, connects_ = 0, refused_ = 0;
   std::map<std::pair<std::uint32_t, std::uint32_t>, Link> links_;
   const TimePoint start_{Duration(1000000000)};
   TimePoint now_ = start_;
-  std::vector<double> weights_;
   std::map<std::uint32_t, Balancer> balancers_;
   std::map<std::uint32_t, int> incarnations_;
   std::multimap<TimePoint, Due> due_;
--- a/tests/fleet/routing_fleet_test.cpp
+++ b/tests/fleet/routing_fleet_test.cpp
@@ -19,7 +19,10 @@
     for (const bool uneven : {false, true}) {
       CAPTURE(instances);
       CAPTURE(uneven);
-      const RoutingFleet fleet(instances, instances, uneven, 11 + instances);
+      const RoutingFleet fleet({.instances = instances,
+                                .configured_instances = instances,
+                                .uneven_traffic = uneven,
+                                .seed = 11 + instances});
       CHECK(fleet.WorstOverload() < 1);
       // At 300, some of which see a request every few seconds, less: 0.44 where traffic is uneven.
       CHECK(fleet.LeastUtilization() > (instances > 100 ? 0.4 : 0.58));
@@ -36,8 +39,13 @@
     std::mutex of_both;
     std::atomic<std::uint64_t> seeds{0};
     const auto run_seeds = [&] {  // each seed runs by itself, whichever thread runs it
-      for (std::uint64_t seed; (seed = ++seeds) <= 50;) {
-        const RoutingFleet fleet(instances, instances, seed % 2 == 0, 700 + seed, 0.038, 0, seed % 3 == 0);
+      for (std::uint64_t seed = ++seeds; seed <= 50; seed = ++seeds) {
+        const RoutingFleet fleet({.instances = instances,
+                                  .configured_instances = instances,
+                                  .uneven_traffic = seed % 2 == 0,
+                                  .seed = 700 + seed,
+                                  .health_check_price = 0.038,
+                                  .restarts = seed % 3 == 0});
         const std::lock_guard lock(of_both);
         worst = std::max(worst, fleet.WorstExcessOverChance());
         least = std::min(least, fleet.LeastUtilization());
@@ -55,7 +63,8 @@
 
 // Taken for the only one, each of 300 instances would send a warming server all that it may be sent.
 TEST_CASE("a fleet that is not configured with its size spares warming servers all the same") {
-  CHECK(RoutingFleet(300, 0, true, 311).WorstOverload() < 1);
+  CHECK(RoutingFleet({.instances = 300, .configured_instances = 0, .uneven_traffic = true, .seed = 311})
+            .WorstOverload() < 1);
   CHECK(fleet::EffectiveFleetSize(0) >= 300);
   CHECK(fleet::EffectiveFleetSize(7) == 7);
 }
@@ -68,7 +77,12 @@
     for (const std::uint32_t ended : {0u, 9u}) {
       CAPTURE(instances);
       CAPTURE(ended);
-      const RoutingFleet fleet(instances, instances, true, 40 + instances, kPrice, ended);
+      const RoutingFleet fleet({.instances = instances,
+                                .configured_instances = instances,
+                                .uneven_traffic = true,
+                                .seed = 40 + instances,
+                                .health_check_price = kPrice,
+                                .ended_server = ended});
       // Each start has a few in hand.
       CHECK(fleet.health_checks() <= kPoints / kPrice * fleet.requests() + kBurst * fleet.starts());
       CHECK(fleet.health_checks() > 0);
@@ -79,8 +93,15 @@
 TEST_CASE("a listed process that has ended is dialled ever less often, and costs no others a connection") {
   for (const std::uint32_t instances : {1u, 3u, 30u, 100u, 300u}) {
     CAPTURE(instances);
-    const RoutingFleet sound(instances, instances, true, 50 + instances);
-    const RoutingFleet one(instances, instances, true, 50 + instances, 0, 9);
+    const RoutingFleet sound({.instances = instances,
+                              .configured_instances = instances,
+                              .uneven_traffic = true,
+                              .seed = 50 + instances});
+    const RoutingFleet one({.instances = instances,
+                            .configured_instances = instances,
+                            .uneven_traffic = true,
+                            .seed = 50 + instances,
+                            .ended_server = 9});
     // Those that would have gone to it go to other servers, some of which have no idle connection.
     CHECK(one.connects() <= 1.15 * sound.connects());
     CHECK(sound.connects() <= (instances > 30 ? 0.6 : 0.15) * sound.requests());
--- a/tests/routing/embed_example.cpp
+++ b/tests/routing/embed_example.cpp
@@ -4,8 +4,11 @@
 
 #include "routing/balancer.h"
 
-int main() {
-  using namespace lynxgrade;
+namespace lynxgrade {
+namespace {
+
+// Sends one request, and returns whether it went to a server.
+bool SendOneRequest() {
   Settings settings;
   settings.classes.push_back({.kind = AccessKind::kEventualRead,
                               .latency_objective = Duration(200000),
@@ -21,10 +24,15 @@
                   actions);
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<StartAttempt>(&action)) {
-      std::printf("send request %u to member %u\n", static_cast<unsigned>(send->id),
+      std::printf("send request %u to server %u\n", static_cast<unsigned>(send->id),
                   static_cast<unsigned>(send->server));
-      return 0;
+      return true;
     }
   }
-  return 1;
+  return false;
 }
+
+}  // namespace
+}  // namespace lynxgrade
+
+int main() { return lynxgrade::SendOneRequest() ? 0 : 1; }
