--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -36,7 +36,7 @@
 void DiscoveryWatch::ScheduleFirstRequest() {
   Duration wait{0};
   // Half of the grace at most: the other half is for the response, or a retry.
-  if (service_.shared) wait = retry_policy_.First(DrawUniform(), service_.drain_grace / 2);
+  if (service_.shared) wait = retry_policy_.FirstWait(DrawUniform(), service_.drain_grace / 2);
   retry_timer_.After(wait, [this] { SendRequest(); });
 }
 
@@ -55,7 +55,7 @@
   if (address.host == address_.host && address.port == address_.port) return;
   address_ = address;
   if (connection_ != nullptr) connection_->Close();
-  retry_policy_.Succeeded();  // the failures were those of the former address
+  retry_policy_.RecordSuccess();  // the failures were those of the former address
   last_sign_of_life_ = loop_.Now();
   deadline_timer_.Clear();
   ScheduleFirstRequest();
@@ -133,7 +133,7 @@
 }
 
 void DiscoveryWatch::HandleSignOfLife() {
-  retry_policy_.Succeeded();
+  retry_policy_.RecordSuccess();
   // It may have arrived while this loop was busy or the process was stopped: updates may be missing from then
   // on.
   last_sign_of_life_ = std::max(last_sign_of_life_, loop_.Since());
@@ -158,7 +158,7 @@
 void DiscoveryWatch::Retry(std::string_view cause) {
   if (connection_ != nullptr) connection_->Close();
   deadline_timer_.Clear();
-  const Duration wait = retry_policy_.Next(DrawUniform(), loop_.Now() - last_sign_of_life_);
+  const Duration wait = retry_policy_.NextWait(DrawUniform(), loop_.Now() - last_sign_of_life_);
   if (retry_policy_.failures() == 1) {
     spdlog::info("discovery: watch interrupted, reopening; cause=\"{}\" revision={}", cause, revision_);
   } else {
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -132,7 +132,7 @@
 
 void Instance::StartWatch(std::int64_t revision) {
   const Settings& routing = config_.settings;
-  const std::uint32_t instances = fleet::Size(routing.peers_total);
+  const std::uint32_t instances = fleet::EffectiveFleetSize(routing.peers_total);
   if (routing.peers_total == 0) {
     spdlog::warn("the platform's settings lack peers_total; assuming instances={}", instances);
   }
