--- a/src/membership/anti_entropy.h
+++ b/src/membership/anti_entropy.h
@@ -18,6 +18,7 @@
 
 namespace lynxgrade::membership {
 
+// Holds which part of the digest is next, and what the digests of others have shown.
 class AntiEntropy {
  public:
   // `period`: the protocol period. The references outlive the object.
--- a/src/membership/death_verifier.h
+++ b/src/membership/death_verifier.h
@@ -16,6 +16,7 @@
 class MemberTable;
 class PacketBuilder;
 
+// Declarations of death that are deferred until the member has been heard, or a timeout.
 class DeathVerifier {
  public:
   // `period`: the protocol period. A member counts as recently heard for `recent_periods` of them; zero:
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -48,7 +48,7 @@
   const bool repeat = options_.repeat_pings && (request || (!probe_->repeated && waited >= ack_timeout * 2));
   const std::string& address = target->member.address();
   if (repeat) {
-    // Where packets are lost most unanswered pings are, and each suspicion costs gossip.
+    // Where packets are lost this prevents most false suspicions, each of which would be gossiped.
     probe_->repeated = !request;
     packets_.SendPing(address, probe_->nonce, outbox, &target->member);
   }
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -21,11 +21,13 @@
 
 namespace lynxgrade::membership {
 
+// How often and by whom a member is pinged within a period.
 struct ProbeOptions {
   int indirect_probes = 3;   // members requested to ping one that does not answer
   bool repeat_pings = true;  // an unanswered ping is sent again, twice within its period
 };
 
+// Holds the probe of the current period.
 class FailureDetector {
  public:
   // `period`: the protocol period. The references outlive the detector.
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -9,6 +9,7 @@
 
 namespace lynxgrade::membership {
 
+// Holds names only: the state that is sent is the present one.
 class GossipQueue {
  public:
   // Queues the state of this member, as it then is, afresh.
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -9,6 +9,7 @@
 
 namespace lynxgrade::membership {
 
+// This instance's multiplier.
 class LocalHealth {
  public:
   // Zero as the maximum switches the multiplier off.
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -30,6 +30,7 @@
   kSuperseded,  // a running process of its name was started later
 };
 
+// This instance's own entry, and those of all others.
 class MemberTable {
  public:
   // `seeds`: addresses of members to join by. The other arguments outlive the table.
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -16,6 +16,7 @@
 inline constexpr std::uint32_t kRelaysLeaseMessages = 4;
 }  // namespace capability
 
+// This process's part in the management of session leases.
 struct LeaseManagerOptions {
   // This process manages leases for all. Dedicated lease managers count only in a view whose members all know
   // them, and its digest names them.
@@ -24,6 +25,7 @@
   bool all_must_know = true;
 };
 
+// The view as of the last refresh.
 class MembershipView {
  public:
   // Instances whose fleets differ in size, or whose acknowledgements differ in validity, never have the same
--- a/src/membership/outgoing_packet.h
+++ b/src/membership/outgoing_packet.h
@@ -8,6 +8,7 @@
 
 namespace lynxgrade::membership {
 
+// `address` is in the form of Member.address.
 struct OutgoingPacket {
   std::string address;
   proto::Packet packet;
--- a/src/membership/packet_builder.h
+++ b/src/membership/packet_builder.h
@@ -30,6 +30,7 @@
   static AgeRequest Of(const proto::Packet& packet);
 };
 
+// Reads the other parts of the protocol; owns nothing but the time.
 class PacketBuilder {
  public:
   // The arguments outlive the builder. `random` draws the nonces.
--- a/src/membership/peer.h
+++ b/src/membership/peer.h
@@ -12,6 +12,7 @@
 
 namespace lynxgrade::membership {
 
+// An entry of the member table.
 struct Peer {
   proto::Member member;
   TimePoint changed{};                 // when its state changed, by this instance's clock
--- a/src/membership/ping_relay.h
+++ b/src/membership/ping_relay.h
@@ -13,6 +13,7 @@
 
 namespace lynxgrade::membership {
 
+// Holds the requests that may still be answered.
 class PingRelay {
  public:
   // `period`: the protocol period. The references outlive the relay.
--- a/src/membership/probe_schedule.h
+++ b/src/membership/probe_schedule.h
@@ -11,6 +11,7 @@
 
 namespace lynxgrade::membership {
 
+// The rest of the current rounds.
 class ProbeSchedule {
  public:
   // The arguments outlive the schedule.
--- a/src/membership/suspicion_timers.cpp
+++ b/src/membership/suspicion_timers.cpp
@@ -17,7 +17,7 @@
 
 Duration SuspicionTimers::TimeoutOf(const Peer& peer) const {
   const auto running = static_cast<double>(members_.RunningCount());
-  const double least = std::max(1.0, std::log10(running + 1)) * options_.min_timeout;
+  const double least = std::max(1.0, std::log10(running + 1)) * options_.min_timeout_periods;
   const double most = least * std::max(1.0, options_.max_timeout_factor);
   // A small fleet has fewer members than that beside the suspected one and the first suspector.
   const double wanted = std::min(static_cast<double>(options_.confirmations), running - 2);
--- a/src/membership/suspicion_timers.h
+++ b/src/membership/suspicion_timers.h
@@ -11,14 +11,16 @@
 
 namespace lynxgrade::membership {
 
+// Timeouts and confirmations of suspicions.
 struct SuspicionOptions {
-  double min_timeout = 3;         // periods times log10 of the number of members, at least this many periods
-  double max_timeout_factor = 6;  // times that, for a suspicion that nobody has confirmed; 1: not longer
-  int confirmations = 3;          // by as many other members, after which the timeout is the minimum
+  double min_timeout_periods = 3;  // times log10 of the number of members, where that is above 1
+  double max_timeout_factor = 6;   // times that, for a suspicion that nobody has confirmed; 1: not longer
+  int confirmations = 3;           // by as many other members, after which the timeout is the minimum
   int verify_deaths_periods =
       15;  // a member heard within so many periods is pinged before it is declared dead
 };
 
+// When a suspicion began and who has confirmed it is in the member table.
 class SuspicionTimers {
  public:
   // `period`: the protocol period. `members` outlives the timers.
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -34,6 +34,7 @@
 
 namespace lynxgrade::membership {
 
+// When acknowledgements of a view count.
 struct AcknowledgementOptions {
   // An acknowledgement is valid for so many times as long as acknowledgements take to reach all members.
   int validity_spreads = 3;
@@ -41,7 +42,8 @@
   bool required = true;
 };
 
-// Not thread-safe; free of sockets and clocks. Times are those of one clock, ascending.
+// Not thread-safe; free of sockets and clocks. Times are those of one clock, ascending. Owns its parts, which
+// refer to each other, so it is neither copied nor moved.
 class Swim {
  public:
   struct Options {
--- a/tests/membership/membership_fleet_size_test.cpp
+++ b/tests/membership/membership_fleet_size_test.cpp
@@ -1,4 +1,4 @@
-// How fast fleets of different sizes converge, how many packets are lost notwithstanding, and what they send.
+// How fast fleets of different sizes converge, with and without packet loss, and what they send.
 #include <doctest/doctest.h>
 
 #include <algorithm>
