--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -93,8 +93,8 @@
     return std::get<RequestEvent>(of).required_position;
   };
   // Not held: a write that may be lost may be its session's.
-  CHECK(consistency_guard.ShouldDelayRead({.group = kGroup, .request_class = kRead, .session = "a", .arrived = now},
-                                          now));
+  CHECK(consistency_guard.ShouldDelayRead(
+      {.group = kGroup, .request_class = kRead, .session = "a", .arrived = now}, now));
   read("a");
   CHECK(consistency_guard.DrainRejectedReads().size() == 1);
   // Held: it wrote nothing since the floor, which lies before the loss.
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -233,7 +233,8 @@
   Agent agent(w.loop);
   discovery::EndpointListReader reader({});
   discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, kSeed,
-                         {.shared = true, .instances = 300, .drain_grace = 500 * kMs}, [](const auto&) {});
+                                  {.shared = true, .instances = 300, .drain_grace = 500 * kMs},
+                                  [](const auto&) {});
   watch.Start();
   w.Until([&] { return agent.Asked("since=0"); });
   Wait(w.loop, 20);
@@ -254,7 +255,8 @@
   Agent agent(w.loop);
   agent.line = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
   discovery::EndpointListReader reader({});
-  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {}, [](const auto&) {});
+  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {},
+                                  [](const auto&) {});
   net::Timer before(w.loop);
   before.After(Duration{0}, [] { StandStill(300); });  // in the pass in which the call is made
   watch.Start();
