--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -2,6 +2,7 @@
 // loop.
 #include <memory>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "replication/event_loop_steps.h"
@@ -17,8 +18,9 @@
 
 // A pool of connections alone, with what became of its attempts and probes.
 struct Attempts final : proxy::BackendEvents {
+  virtual ~Attempts() = default;
   explicit Attempts(upstream::PoolSettings settings = {})
-      : pool(loop, settings, budget, [] { return false; }),
+      : pool(loop, std::move(settings), budget, [] { return false; }),
         server(loop, [](Peer& p, const std::string&) { p.Say(Row("v")); }) {
     pool.SetEvents(*this);
     pool.SetAddress(kServer, {"127.0.0.1", server.listener.port()});
@@ -47,6 +49,7 @@
 
 // A connection whose bytes take long to handle: what is ready behind it waits in the same pass.
 struct Slow final : Connection::Owner {
+  virtual ~Slow() = default;
   Slow(net::Loop& loop, int ms)
       : ms(ms),
         listener(
--- a/tests/replication/datagram_authenticator_test.cpp
+++ b/tests/replication/datagram_authenticator_test.cpp
@@ -40,7 +40,8 @@
        {Case{"", "holds no key"}, Case{"# none\n\n", "holds no key"},
         Case{"1 abc", "line 1: a key is not 64"}, Case{"0 " + kOne, "line 1: a key's number"},
         Case{"x " + kOne, "line 1: a key's number"}, Case{"256 " + kOne, "line 1: a key's number"},
-        Case{"1 " + kOne + "\n1 " + kTwo, "line 2: a key's number stands twice"},
+        Case{std::string("1 ").append(kOne).append("\n1 ").append(kTwo),
+             "line 2: a key's number stands twice"},
         Case{"1 " + kOne + " more", "line 1: something stands after"},
         Case{"1 " + std::string(63, 'a') + "g", "line 1: a key is not 64"}}) {
     CAPTURE(c.text);
--- a/tests/replication/lease_fleet.h
+++ b/tests/replication/lease_fleet.h
@@ -56,6 +56,7 @@
 struct Fleet;
 
 struct Node final : consistency::SessionLeases {
+  virtual ~Node() = default;
   Node(Fleet& fleet, std::size_t number, std::uint64_t incarnation_id, Way way);
   std::optional<LogPosition> CompleteThrough(consistency::SessionKey key) override;
   bool AcquireLease(GroupId group, consistency::SessionKey key, consistency::LeaseUse use) override;
@@ -167,6 +168,11 @@
   static std::string Name(int session) { return "s" + std::to_string(session); }
 
   void Requests() {
+    ProcessWrites();
+    ProcessReads();
+  }
+
+  void ProcessWrites() {
     std::vector<Write> still;
     for (Write& write : std::exchange(writes, {})) {
       if (now < stopped[write.at] || now < write.done) {
@@ -194,6 +200,9 @@
       }
     }
     writes = still;
+  }
+
+  void ProcessReads() {
     std::vector<Read> waiting;
     for (Read& read : std::exchange(reads, {})) {
       Node& node = *nodes[read.at];
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -19,6 +19,7 @@
 // ---- Reads that wait for word from the others ------------------------------------------------------------
 
 struct Sends final : proxy::Backends {
+  virtual ~Sends() = default;
   void Send(RequestId, AttemptNumber, ServerId, std::shared_ptr<const proxy::Work>,
             proxy::SendTimes times) override {
     sent.push_back(times.limit);
@@ -31,6 +32,7 @@
 };
 
 struct Nobody final : proxy::Client {
+  virtual ~Nobody() = default;
   void Served(const proxy::Answer&) override {}
   void Refused(Duration) override { ++refused; }
   void Failed() override {}
@@ -154,6 +156,8 @@
     setup.join_within = join_within_ms * kMs;
   }
   ~Pair() { std::filesystem::remove_all(folder); }
+  Pair(const Pair&) = delete;
+  Pair& operator=(const Pair&) = delete;
   std::unique_ptr<replication::UdpReplicationService> Start(const std::string& name) {
     keepers.push_back(std::make_unique<consistency::SessionConsistencyGuard>(Usual(), Reads::Everywhere()));
     names.push_back(std::make_unique<std::string>(name));
--- a/tests/replication/replication_test.cpp
+++ b/tests/replication/replication_test.cpp
@@ -102,13 +102,16 @@
         if (nodes[i] == nullptr) continue;
         nodes[i]->engine->Tick(now + nodes[i]->clock, outs);
         Send(i, outs);
-        // What counts as replicated must be known: the property on which reads rely.
-        for (const auto& [name, upto] : nodes[i]->engine->ReplicatedThrough()) {
-          for (const auto& [by, key, at] : written) {
-            if ("n" + std::to_string(by) != name || upto - nodes[i]->clock <= at) continue;
-            if (!nodes[i]->consistency_guard.watermark_table().Find(key).watermark) ++wrongly_covered;
-          }
-        }
+        CheckReplicated(i);
+      }
+    }
+  }
+  // What counts as replicated must be known: the property on which reads rely.
+  void CheckReplicated(std::size_t i) {
+    for (const auto& [name, upto] : nodes[i]->engine->ReplicatedThrough()) {
+      for (const auto& [by, key, at] : written) {
+        if ("n" + std::to_string(by) != name || upto - nodes[i]->clock <= at) continue;
+        if (!nodes[i]->consistency_guard.watermark_table().Find(key).watermark) ++wrongly_covered;
       }
     }
   }
@@ -317,6 +320,7 @@
   net.Pass(kSecond * 2);
   net.cut = {{0, 1}, {1, 0}};
   std::vector<consistency::SessionKey> keys;
+  keys.reserve(1000);
   for (int i = 0; i < 1000; ++i) keys.push_back(net.Write(0));
   net.Pass(kSecond);
   CHECK(net.Behind(1) >= kSecond - kTick * 20);
