--- a/tests/replication/lease_fleet.h
+++ b/tests/replication/lease_fleet.h
@@ -285,27 +285,7 @@
     double due = 0;
     while (now < end) {
       due += per_s / 3 * static_cast<double>(Poolers()) * 1e-6 * static_cast<double>(kTick.count());
-      for (; due >= 1; due -= 1) {
-        const int session = ++sessions;
-        std::size_t home = random() % Poolers();
-        TimePoint at = now;
-        double reads_due = 0;
-        if (options.reads_a_write != 2) reads_due = 1e-2 * static_cast<double>(random() % 100);
-        const auto step = [&](bool write) {
-          if (static_cast<int>(random() % 100) < roam) home = random() % Poolers();
-          const std::size_t where = home;
-          if (write) {
-            later.emplace_back(at, [this, where, session] { Write_(where, session); });
-          } else {
-            later.emplace_back(at, [this, where, session] { Read_(where, session); });
-          }
-          at += kMs * static_cast<std::int64_t>(100 + random() % 500);
-        };
-        for (int write = 0; write < 3; ++write) {
-          step(true);
-          for (reads_due += options.reads_a_write; reads_due >= 1; reads_due -= 1) step(false);
-        }
-      }
+      for (; due >= 1; due -= 1) ScheduleSession(roam);
       std::erase_if(later, [this](const auto& one) {
         if (one.first > now) return false;
         one.second();
@@ -316,6 +296,29 @@
     if (!go_on) later.clear();
   }
 
+  // One session of Load, from now on.
+  void ScheduleSession(int roam) {
+    const int session = ++sessions;
+    std::size_t home = random() % Poolers();
+    TimePoint at = now;
+    double reads_due = 0;
+    if (options.reads_a_write != 2) reads_due = 1e-2 * static_cast<double>(random() % 100);
+    const auto step = [&](bool write) {
+      if (static_cast<int>(random() % 100) < roam) home = random() % Poolers();
+      const std::size_t where = home;
+      if (write) {
+        later.emplace_back(at, [this, where, session] { Write_(where, session); });
+      } else {
+        later.emplace_back(at, [this, where, session] { Read_(where, session); });
+      }
+      at += kMs * static_cast<std::int64_t>(100 + random() % 500);
+    };
+    for (int write = 0; write < 3; ++write) {
+      step(true);
+      for (reads_due += options.reads_a_write; reads_due >= 1; reads_due -= 1) step(false);
+    }
+  }
+
   struct Datagram {
     TimePoint at{};
     std::uint64_t order = 0;
