--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -452,7 +452,9 @@
   Seam seam;
   REQUIRE(seam.instance->Start());
   proxy::Proxy::Waits waits;
-  waits.safe = [](GroupId, consistency::SessionKey, const std::function<void()>&) { return true; };  // it never is
+  waits.safe = [](GroupId, consistency::SessionKey, const std::function<void()>&) {
+    return true;
+  };  // it never is
   seam.instance->proxy().SetWaits(std::move(waits));
   seam.Ask(Duration(400000), kMatchWrite);
   REQUIRE(seam.backends.sent.size() == 1);
