--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -91,7 +91,7 @@
 }
 
 tl::expected<void, StartError> Instance::StartReplication(bool recovered_completely) {
-  if (!settings_.replication.listen) return {};
+  if (!settings_.replication.listen_address) return {};
   replication::ReplicationContext context{
       loop_, settings_.replication, config_.name, recovered_completely, proxy_.consistency_guard(), [this] {
         proxy_.Relearnt();
--- a/src/replication/engine_options.cpp
+++ b/src/replication/engine_options.cpp
@@ -19,13 +19,13 @@
     const ReplicationSettings& settings, const consistency::SessionConsistencyGuard& consistency_guard) {
   lease::SessionLeaseClient::Options leases;
   leases.lease_capacity = std::max(kMinLeases, consistency_guard.watermark_table().bucket_count() * 4);
-  leases.read_requests_per_s = settings.asks_per_s;
+  leases.read_requests_per_s = settings.read_acquires_per_s;
   leases.bytes_per_s = settings.bytes_per_s;
-  leases.batching_delay = settings.coalesce;
-  leases.writes_require_lease = settings.watermarks == ReplicationMode::kLeases;
+  leases.batching_delay = settings.batching_delay;
+  leases.writes_require_lease = settings.mode == ReplicationMode::kLeases;
   leases.manager.write_retention = consistency_guard.write_retention();
   leases.manager.entry_capacity = leases.lease_capacity;
-  if (settings.owner)
+  if (settings.dedicated_lease_manager)
     leases.manager.entry_capacity = std::max(leases.manager.entry_capacity, kMinLeasesOfDedicatedManager);
   leases.manager.revoke_before_grant = leases.writes_require_lease;
   return leases;
@@ -37,15 +37,15 @@
                                              const consistency::SessionConsistencyGuard& consistency_guard,
                                              ReplicationScope scope) {
   ReplicationEngine::Options options;
-  options.flush_interval = settings.flush;
+  options.flush_interval = settings.flush_interval;
   options.membership_only = scope == ReplicationScope::kMembershipOnly;
-  options.swim.period = settings.probe;
+  options.swim.period = settings.probe_interval;
   options.swim.fleet_size = FleetSize(settings);
-  if (settings.watermarks != ReplicationMode::kBroadcast) {
+  if (settings.mode != ReplicationMode::kBroadcast) {
     options.leases = LeaseOptionsFrom(settings, consistency_guard);
-    options.swim.lease_manager.dedicated = settings.owner;
+    options.swim.lease_manager.dedicated = settings.dedicated_lease_manager;
   }
-  if (settings.plain_members) {
+  if (settings.quorum_evidence == QuorumEvidence::kMembershipAlone) {
     options.swim.max_local_health_multiplier = 0;
     options.swim.suspicion.max_timeout_factor = 1;
     options.swim.suspicion.verify_deaths_periods = 0;
@@ -56,11 +56,11 @@
 }
 
 void WarnOfUnsafeSettings(const ReplicationSettings& settings) {
-  const bool uses_leases = settings.watermarks != ReplicationMode::kBroadcast;
-  if (uses_leases && settings.watermarks != ReplicationMode::kLeases) {
+  const bool uses_leases = settings.mode != ReplicationMode::kBroadcast;
+  if (uses_leases && settings.mode != ReplicationMode::kLeases) {
     spdlog::warn("peers: writes do not wait for session leases: reads may miss writes");
   }
-  if (settings.plain_members) {
+  if (settings.quorum_evidence == QuorumEvidence::kMembershipAlone) {
     spdlog::warn("peers: quorum is not proven: two parts of the fleet may both claim the majority");
   }
 }
--- a/src/replication/replication_report.cpp
+++ b/src/replication/replication_report.cpp
@@ -19,7 +19,7 @@
   const auto& requested = client.counts();
   const auto& managed = client.manager().counts();
   const auto& relayed = input.engine.lease_relay()->counts();
-  return {{"owner", input.settings.owner},
+  return {{"owner", input.settings.dedicated_lease_manager},
           {"owners_set_aside", input.engine.swim().dedicated_lease_managers().size()},
           {"holds", client.lease_count()},
           {"entries", client.manager().size()},
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -49,7 +49,7 @@
 UdpReplicationService::UdpReplicationService(ReplicationContext context)
     : loop_(context.loop),
       settings_(context.settings),
-      name_(settings_.name.empty() ? context.name : settings_.name),
+      name_(settings_.instance_name.empty() ? context.name : settings_.instance_name),
       recovery_(context.recovered ? ReplicationEngine::Recovery::kComplete
                                   : ReplicationEngine::Recovery::kIncomplete),
       consistency_guard_(context.consistency_guard),
@@ -84,14 +84,15 @@
 
 // The address to which the socket is bound.
 tl::expected<net::ObjectPtr<GSocketAddress>, StartError> UdpReplicationService::OpenSocket() {
-  const net::ObjectPtr<GSocketAddress> local = net::SocketAddress(*settings_.listen);
+  const net::ObjectPtr<GSocketAddress> local = net::SocketAddress(*settings_.listen_address);
   if (local == nullptr) return tl::unexpected(StartError{StartErrorCode::kPeerAddress, {}, {}});
   net::ErrorSlot error;
   socket_.reset(g_socket_new(g_socket_address_get_family(local.get()), G_SOCKET_TYPE_DATAGRAM,
                              G_SOCKET_PROTOCOL_UDP, error.out()));
   if (socket_ == nullptr || !g_socket_bind(socket_.get(), local.get(), TRUE, error.out())) {
     socket_.reset();
-    return tl::unexpected(StartError{StartErrorCode::kPeerListen, TextOf(*settings_.listen), error.text()});
+    return tl::unexpected(
+        StartError{StartErrorCode::kPeerListen, TextOf(*settings_.listen_address), error.text()});
   }
   g_socket_set_blocking(socket_.get(), FALSE);
   return net::ObjectPtr<GSocketAddress>(g_socket_get_local_address(socket_.get(), nullptr));
@@ -104,7 +105,7 @@
   self.set_incarnation_id(incarnation_id);
   self.set_started_us(static_cast<std::uint64_t>(loop_.Now().time_since_epoch().count()));
   // Peers may reach it elsewhere than where it listens: behind a relay, or in another network.
-  self.set_address(settings_.advertise ? TextOf(*settings_.advertise) : bound_address);
+  self.set_address(settings_.advertised_address ? TextOf(*settings_.advertised_address) : bound_address);
   std::vector<std::string> seeds;
   for (const net::Address& seed : settings_.seeds) seeds.push_back(TextOf(seed));
   WarnOfUnsafeSettings(settings_);
@@ -129,7 +130,7 @@
   // Whoever is there, the leases of a former incarnation expire soon.
   if (!engine_->MayServe(loop_.Precise())) return false;
   if (engine_->CountedByAllPeers() && engine_->swim().unheard_seeds().empty()) return true;
-  return loop_.Now() - started_ >= settings_.join_within;
+  return loop_.Now() - started_ >= settings_.join_timeout;
 }
 
 void UdpReplicationService::Tick() {
--- a/src/settings/program_settings.cpp
+++ b/src/settings/program_settings.cpp
@@ -48,36 +48,38 @@
 }
 
 void ReadReplicationKeys(TomlSection& section, ReplicationSettings& replication) {
-  replication.listen = section.ReadAddress("listen");
-  replication.advertise = section.ReadAddress("advertise");
-  section.ReadText("name", replication.name);
+  replication.listen_address = section.ReadAddress("listen");
+  replication.advertised_address = section.ReadAddress("advertise");
+  section.ReadText("name", replication.instance_name);
   section.ReadAddresses("seeds", replication.seeds);
   section.ReadText("key_file", replication.key_file);
-  section.ReadDuration("flush_ms", replication.flush, 1, 1'000, kMillisecond);
-  section.ReadDuration("probe_ms", replication.probe, 20, 60'000, kMillisecond);
-  section.ReadDuration("join_within_s", replication.join_within, 0, 600, kSecond);
-  section.ReadChoice<ReplicationMode>("marks", replication.watermarks,
+  section.ReadDuration("flush_ms", replication.flush_interval, 1, 1'000, kMillisecond);
+  section.ReadDuration("probe_ms", replication.probe_interval, 20, 60'000, kMillisecond);
+  section.ReadDuration("join_within_s", replication.join_timeout, 0, 600, kSecond);
+  section.ReadChoice<ReplicationMode>("marks", replication.mode,
                                       {{"each", ReplicationMode::kBroadcast},
                                        {"directory", ReplicationMode::kLeases},
                                        {"directory-plain", ReplicationMode::kLeasesWithoutRevocation}});
-  section.ReadRate("asks_per_s", replication.asks_per_s, kMaxAcquiresPerS);
+  section.ReadRate("asks_per_s", replication.read_acquires_per_s, kMaxAcquiresPerS);
   section.ReadRate("bytes_per_s", replication.bytes_per_s, kMaxBytesPerS);
-  section.ReadDuration("coalesce_ms", replication.coalesce, 0, 100, kMillisecond);
-  section.ReadFlag("owner", replication.owner);
-  section.ReadChoice<bool>("members", replication.plain_members, {{"proven", false}, {"plain", true}});
+  section.ReadDuration("coalesce_ms", replication.batching_delay, 0, 100, kMillisecond);
+  section.ReadFlag("owner", replication.dedicated_lease_manager);
+  section.ReadChoice<QuorumEvidence>(
+      "members", replication.quorum_evidence,
+      {{"proven", QuorumEvidence::kViewAcknowledgements}, {"plain", QuorumEvidence::kMembershipAlone}});
   section.RejectUnknownKeys();
 }
 
 // Leases are safe only if no two partitions hold a quorum at once; their keys mean nothing without them.
 void ValidateLeases(TomlSection& section, const ReplicationSettings& replication) {
-  if (replication.watermarks != ReplicationMode::kBroadcast) {
-    if (replication.plain_members) {
+  if (replication.mode != ReplicationMode::kBroadcast) {
+    if (replication.quorum_evidence == QuorumEvidence::kMembershipAlone) {
       section.Reject("marks",
                      "needs proven members: a directory counts on no two views being proven at once");
     }
     return;
   }
-  if (replication.owner) {
+  if (replication.dedicated_lease_manager) {
     section.Reject("owner", "is of use only where 'peers.marks' is \"directory\"");
   }
   if (replication.bytes_per_s > 0) {
@@ -87,7 +89,7 @@
 
 void ValidateListening(TomlSection& section, const consistency::Options& sessions,
                        const ReplicationSettings& replication) {
-  if (replication.listen) {
+  if (replication.listen_address) {
     if (sessions.scope != consistency::Scope::kEverywhere) {
       section.Reject("listen", "is of use only where sessions.scope is \"everywhere\"");
     }
@@ -96,13 +98,13 @@
     }
     return;
   }
-  if (replication.watermarks != ReplicationMode::kBroadcast) {
+  if (replication.mode != ReplicationMode::kBroadcast) {
     section.Reject("marks", "says how, but 'peers.listen' names no address");
   }
   if (!replication.seeds.empty()) {
     section.Reject("seeds", "name others, but 'peers.listen' names no address");
   }
-  if (replication.advertise) {
+  if (replication.advertised_address) {
     section.Reject("advertise", "names an address, but 'peers.listen' names none");
   }
 }
--- a/src/settings/program_settings.h
+++ b/src/settings/program_settings.h
@@ -40,31 +40,36 @@
   kLeasesWithoutRevocation,
 };
 
+// What makes an instance count as part of the majority.
+enum class QuorumEvidence {
+  kViewAcknowledgements,  // a majority has acknowledged the instance's view, for a limited time
+  // A majority is alive by SWIM: two partitions may both count. For comparison in the testbed alone.
+  kMembershipAlone,
+};
+
 // Replication among the instances.
 struct ReplicationSettings {
-  std::optional<net::Address> listen;     // replication is off if absent
-  std::optional<net::Address> advertise;  // by default the address that it listens on
-  std::string name;                       // by default that of the platform's configuration
-  std::vector<net::Address> seeds;        // all other instances
+  std::optional<net::Address> listen_address;      // replication is off if absent
+  std::optional<net::Address> advertised_address;  // by default the address that it listens on
+  std::string instance_name;                       // by default that of the platform's configuration
+  std::vector<net::Address> seeds;                 // all other instances
   std::string key_file;
-  Duration flush{10000};
-  Duration probe{200000};         // a SWIM protocol period
-  Duration join_within{3000000};  // a start waits no longer than this for the others to count this instance
-  ReplicationMode watermarks = ReplicationMode::kBroadcast;
-  // A majority counts by SWIM alone, without acknowledged views: two partitions may both count. For
-  // comparison in the testbed alone.
-  bool plain_members = false;
+  Duration flush_interval{10000};
+  Duration probe_interval{200000};  // a SWIM protocol period
+  Duration join_timeout{3000000};   // a start waits no longer than this for the others to count this instance
+  ReplicationMode mode = ReplicationMode::kBroadcast;
+  QuorumEvidence quorum_evidence = QuorumEvidence::kViewAcknowledgements;
   // kLeases, from here on. Reads that ask for a lease, per second at most; others use the conservative
   // position.
-  double asks_per_s = 20;
+  double read_acquires_per_s = 20;
   // Bytes sent and received per second, with the headers of UDP and IPv4; zero: no limit. Reads ask for
   // leases only within it, all other messages are sent in any case.
   double bytes_per_s = 0;
   // While that limit is reached, how long a lease message may wait to be batched with others through one
   // dedicated lease manager; zero: it never waits. A lease that moves takes up to four times as long more.
-  Duration coalesce{5000};
+  Duration batching_delay{5000};
   // This instance manages the leases of all sessions; clients are to be sent to others.
-  bool owner = false;
+  bool dedicated_lease_manager = false;
 };
 
 struct ProgramSettings {
--- a/tests/capacity/capacity_test.cpp
+++ b/tests/capacity/capacity_test.cpp
@@ -710,10 +710,10 @@
   CHECK(set.sessions.max_read_delay == Duration(static_cast<std::int64_t>(kHoldMs * 1000)));
   CHECK(set.sessions.write_retention == Duration(static_cast<std::int64_t>(kRecallS * 1e6)));
   CHECK(static_cast<double>(set.sessions.session_capacity) == kLedgerSessions);
-  CHECK(set.replication.probe == Duration(static_cast<std::int64_t>(kProbeMs * 1000)));
+  CHECK(set.replication.probe_interval == Duration(static_cast<std::int64_t>(kProbeMs * 1000)));
   net::DescriptorBudget budget(1'000);
   CHECK(static_cast<double>(budget.all()) == 1'000 - kReserved);
-  CHECK(set.replication.asks_per_s == kAsksPerS);
+  CHECK(set.replication.read_acquires_per_s == kAsksPerS);
   CHECK(set.replication.bytes_per_s == 0);  // rows of the directory are what is asked for without a budget
   const lease::SessionLeaseManager::Options owner;
   CHECK(owner.lease_duration == Duration(static_cast<std::int64_t>(kLeaseS * 1e6)));
--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -19,7 +19,7 @@
   const auto watermarks = [](const std::string& text) -> std::optional<ReplicationMode> {
     const auto setup = ParseProgramSettings(text);
     if (!setup.has_value()) return std::nullopt;
-    return setup->replication.watermarks;
+    return setup->replication.mode;
   };
   CHECK(watermarks(listens) == ReplicationMode::kBroadcast);
   CHECK(watermarks(listens + "marks = \"each\"\n") == ReplicationMode::kBroadcast);
@@ -27,16 +27,16 @@
   const auto aside =
       ParseProgramSettings(listens + "marks = \"directory\"\nowner = true\nbytes_per_s = 12000\n");
   REQUIRE(aside.has_value());
-  CHECK(aside->replication.owner);
+  CHECK(aside->replication.dedicated_lease_manager);
   CHECK(aside->replication.bytes_per_s == 12000);
-  CHECK(aside->replication.coalesce == kMs * 5);
+  CHECK(aside->replication.batching_delay == kMs * 5);
   const auto waits =
       ParseProgramSettings(listens + "marks = \"directory\"\nbytes_per_s = 12000\ncoalesce_ms = 8\n");
   REQUIRE(waits.has_value());
-  CHECK(waits->replication.coalesce == kMs * 8);
+  CHECK(waits->replication.batching_delay == kMs * 8);
   const auto neither = ParseProgramSettings(listens + "marks = \"directory\"\n");
   REQUIRE(neither.has_value());
-  CHECK_FALSE(neither->replication.owner);
+  CHECK_FALSE(neither->replication.dedicated_lease_manager);
   CHECK(neither->replication.bytes_per_s == 0);
   struct Wrong {
     std::string text, names;
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -151,10 +151,10 @@
     g_free(made);
     g_file_set_contents((folder + "/key").c_str(), ("1 " + std::string(64, 'a') + "\n").c_str(), -1, nullptr);
     chmod((folder + "/key").c_str(), 0600);
-    setup.listen = net::Address{"127.0.0.1", 0};
+    setup.listen_address = net::Address{"127.0.0.1", 0};
     setup.key_file = folder + "/key";
-    setup.flush = 10000 * kMs;
-    setup.join_within = join_within_ms * kMs;
+    setup.flush_interval = 10000 * kMs;
+    setup.join_timeout = join_within_ms * kMs;
   }
   ~Pair() { std::filesystem::remove_all(folder); }
   Pair(const Pair&) = delete;
@@ -189,10 +189,10 @@
 
 TEST_CASE("peers polled before a read arrived are polled again") {
   Pair pair(0);
-  pair.setup.listen = net::Address{"127.0.0.1", ClosedPort(pair.loop)};
+  pair.setup.listen_address = net::Address{"127.0.0.1", ClosedPort(pair.loop)};
   const auto one = pair.Start("one");
-  pair.setup.seeds = {*pair.setup.listen};
-  pair.setup.listen = net::Address{"127.0.0.1", 0};
+  pair.setup.seeds = {*pair.setup.listen_address};
+  pair.setup.listen_address = net::Address{"127.0.0.1", 0};
   const auto two = pair.Start("two");
   Until([&] { return one->engine().ReplicatedThrough().size() == 1; }, pair.loop);
   Wait(pair.loop, 50);
--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -332,15 +332,15 @@
   const auto setup = ParseProgramSettings(ScaleSettingsOf(spec, 1, {0, 1, 2}, 0));
   REQUIRE(setup);
   CHECK(setup->replication.seeds.size() == 2);
-  CHECK(setup->replication.listen->port == 4002);
-  CHECK(!setup->replication.owner);
+  CHECK(setup->replication.listen_address->port == 4002);
+  CHECK(!setup->replication.dedicated_lease_manager);
   spec.watermarks = "directory";
   spec.owners = 1;
   spec.bytes_per_s = 12000;
   for (const int pooler : {0, 1}) {
     const auto read = ParseProgramSettings(ScaleSettingsOf(spec, pooler, {0, 1, 2}, 0));
     REQUIRE(read);
-    CHECK(read->replication.owner == (pooler == 0));
+    CHECK(read->replication.dedicated_lease_manager == (pooler == 0));
     CHECK(read->replication.bytes_per_s == 12000);
   }
 }
