--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -13,7 +13,10 @@
 // A statement for a data server: created by the frontend, read only by the upstream.
 class Work {
  public:
+  Work() = default;
   virtual ~Work() = default;
+  Work(const Work&) = delete;
+  Work& operator=(const Work&) = delete;
   // The statement's text for an attempt with `left` until its deadline.
   virtual std::string TextFor(Duration left) const = 0;
 };
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -50,8 +50,9 @@
   if (waits_.ask_others && consistency_guard_.ShouldDelayRead(ask.event, arrived)) {
     delayed_reads_.push_back(
         {id, std::move(ask.event), loop_.Now(), arrived + consistency_guard_.max_read_delay()});
-    if (!delay_timer_.armed())
+    if (!delay_timer_.armed()) {
       delay_timer_.Set(delayed_reads_.front().deadline, [this] { ReleaseDelayedReads(); });
+    }
     waits_.ask_others();
     return;
   }
@@ -83,8 +84,9 @@
     DispatchRequest(read.id, std::move(read.event));
   }
   delay_timer_.Clear();
-  if (!delayed_reads_.empty())
+  if (!delayed_reads_.empty()) {
     delay_timer_.Set(delayed_reads_.front().deadline, [this] { ReleaseDelayedReads(); });
+  }
 }
 
 void Proxy::SendHeldResponse(RequestId id) {
@@ -183,9 +185,8 @@
 }
 
 void Proxy::OnAttemptEnd(AttemptEnd end) {
-  Event event = AttemptEndedEvent{
-      end.request,          end.attempt, end.server, end.outcome, end.elapsed, false, std::move(end.metadata),
-      std::move(end.report)};
+  Event event = AttemptEndedEvent{end.request, end.attempt, end.server,   end.outcome,
+                                  end.elapsed, false,       end.metadata, end.report};
   auto& outcome = std::get<AttemptEndedEvent>(event);
   // The guard sees the response's metadata before the client gets it: they may show that it is not
   // trustworthy.
@@ -227,8 +228,8 @@
   });
 }
 
-void Proxy::OnProbeEnd(const HealthCheckEvent& probe) {
-  Event event = probe;
+void Proxy::OnProbeEnd(const HealthCheckEvent& health_check) {
+  Event event = health_check;
   PrepareEvent(event);
   HandleEvent(std::move(event));
 }
@@ -249,8 +250,9 @@
     new_actions_.clear();
     balancer_.Handle(loop_.Now(), event, new_actions_);
     consistency_guard_.HandleActions(new_actions_);
-    if (const auto* disconnected = std::get_if<ClientDisconnectedEvent>(&event))
+    if (const auto* disconnected = std::get_if<ClientDisconnectedEvent>(&event)) {
       requests_.erase(disconnected->id);
+    }
     const auto* outcome = std::get_if<AttemptEndedEvent>(&event);
     if (outcome != nullptr && outcome->request_done) requests_.erase(outcome->id);
     for (Action& action : new_actions_) actions_.push_back(std::move(action));
@@ -279,7 +281,7 @@
     not_run.server = action.server;
     not_run.outcome = Outcome::kNotRun;
     not_run.request_done = true;
-    events_.emplace_back(std::move(not_run));
+    events_.emplace_back(not_run);
     return;
   }
   ++counts_.attempts;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -23,6 +23,9 @@
  public:
   Proxy(net::Loop& loop, Settings settings, std::uint64_t seed, Backends& backends,
         consistency::Options sessions = {});
+  virtual ~Proxy() = default;
+  Proxy(const Proxy&) = delete;
+  Proxy& operator=(const Proxy&) = delete;
 
   // Starts a request. `client` is called exactly once, possibly before this returns, unless Withdraw is
   // called first; it must stay valid until then. `id` is set before `client` can be called.
@@ -32,7 +35,7 @@
   // Ends a request at once, for a shutdown that cannot wait: rejected if no attempt was started, else failed.
   void GiveUp(RequestId request);
   // Applies an event of the endpoint list.
-  void ListChanged(ListEvent event);
+  void ListChanged(ListEvent list);
   // Requests whose client has not been called yet.
   std::size_t open() const { return in_flight_; }
   consistency::SessionConsistencyGuard& consistency_guard() { return consistency_guard_; }
@@ -70,7 +73,7 @@
   };
 
   void OnAttemptEnd(AttemptEnd end) override;
-  void OnProbeEnd(const HealthCheckEvent& event) override;
+  void OnProbeEnd(const HealthCheckEvent& health_check) override;
   void HandleEvent(Event event);
   // Passes the event to the consistency guard and rejects the reads whose guarantee it invalidates.
   void PrepareEvent(Event& event);
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -316,6 +316,32 @@
   return note;
 }
 
+AttemptEndedEvent DecodeAttemptEnd(const Json& json, Duration zero, const std::vector<std::string>& columns) {
+  AttemptEndedEvent event;
+  event.id = RequestId(Small(json, "req"));
+  event.attempt = Small(json, "shot");
+  event.server = ServerId(Small(json, "member"));
+  event.outcome = Word(Text(json, "code"), kOutcomes, "code");
+  event.elapsed = DurationOr(json, "time_taken_us", Duration{0});
+  event.request_done = BoolOr(json, "complete", false);
+  event.metadata = DecodeNote(json, zero);
+  event.report = DecodeReport(json, zero, columns);
+  return event;
+}
+
+// An unknown result code leaves the default outcome, a plain error.
+HealthCheckEvent DecodeHealthCheck(const Json& json, Duration zero, const std::vector<std::string>& columns) {
+  HealthCheckEvent event;
+  event.server = ServerId(Small(json, "member"));
+  const std::string code = Text(json, "code");
+  for (const auto& [word, outcome] : kOutcomes) {
+    if (code == word) event.outcome = outcome;
+  }
+  event.elapsed = DurationOr(json, "time_taken_us", Duration{0});
+  event.report = DecodeReport(json, zero, columns);
+  return event;
+}
+
 }  // namespace
 
 Codec::Dialect& Codec::DialectOf(Instance instance) {
@@ -325,6 +351,49 @@
   return dialects_.insert(it, {instance, Dialect{}})->second;
 }
 
+Start Codec::DecodeStart(const Json& json, Instance instance) {
+  const Json& seed = Need(json, "random_seed");
+  if (!seed.is_number_integer()) Wrong("random_seed", "is not a whole number");
+  Need(json, "facts");
+  const Json& facts = ObjectOr(json, "facts");
+  Start start{instance, seed.get<std::uint64_t>(), DecodeSettings(facts), Duration{0}, {}};
+  start.zero = DurationOr(ObjectOr(facts, "extra"), "zero_us", Duration{0});
+  start.report_columns = DecodeReportColumns(facts);
+  DialectOf(instance) = Dialect{start.zero, start.report_columns};
+  return start;
+}
+
+// Decodes an event of the balancer; its kind is given by `op`.
+Event Codec::DecodeEvent(const std::string& op, const Json& json, const Dialect& dialect) {
+  if (op == "incoming") return DecodeRequest(json);
+  if (op == "completed") return DecodeAttemptEnd(json, dialect.zero, dialect.columns);
+  if (op == "pong") return DecodeHealthCheck(json, dialect.zero, dialect.columns);
+  if (op == "fired") {
+    const Json& ctx = Need(json, "ctx");
+    if (!ctx.is_number_integer()) Wrong("ctx", "is not a whole number");
+    return TimerEvent{TimerId(ctx.get<std::uint64_t>())};
+  }
+  if (op == "gone") return ClientDisconnectedEvent{RequestId(Small(json, "req"))};
+  if (op == "memo") return PeerEvent{Small(json, "by"), Text(json, "msg")};
+  if (op == "head_received") {
+    return ResponseStartedEvent{RequestId(Small(json, "req")), Small(json, "shot"),
+                                ServerId(Small(json, "member")),
+                                DurationOr(json, "time_taken_us", Duration{0})};
+  }
+  throw WireError("unknown event");
+}
+
+Line Codec::DecodeForInstance(const std::string& op, const Json& json, Instance instance) {
+  if (op == "spawn") return DecodeStart(json, instance);
+  if (op == "teardown") return Stop{instance};
+  if (op == "directory_update") {
+    const ListKind kind = Word(Text(json, "how"), kListKinds, "how");
+    const bool failed = kind == ListKind::kError;
+    return ListNews{instance, kind, failed ? -1 : static_cast<int>(Small(json, "page"))};
+  }
+  return ForInstance{instance, DecodeEvent(op, json, DialectOf(instance))};
+}
+
 Line Codec::Decode(std::string_view text) {
   Json json = Json::parse(text, nullptr, false);
   if (json.is_discarded()) throw WireError("malformed JSON");
@@ -333,72 +402,8 @@
   if (op == "tick") return BatchStart{TimePoint(DurationOf(json, "sim_time_us")), Int(json, "serial")};
   if (op == "eob") return BatchEnd{};
   if (op == "table") return ListPage{static_cast<int>(Small(json, "page")), DecodeEntries(json)};
-  const Instance who = [&] {
-    try {
-      return static_cast<Instance>(Small(json, "who"));
-    } catch (const WireError& error) {
-      throw WireError("event '" + op.substr(0, 40) + "': " + error.what());
-    }
-  }();
   try {
-    if (op == "spawn") {
-      const Json& seed = Need(json, "random_seed");
-      if (!seed.is_number_integer()) Wrong("random_seed", "is not a whole number");
-      Need(json, "facts");
-      const Json& facts = ObjectOr(json, "facts");
-      Start start{who, seed.get<std::uint64_t>(), DecodeSettings(facts), Duration{0}, {}};
-      start.zero = DurationOr(ObjectOr(facts, "extra"), "zero_us", Duration{0});
-      start.report_columns = DecodeReportColumns(facts);
-      DialectOf(who) = Dialect{start.zero, start.report_columns};
-      return start;
-    }
-    if (op == "teardown") return Stop{who};
-    if (op == "directory_update") {
-      const ListKind kind = Word(Text(json, "how"), kListKinds, "how");
-      const bool failed = kind == ListKind::kError;
-      return ListNews{who, kind, failed ? -1 : static_cast<int>(Small(json, "page"))};
-    }
-    const Dialect& dialect = DialectOf(who);
-    ForInstance result{who, ClientDisconnectedEvent{}};
-    if (op == "incoming") {
-      result.event = DecodeRequest(json);
-    } else if (op == "completed") {
-      AttemptEndedEvent event;
-      event.id = RequestId(Small(json, "req"));
-      event.attempt = Small(json, "shot");
-      event.server = ServerId(Small(json, "member"));
-      event.outcome = Word(Text(json, "code"), kOutcomes, "code");
-      event.elapsed = DurationOr(json, "time_taken_us", Duration{0});
-      event.request_done = BoolOr(json, "complete", false);
-      event.metadata = DecodeNote(json, dialect.zero);
-      event.report = DecodeReport(json, dialect.zero, dialect.columns);
-      result.event = std::move(event);
-    } else if (op == "pong") {
-      HealthCheckEvent event;
-      event.server = ServerId(Small(json, "member"));
-      const std::string code = Text(json, "code");  // other reasons may come up: a plain error then
-      for (const auto& [word, outcome] : kOutcomes) {
-        if (code == word) event.outcome = outcome;
-      }
-      event.elapsed = DurationOr(json, "time_taken_us", Duration{0});
-      event.report = DecodeReport(json, dialect.zero, dialect.columns);
-      result.event = std::move(event);
-    } else if (op == "fired") {
-      const Json& ctx = Need(json, "ctx");
-      if (!ctx.is_number_integer()) Wrong("ctx", "is not a whole number");
-      result.event = TimerEvent{TimerId(ctx.get<std::uint64_t>())};
-    } else if (op == "gone") {
-      result.event = ClientDisconnectedEvent{RequestId(Small(json, "req"))};
-    } else if (op == "memo") {
-      result.event = PeerEvent{Small(json, "by"), Text(json, "msg")};
-    } else if (op == "head_received") {
-      result.event = ResponseStartedEvent{RequestId(Small(json, "req")), Small(json, "shot"),
-                                          ServerId(Small(json, "member")),
-                                          DurationOr(json, "time_taken_us", Duration{0})};
-    } else {
-      throw WireError("unknown event");
-    }
-    return result;
+    return DecodeForInstance(op, json, static_cast<Instance>(Small(json, "who")));
   } catch (const WireError& error) {
     throw WireError("event '" + op.substr(0, 40) + "': " + error.what());
   }
--- a/src/simulator/codec.h
+++ b/src/simulator/codec.h
@@ -1,7 +1,9 @@
-// The codec between JSON lines and the interface of balance.h. Every wire word lives in wire.cpp.
+// Codec between the simulator's JSON lines and the events and actions of routing/balancer.h. All words of the
+// wire format are in codec.cpp.
 #pragma once
 
 #include <cstdint>
+#include <nlohmann/json_fwd.hpp>
 #include <stdexcept>
 #include <string>
 #include <string_view>
@@ -14,7 +16,7 @@
 
 using Instance = std::int64_t;
 
-// What is wrong with an input line, in one plain sentence without line breaks.
+// An invalid input line; what() is a single line.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -33,19 +35,20 @@
   Instance instance = 0;
   std::uint64_t seed = 0;
   Settings settings;
-  Duration zero{0};  // the clock time from which positions are counted
+  Duration zero{0};  // origin of the positions
   std::vector<std::string> report_columns;
 };
 struct Stop {
   Instance instance = 0;
 };
-// A list event names its page; the host fills in the entries.
+// An update of the endpoint list. It names the page; the host adds the page's entries.
 struct ListNews {
   Instance instance = 0;
   ListKind kind = ListKind::kComplete;
   int page = 0;
 };
-// A report is read with the columns of its instance, which the codec keeps from its Start.
+// An event for the balancer of one instance. Its load report was decoded with the columns of the instance's
+// Start.
 struct ForInstance {
   Instance instance = 0;
   Event event;
@@ -53,10 +56,14 @@
 
 using Line = std::variant<BatchStart, BatchEnd, ListPage, Start, Stop, ListNews, ForInstance>;
 
+// Decodes input lines and encodes replies. Keeps the report columns and position origin of each started
+// instance.
 class Codec {
  public:
+  // Throws WireError for a line that is not a valid message.
   Line Decode(std::string_view text);
 
+  // Encoders append one line, with its line break, to `out`.
   static void EncodeAction(Instance instance, const Action& action, std::string& out);
   static void EncodeInternalError(Instance instance, std::string_view what, std::string& out);
   static void EncodeEnd(std::int64_t serial, std::string& out);
@@ -68,6 +75,10 @@
   };
   std::vector<std::pair<Instance, Dialect>> dialects_;
 
+  Start DecodeStart(const nlohmann::json& json, Instance instance);
+  static Event DecodeEvent(const std::string& op, const nlohmann::json& json, const Dialect& dialect);
+  Line DecodeForInstance(const std::string& op, const nlohmann::json& json, Instance instance);
+  // Creates the dialect of an instance that has none yet.
   Dialect& DialectOf(Instance instance);
 };
 
