--- a/src/net/descriptor_budget.h
+++ b/src/net/descriptor_budget.h
@@ -1,4 +1,4 @@
-// How many descriptors clients and backends may hold, together and each.
+// Limits on the file descriptors held by client and server connections, together and for each side.
 #pragma once
 
 #include <algorithm>
--- a/src/net/glib_ptr.h
+++ b/src/net/glib_ptr.h
@@ -1,4 +1,4 @@
-// Ownership of GLib's objects: released when they go out of scope.
+// RAII owners of GLib objects, errors and sources.
 #pragma once
 
 #include <gio/gio.h>
--- a/src/net/log_limit.h
+++ b/src/net/log_limit.h
@@ -1,4 +1,4 @@
-// Keeps lines that a peer can cause at will from filling the log, or costing the time to write it.
+// Rate limit for log lines that a remote peer can trigger at will.
 #pragma once
 
 #include <cstdint>
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// The main loop: one thread, one clock reading a pass, and one source for all deadlines.
+// The event loop: one thread, one clock reading per pass, and a single GLib source for all timers.
 #pragma once
 
 #include <chrono>
@@ -58,7 +58,7 @@
   SourcePtr source_;
 };
 
-// One deadline, dropped with its owner. Setting it anew replaces the old one.
+// A one-shot timer, cancelled on destruction. Setting it again replaces the previous deadline.
 class Timer {
  public:
   explicit Timer(Loop& loop) : loop_(&loop) {}
--- a/src/net/poller.h
+++ b/src/net/poller.h
@@ -1,4 +1,4 @@
-// One source of the main loop for all connections: an epoll set, which is asked only for what is ready.
+// A single source of the event loop for all connections, backed by an epoll set.
 #pragma once
 
 #include <sys/epoll.h>
@@ -10,8 +10,8 @@
 
 namespace lynxgrade::net {
 
-// GLib's own sources cost every turn of the loop time in proportion to all that are open; with hundreds of
-// connections that do nothing, this was most of what the pooler did.
+// GLib polls each of its own sources in every pass, at a cost proportional to the number of open connections;
+// epoll costs only for those that are ready.
 class Poller {
  public:
   class Handler {
--- a/src/net/ring_buffer.h
+++ b/src/net/ring_buffer.h
@@ -1,4 +1,4 @@
-// A growing ring of bytes: one for each direction of a connection.
+// A growable ring buffer of bytes; a connection has one for each direction.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace lynxgrade::net {
 
-// Starts without memory, doubles up to a limit as bytes come, and gives a large block back when empty.
+// Starts without memory, doubles its capacity up to a limit, and frees a large block once it is empty.
 class RingBuffer {
  public:
   explicit RingBuffer(std::size_t limit) : limit_(limit) {}
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,6 +1,5 @@
-// lynxgrade_adapter: reads batches of events, feeds each to the Balancer of its instance and
-// writes one reply per batch. It decides nothing. Each instance has its sessions' keeper round its module, as
-// in the pooler.
+// lynxgrade_adapter: reads batches of events from standard input, passes each to the balancer of its instance
+// and writes one reply per batch. As in the pooler, a session consistency guard surrounds each balancer.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -18,8 +17,8 @@
 
 class Host {
  public:
-  // Takes one line; returns true if a reply is complete and to be flushed.
-  bool Take(const std::string& text) {
+  // Handles one input line; returns true if the reply of a batch is complete. Throws WireError.
+  bool HandleLine(const std::string& text) {
     Line line = codec_.Decode(text);
     if (auto* start = std::get_if<BatchStart>(&line)) {
       if (open_) throw WireError("a batch opens inside another");
@@ -51,9 +50,9 @@
         }
         event.entries = entries->second;
       }
-      Feed(news->instance, Event(std::move(event)));
+      HandleEvent(news->instance, Event(std::move(event)));
     } else if (auto* given = std::get_if<ForInstance>(&line)) {
-      Feed(given->instance, std::move(given->event));
+      HandleEvent(given->instance, std::move(given->event));
     }
     return false;
   }
@@ -69,7 +68,7 @@
     Balancer balancer;
   };
 
-  void Feed(Instance who, Event event) {
+  void HandleEvent(Instance who, Event event) {
     const auto it = instances_.find(who);
     if (it == instances_.end()) {
       throw WireError("field 'who' names an instance that has not started");
@@ -102,7 +101,7 @@
   while (std::getline(std::cin, line)) {
     if (line.empty()) continue;
     try {
-      if (!host.Take(line)) continue;
+      if (!host.HandleLine(line)) continue;
     } catch (const WireError& error) {
       const auto serial = host.serial();
       std::cerr << "lynxgrade_adapter: "
--- a/src/simulator/settings_json.h
+++ b/src/simulator/settings_json.h
@@ -1,4 +1,4 @@
-// The settings as JSON, decoded once for the simulator's adapter and the pooler alike.
+// Decoding of routing settings and load reports from JSON, shared by the simulator's adapter and the pooler.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -9,11 +9,11 @@
 
 namespace lynxgrade::simulator {
 
-// Throws WireError where a value is missing or not of its kind.
+// Throws WireError if a value is missing or has the wrong type.
 Settings DecodeSettings(const nlohmann::json& facts);
 std::vector<std::string> DecodeReportColumns(const nlohmann::json& facts);
 
-// A report from columns of names and values, as far as the module knows them. Positions are counted from
+// Stores the value of a named column in the report; unknown columns are ignored. Positions are relative to
 // `zero`.
 void TakeReportValue(LoadReport& report, const std::string& column, double value, Duration zero);
 
