--- a/src/pooler.cpp
+++ b/src/pooler.cpp
@@ -29,11 +29,11 @@
             [this] { return front_.ShedIdle(); }),
       instance_(loop_, config, settings, pool_,
                 {[this](ServerId server, const net::Address& address) { pool_.SetAddress(server, address); },
-                 [this](ServerId server) { pool_.Forget(server); },
+                 [this](ServerId server) { pool_.RemoveServer(server); },
                  [this] { BecomeReadyIfListed(); },
                  {}}),
       front_(loop_, instance_.proxy(), budget_, config.classes, config.tenants, config.settings,
-             [this] { return pool_.ShedIdle(); }),
+             [this] { return pool_.CloseLongestIdle(); }),
       report_timer_(loop_),
       ready_timer_(loop_) {
   pool_.SetEvents(instance_.proxy());
--- a/src/pooler.h
+++ b/src/pooler.h
@@ -45,7 +45,7 @@
   const ProgramSettings& settings_;
   net::Loop loop_;
   net::DescriptorBudget budget_;
-  upstream::Pool pool_;
+  upstream::ConnectionPool pool_;
   Instance instance_;
   frontend::Front front_;
   std::unique_ptr<admin::AdminServer> admin_server_;  // null if the settings name no address
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -9,261 +9,268 @@
 namespace lynxgrade::upstream {
 namespace {
 
-// Openings at a time to one data server: enough for any steady traffic, no storm on one that just started.
-constexpr std::size_t kMostOpening = 16;
-// An idle connection goes after this part of the time in which its server would close it: a request that
-// crosses the close would be a reset, and may have run.
-constexpr double kIdlePart = 0.7;
-constexpr Duration kRestsFor{5000};  // a few times what a close takes to come
-constexpr Duration kRetireEvery{500000};
+// Concurrent connection attempts to one data server. Enough for steady traffic, while a server that has just
+// started is spared a thundering herd.
+constexpr std::size_t kMaxOpening = 16;
+// An idle connection is closed after this fraction of the server's idle timeout: a request that crosses the
+// server's close is lost to a reset, and whether it ran is unknown.
+constexpr double kIdleTimeoutFraction = 0.7;
+constexpr Duration kReusePause{5000};  // several times as long as a close takes to arrive
+constexpr Duration kExpiryInterval{500000};
 
 }  // namespace
 
-Pool::Pool(net::Loop& loop, PoolSettings settings, net::DescriptorBudget& budget,
-           std::function<bool()> make_room)
+ConnectionPool::ConnectionPool(net::Loop& loop, PoolSettings settings, net::DescriptorBudget& budget,
+                               std::function<bool()> make_room)
     : loop_(loop),
       settings_(std::move(settings)),
       budget_(budget),
       make_room_(std::move(make_room)),
-      complaints_(loop),
-      retire_(loop) {
-  retire_.After(kRetireEvery, [this] { Retire(); });
+      fault_log_limit_(loop),
+      expiry_timer_(loop) {
+  expiry_timer_.After(kExpiryInterval, [this] { CloseExpired(); });
 }
 
-Pool::~Pool() = default;
+ConnectionPool::~ConnectionPool() = default;
 
-Server* Pool::Find(ServerId server) {
+ServerPool* ConnectionPool::FindServer(ServerId server) {
   const auto it = servers_.find(server);
   return it == servers_.end() ? nullptr : it->second.get();
 }
 
-void Pool::SetAddress(ServerId id, const net::Address& address) {
-  std::unique_ptr<Server>& server = servers_[id];
+void ConnectionPool::SetAddress(ServerId id, const net::Address& address) {
+  std::unique_ptr<ServerPool>& server = servers_[id];
   if (server == nullptr) {
-    server = std::make_unique<Server>();
+    server = std::make_unique<ServerPool>();
     server->id = id;
   }
   const bool moved =
       server->address && (server->address->host != address.host || server->address->port != address.port);
   server->address = address;
-  server->gone = false;
+  server->removed = false;
   if (moved) CloseIdle(id);
 }
 
-void Pool::Forget(ServerId id) {
-  Server* server = Find(id);
+void ConnectionPool::RemoveServer(ServerId id) {
+  ServerPool* server = FindServer(id);
   if (server == nullptr) return;
-  server->gone = true;
+  server->removed = true;
   CloseIdle(id);
 }
 
-void Pool::Send(RequestId request, AttemptNumber attempt, ServerId server,
-                std::shared_ptr<const proxy::Work> work, proxy::SendTimes times) {
-  auto job = std::make_shared<Job>(loop_, server);
-  job->request = request;
-  job->attempt = attempt;
-  job->work = std::move(work);
-  attempts_[{request, attempt}] = job;
-  // What was decided counts from the clock that decided, however far this pass has come since.
-  if (times.write_within != Duration::max()) job->write_by = loop_.Now() + times.write_within;
-  job->until = loop_.Now() + times.limit;
-  Start(std::move(job));
+void ConnectionPool::Send(RequestId request, AttemptNumber number, ServerId server,
+                          std::shared_ptr<const proxy::Work> work, proxy::SendTimes times) {
+  auto attempt = std::make_shared<Attempt>(loop_, server);
+  attempt->request = request;
+  attempt->number = number;
+  attempt->work = std::move(work);
+  attempts_[{request, number}] = attempt;
+  // Limits count from the loop time of the routing decision, however long this iteration has run since.
+  if (times.write_within != Duration::max()) attempt->write_deadline = loop_.Now() + times.write_within;
+  attempt->deadline = loop_.Now() + times.limit;
+  Enqueue(std::move(attempt));
 }
 
-void Pool::Probe(ServerId server) {
-  if (probes_.contains(server)) return;  // its end will serve for both
-  auto job = std::make_shared<Job>(loop_, server);
-  probes_[server] = job;
-  job->until = loop_.Precise() + settings_.connect_timeout;
-  Start(std::move(job));
+void ConnectionPool::Probe(ServerId server) {
+  if (health_checks_.contains(server)) return;  // the outcome of the one in flight answers both
+  auto attempt = std::make_shared<Attempt>(loop_, server);
+  health_checks_[server] = attempt;
+  attempt->deadline = loop_.Precise() + settings_.connect_timeout;
+  Enqueue(std::move(attempt));
 }
 
-// What begins here counts from here: in a long pass a connection would have been given up, and its data
-// server blamed, before it could be heard.
-void Pool::Start(std::shared_ptr<Job> job) {
-  job->since = loop_.Precise();
-  Server* server = Find(job->server);
-  if (server == nullptr || !server->address) return EndJob(job, Outcome::kUnreachable);
-  const std::weak_ptr<Job> weak = job;
-  job->limit.Set(job->until, [this, weak] {
-    if (const auto held = weak.lock()) GiveUp(held, Outcome::kTimeout);
+// The connect timeout counts from the precise time: from the loop time, a long iteration would time out a
+// connection, and blame its data server, before any event of it could be read.
+void ConnectionPool::Enqueue(std::shared_ptr<Attempt> attempt) {
+  attempt->wait_started = loop_.Precise();
+  ServerPool* server = FindServer(attempt->server);
+  if (server == nullptr || !server->address) return FinishAttempt(attempt, Outcome::kUnreachable);
+  const std::weak_ptr<Attempt> weak = attempt;
+  attempt->deadline_timer.Set(attempt->deadline, [this, weak] {
+    if (const auto held = weak.lock()) Abort(held, Outcome::kTimeout);
   });
-  job->connect.Set(std::min(job->since + settings_.connect_timeout, job->write_by), [this, weak] {
-    if (const auto held = weak.lock()) EndJob(held, Outcome::kUnreachable);
-  });
-  server->waiting.push_back(std::move(job));
-  Dispatch(*server);
+  attempt->connect_timer.Set(
+      std::min(attempt->wait_started + settings_.connect_timeout, attempt->write_deadline), [this, weak] {
+        if (const auto held = weak.lock()) FinishAttempt(held, Outcome::kUnreachable);
+      });
+  server->waiting.push_back(std::move(attempt));
+  AssignConnections(*server);
 }
 
-// Stops waiting. Whether it may have run turns on whether all of it was handed to the kernel.
-void Pool::GiveUp(const std::shared_ptr<Job>& job, Outcome if_written) {
-  Backend* backend = job->backend;
+void ConnectionPool::Abort(const std::shared_ptr<Attempt>& attempt, Outcome if_written) {
+  ServerConnection* connection = attempt->connection;
   Outcome outcome = if_written;
-  if (if_written == Outcome::kTimeout && (backend == nullptr || !backend->Written())) {
+  if (if_written == Outcome::kTimeout && (connection == nullptr || !connection->AllWritten())) {
     outcome = Outcome::kUnreachable;
   }
-  Server* server = Find(job->server);
-  if (backend != nullptr) Remove(*backend);  // closing tells the data server that nobody waits any more
-  EndJob(job, outcome);
-  if (backend != nullptr) Dispatch(*server);
+  ServerPool* server = FindServer(attempt->server);
+  if (connection != nullptr) CloseConnection(*connection);  // the close cancels the statement at the server
+  FinishAttempt(attempt, outcome);
+  if (connection != nullptr) AssignConnections(*server);
 }
 
-void Pool::WrittenLate(const std::shared_ptr<Job>& job) {
-  if (job->backend != nullptr && !job->backend->Written()) GiveUp(job, Outcome::kUnreachable);
+void ConnectionPool::AbortIfUnwritten(const std::shared_ptr<Attempt>& attempt) {
+  if (attempt->connection != nullptr && !attempt->connection->AllWritten())
+    Abort(attempt, Outcome::kUnreachable);
 }
 
-void Pool::Cancel(RequestId request, AttemptNumber attempt) {
-  const auto it = attempts_.find({request, attempt});
-  if (it == attempts_.end()) return;  // its end is on the way
-  GiveUp(std::shared_ptr<Job>(it->second), Outcome::kCancelled);
+void ConnectionPool::Cancel(RequestId request, AttemptNumber number) {
+  const auto it = attempts_.find({request, number});
+  if (it == attempts_.end()) return;  // already finished
+  Abort(std::shared_ptr<Attempt>(it->second), Outcome::kCancelled);
 }
 
-void Pool::Drop(RequestId request) {
-  std::vector<std::shared_ptr<Job>> waiting;
+void ConnectionPool::Drop(RequestId request) {
+  std::vector<std::shared_ptr<Attempt>> waiting;
   for (auto it = attempts_.lower_bound({request, 0}); it != attempts_.end(); ++it) {
     if (it->first.first != request) break;
-    if (it->second->backend == nullptr) waiting.push_back(it->second);
+    if (it->second->connection == nullptr) waiting.push_back(it->second);
   }
-  for (const auto& job : waiting) EndJob(job, Outcome::kNotRun);
+  for (const auto& attempt : waiting) FinishAttempt(attempt, Outcome::kNotRun);
 }
 
-void Pool::EndJob(const std::shared_ptr<Job>& job, Outcome outcome, ResponseMetadata metadata,
-                  std::optional<LoadReport> report, std::optional<proxy::Answer> answer, bool unusable) {
-  const std::shared_ptr<Job> held = job;
-  held->limit.Clear();
-  held->connect.Clear();
-  held->backend = nullptr;
-  if (Server* server = Find(held->server)) std::erase(server->waiting, held);
-  // Time spent waiting for a connection, or opening one, says nothing of how fast a data server answers.
-  const Duration elapsed = std::max(Duration{0}, loop_.Now() - held->written.value_or(held->since));
-  if (held->probe()) {
-    probes_.erase(held->server);
+void ConnectionPool::FinishAttempt(const std::shared_ptr<Attempt>& attempt, Outcome outcome,
+                                   ResponseMetadata metadata, std::optional<LoadReport> report,
+                                   std::optional<proxy::Answer> result, bool unusable) {
+  const std::shared_ptr<Attempt> held = attempt;
+  held->deadline_timer.Clear();
+  held->connect_timer.Clear();
+  held->connection = nullptr;
+  if (ServerPool* server = FindServer(held->server)) std::erase(server->waiting, held);
+  // The latency of the data server excludes the time spent waiting for a connection.
+  const Duration elapsed = std::max(Duration{0}, loop_.Now() - held->sent_at.value_or(held->wait_started));
+  if (held->is_health_check()) {
+    health_checks_.erase(held->server);
     events_->OnProbeEnd({held->server, outcome, elapsed, report});
     return;
   }
-  attempts_.erase({held->request, held->attempt});
-  events_->OnAttemptEnd({held->request, held->attempt, held->server, outcome, elapsed, metadata, report,
-                         std::move(answer), unusable});
+  attempts_.erase({held->request, held->number});
+  events_->OnAttemptEnd({held->request, held->number, held->server, outcome, elapsed, metadata, report,
+                         std::move(result), unusable});
 }
 
-// Hands waiting jobs to idle connections, and opens one for each that is left.
-void Pool::Dispatch(Server& server) {
-  if (server.dispatching) return;  // the outer call goes on with what has changed
+void ConnectionPool::AssignConnections(ServerPool& server) {
+  if (server.dispatching) return;  // reentered from a callback: the outer call continues with the changes
   server.dispatching = true;
   while (!server.waiting.empty()) {
     if (!server.idle.empty()) {
-      // The one used last, so that the rest can go, but not one that has only just answered if there is
-      // another: a data server may close behind an answer, and what crosses that close is lost as a reset.
-      const auto rested = std::find_if(server.idle.rbegin(), server.idle.rend(), [this](const Backend* b) {
-        return loop_.Now() - b->idle_since() >= kRestsFor;
-      });
-      const auto taken =
-          rested == server.idle.rend() ? std::prev(server.idle.end()) : std::prev(rested.base());
-      Backend* backend = *taken;
-      server.idle.erase(taken);
-      // A server that restarted or closed while the connection stood idle has left an end unread. One that is
-      // about to close for its age is not seen: between two retirements, or as this loop stood still.
-      if (!backend->Sound() || Old(*backend)) {
-        Remove(*backend);
-        continue;
-      }
-      const std::shared_ptr<Job> job = server.waiting.front();
-      server.waiting.pop_front();
-      // The connection may have come up long after the send was decided, and this loop may have stood still.
-      if (loop_.Precise() >= std::min(job->write_by, job->until)) {
-        server.idle.push_back(backend);
-        EndJob(job, Outcome::kUnreachable);
-        continue;
-      }
-      backend->Run(job);
+      RunOnIdleConnection(server);
       continue;
     }
-    if (server.opening >= std::min(kMostOpening, server.waiting.size())) break;
-    if (!OpenFor(server)) {
-      const std::shared_ptr<Job> job = server.waiting.front();
-      EndJob(job, budget_.BackendFits() ? Outcome::kUnreachable : Outcome::kNotRun);
+    if (server.opening >= std::min(kMaxOpening, server.waiting.size())) break;
+    if (!OpenConnection(server)) {
+      const std::shared_ptr<Attempt> attempt = server.waiting.front();
+      FinishAttempt(attempt, budget_.BackendFits() ? Outcome::kUnreachable : Outcome::kNotRun);
     }
   }
   server.dispatching = false;
 }
 
-bool Pool::OpenFor(Server& server) {
-  if (!budget_.BackendFits() && !ShedIdle() && !make_room_()) return false;
+ServerConnection* ConnectionPool::TakeIdleConnection(ServerPool& server) {
+  // A data server may close right after a response, and a request that crosses that close is lost to a reset.
+  const auto rested =
+      std::find_if(server.idle.rbegin(), server.idle.rend(), [this](const ServerConnection* candidate) {
+        return loop_.Now() - candidate->idle_since() >= kReusePause;
+      });
+  const auto chosen = rested == server.idle.rend() ? std::prev(server.idle.end()) : std::prev(rested.base());
+  ServerConnection* connection = *chosen;
+  server.idle.erase(chosen);
+  return connection;
+}
+
+void ConnectionPool::RunOnIdleConnection(ServerPool& server) {
+  ServerConnection* connection = TakeIdleConnection(server);
+  // The server may have closed it with the close still unread, or be about to close it for its idle time if
+  // this loop was blocked past the periodic expiry.
+  if (!connection->IsCurrent() || NearsIdleTimeout(*connection)) return CloseConnection(*connection);
+  const std::shared_ptr<Attempt> attempt = server.waiting.front();
+  server.waiting.pop_front();
+  // The wait for a connection may have used up the time, with the timers delayed by a blocked loop.
+  if (loop_.Precise() >= std::min(attempt->write_deadline, attempt->deadline)) {
+    server.idle.push_back(connection);
+    return FinishAttempt(attempt, Outcome::kUnreachable);
+  }
+  connection->SendQuery(attempt);
+}
+
+bool ConnectionPool::OpenConnection(ServerPool& server) {
+  if (!budget_.BackendFits() && !CloseLongestIdle() && !make_room_()) return false;
   if (!budget_.BackendFits()) return false;
-  auto backend = std::make_shared<Backend>(loop_, *this, server, budget_);
+  auto connection = std::make_shared<ServerConnection>(loop_, *this, server, budget_);
   bool full = false;
-  bool open = backend->Open(*server.address, settings_.connect_timeout, &full);
-  if (!open && full && (ShedIdle() || make_room_())) {
-    open = backend->Open(*server.address, settings_.connect_timeout, &full);
+  bool open = connection->Open(*server.address, settings_.connect_timeout, &full);
+  if (!open && full && (CloseLongestIdle() || make_room_())) {
+    open = connection->Open(*server.address, settings_.connect_timeout, &full);
   }
   if (!open) return false;
   ++server.opening;
-  server.backends.push_back(std::move(backend));
+  server.connections.push_back(std::move(connection));
   return true;
 }
 
-// Closes a connection and forgets it. The caller may be one of its callbacks: it holds itself meanwhile.
-void Pool::Remove(Backend& backend) {
-  Server& server = backend.server();
+void ConnectionPool::CloseConnection(ServerConnection& connection) {
+  ServerPool& server = connection.server();
   const auto it = std::ranges::find_if(
-      server.backends, [&](const std::shared_ptr<Backend>& b) { return b.get() == &backend; });
-  if (it == server.backends.end()) return;
-  if (!backend.ready()) --server.opening;
-  std::erase(server.idle, &backend);
-  const std::shared_ptr<Backend> held = *it;
-  server.backends.erase(it);
+      server.connections, [&](const std::shared_ptr<ServerConnection>& b) { return b.get() == &connection; });
+  if (it == server.connections.end()) return;
+  if (!connection.ready()) --server.opening;
+  std::erase(server.idle, &connection);
+  const std::shared_ptr<ServerConnection> held = *it;
+  server.connections.erase(it);
   held->Close();
 }
 
-void Pool::CloseIdle(ServerId id) {
-  Server* server = Find(id);
+void ConnectionPool::CloseIdle(ServerId id) {
+  ServerPool* server = FindServer(id);
   if (server == nullptr) return;
-  while (!server->idle.empty()) Remove(*server->idle.back());
+  while (!server->idle.empty()) CloseConnection(*server->idle.back());
 }
 
-void Pool::CloseAllIdle() {
+void ConnectionPool::CloseAllIdle() {
   for (auto& [id, server] : servers_) CloseIdle(id);
 }
 
-bool Pool::ShedIdle() {
-  Backend* oldest = nullptr;
+bool ConnectionPool::CloseLongestIdle() {
+  ServerConnection* oldest = nullptr;
   for (auto& [id, server] : servers_) {
     if (server->idle.empty()) continue;
-    Backend* first = server->idle.front();
+    ServerConnection* first = server->idle.front();
     if (oldest == nullptr || first->idle_since() < oldest->idle_since()) oldest = first;
   }
-  if (oldest != nullptr) Remove(*oldest);
+  if (oldest != nullptr) CloseConnection(*oldest);
   return oldest != nullptr;
 }
 
-std::size_t Pool::idle() const {
+std::size_t ConnectionPool::idle() const {
   std::size_t count = 0;
   for (const auto& [id, server] : servers_) count += server->idle.size();
   return count;
 }
 
-void Pool::Complain(const Server& server, std::string_view what) {
-  std::uint64_t left_out = 0;
-  if (!complaints_.Allows(left_out)) return;
-  spdlog::error("data server {}: {}; {} more lines like this left out", static_cast<std::uint32_t>(server.id),
-                what, left_out);
+void ConnectionPool::LogFault(const ServerPool& server, std::string_view cause) {
+  std::uint64_t suppressed = 0;
+  if (!fault_log_limit_.Allows(suppressed)) return;
+  spdlog::error("data server fault: server={} cause=\"{}\" suppressed={}",
+                static_cast<std::uint32_t>(server.id), cause, suppressed);
 }
 
-bool Pool::Old(const Backend& backend) const {
-  const Duration most(static_cast<std::int64_t>(kIdlePart * static_cast<double>(settings_.idle.count())));
-  return loop_.Precise() - backend.idle_since() >= most;
+bool ConnectionPool::NearsIdleTimeout(const ServerConnection& connection) const {
+  const Duration max_idle(
+      static_cast<std::int64_t>(kIdleTimeoutFraction * static_cast<double>(settings_.idle.count())));
+  return loop_.Precise() - connection.idle_since() >= max_idle;
 }
 
-void Pool::Retire() {
+void ConnectionPool::CloseExpired() {
   for (auto& [id, server] : servers_) {
-    while (!server->idle.empty() && Old(*server->idle.front())) Remove(*server->idle.front());
+    while (!server->idle.empty() && NearsIdleTimeout(*server->idle.front()))
+      CloseConnection(*server->idle.front());
   }
-  // Data servers are replaced all day long: what is not forgotten here only ever grows.
+  // Data servers are replaced all the time: without this the map would grow without bound.
   std::erase_if(servers_, [](const auto& item) {
-    const Server& server = *item.second;
-    return server.gone && server.backends.empty() && server.waiting.empty();
+    const ServerPool& server = *item.second;
+    return server.removed && server.connections.empty() && server.waiting.empty();
   });
-  retire_.After(kRetireEvery, [this] { Retire(); });
+  expiry_timer_.After(kExpiryInterval, [this] { CloseExpired(); });
 }
 
 }  // namespace lynxgrade::upstream
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,4 +1,5 @@
-// Connections to data servers: attempts and probes on them, and what comes back in the module's terms.
+// Pools connections to the data servers and runs attempts and health checks on them; outcomes are reported in
+// the terms of the routing module.
 #pragma once
 
 #include <cstdint>
@@ -23,87 +24,111 @@
 
 struct PoolSettings {
   Duration connect_timeout{250000};
-  Duration idle{15000000};  // data servers close a connection that has been idle for so long
+  Duration idle{15000000};  // the idle timeout of the data servers
   std::string user = "worker";
   std::string database = "catalog";
 };
 
-class Backend;
-struct Server;
+class ServerConnection;
+struct ServerPool;
 
-// One thing to be done on a connection: an attempt or a probe. It ends exactly once.
-struct Job {
-  Job(net::Loop& loop, ServerId to) : server(to), limit(loop), connect(loop) {}
+// One attempt of a request, or one health check, from its arrival in the pool to its single reported outcome.
+// Shared by the pool and the connection that runs it.
+struct Attempt {
+  Attempt(net::Loop& loop, ServerId to) : server(to), deadline_timer(loop), connect_timer(loop) {}
 
   ServerId server;
   RequestId request{};
-  AttemptNumber attempt = 0;
-  std::shared_ptr<const proxy::Work> work;  // null: a probe
-  TimePoint since{};                        // when a connection was first wanted
-  std::optional<TimePoint> written{};       // when it got its connection
-  TimePoint until{};                        // when nobody waits for it any more
-  TimePoint write_by = TimePoint::max();    // its last byte goes out before, or not at all
-  net::Timer limit;                         // when the pooler stops waiting
-  net::Timer connect;                       // when a connection must have been had, and all be written
-  Backend* backend = nullptr;
-  bool probe() const { return work == nullptr; }
+  AttemptNumber number = 0;
+  std::shared_ptr<const proxy::Work> work;      // null for a health check
+  TimePoint wait_started{};                     // when it began to wait for a connection
+  std::optional<TimePoint> sent_at{};           // when it was assigned a connection
+  TimePoint deadline{};                         // the response is of no use after this
+  TimePoint write_deadline = TimePoint::max();  // the last byte is written before this, or never
+  net::Timer deadline_timer;
+  net::Timer connect_timer;                // for a connection at first, then for the last byte
+  ServerConnection* connection = nullptr;  // not owned; null while it waits
+  bool is_health_check() const { return work == nullptr; }
 };
 
-class Pool final : public proxy::Backends {
+// Pools connections by data server and runs each attempt on a connection of its own. Every Send and Probe
+// reports exactly one outcome to the events, failures to connect included. Runs on the thread of the loop.
+class ConnectionPool final : public proxy::Backends {
  public:
-  // `make_room` gives back a descriptor held by an idle client, if there is one.
-  Pool(net::Loop& loop, PoolSettings settings, net::DescriptorBudget& budget,
-       std::function<bool()> make_room);
-  ~Pool();
+  // `make_room` closes an idle client to free its descriptor; false if there is none.
+  ConnectionPool(net::Loop& loop, PoolSettings settings, net::DescriptorBudget& budget,
+                 std::function<bool()> make_room);
+  ~ConnectionPool();
+  ConnectionPool(const ConnectionPool&) = delete;
+  ConnectionPool& operator=(const ConnectionPool&) = delete;
 
+  // Sets who receives the outcomes; required before the first Send or Probe, and outlives the pool's use.
   void SetEvents(proxy::BackendEvents& events) { events_ = &events; }
+  // Adds a data server, or changes its address; idle connections to a former address are closed.
   void SetAddress(ServerId server, const net::Address& address);
-  // The list names it no more: it is dropped once the last of its connections has ended.
-  void Forget(ServerId server);
+  // For a server that left the endpoint list: closes its idle connections, and erases it after the last one
+  // in use has ended.
+  void RemoveServer(ServerId server);
   std::size_t servers() const { return servers_.size(); }
-  // Gives back the connection that has been idle longest; false if none is idle.
-  bool ShedIdle();
+  // Closes the connection that has been idle longest, to free its descriptor; false if none is idle.
+  bool CloseLongestIdle();
   void CloseAllIdle();
 
-  void Send(RequestId request, AttemptNumber attempt, ServerId server,
-            std::shared_ptr<const proxy::Work> work, proxy::SendTimes times) override;
-  void Cancel(RequestId request, AttemptNumber attempt) override;
+  void Send(RequestId request, AttemptNumber number, ServerId server, std::shared_ptr<const proxy::Work> work,
+            proxy::SendTimes times) override;
+  void Cancel(RequestId request, AttemptNumber number) override;
   void Drop(RequestId request) override;
   void Probe(ServerId server) override;
   void CloseIdle(ServerId server) override;
 
+  // The number of idle connections to all data servers.
   std::size_t idle() const;
 
  private:
-  friend class Backend;
-  using JobKey = std::pair<RequestId, AttemptNumber>;
+  friend class ServerConnection;
+  using AttemptKey = std::pair<RequestId, AttemptNumber>;
 
-  Server* Find(ServerId server);
-  void Start(std::shared_ptr<Job> job);
-  // Its last byte has not gone out in time: it must not go out any more.
-  void WrittenLate(const std::shared_ptr<Job>& job);
-  void Dispatch(Server& server);
-  bool OpenFor(Server& server);
-  void Remove(Backend& backend);
-  void EndJob(const std::shared_ptr<Job>& job, Outcome outcome, ResponseMetadata metadata = {},
-              std::optional<LoadReport> report = {}, std::optional<proxy::Answer> answer = {},
-              bool unusable = false);
-  void GiveUp(const std::shared_ptr<Job>& job, Outcome if_written);
-  // Whether it has been idle for so long that its server may be about to close it.
-  bool Old(const Backend& backend) const;
-  void Retire();
-  void Complain(const Server& server, std::string_view what);
+  ServerPool* FindServer(ServerId server);
+  // Arms the timers and queues the attempt for a connection.
+  void Enqueue(std::shared_ptr<Attempt> attempt);
+  // At the write deadline: aborts an attempt whose last byte has not been written.
+  void AbortIfUnwritten(const std::shared_ptr<Attempt>& attempt);
+  // Sends waiting attempts on idle connections, and opens a connection for each that remains.
+  void AssignConnections(ServerPool& server);
+  // Removes and returns the idle connection used last among those idle for kReusePause, or the last of all.
+  // Older ones are left to expire.
+  ServerConnection* TakeIdleConnection(ServerPool& server);
+  // Sends the first waiting attempt on an idle connection, or discards that connection or attempt as expired.
+  void RunOnIdleConnection(ServerPool& server);
+  // Opens a connection, freeing a descriptor for it if need be; false if none can be opened.
+  bool OpenConnection(ServerPool& server);
+  // Closes a connection and drops the pool's reference to it. A callback of that connection that calls this
+  // has to hold a reference of its own.
+  void CloseConnection(ServerConnection& connection);
+  // Reports the outcome of an attempt, which the pool forgets.
+  void FinishAttempt(const std::shared_ptr<Attempt>& attempt, Outcome outcome, ResponseMetadata metadata = {},
+                     std::optional<LoadReport> report = {}, std::optional<proxy::Answer> result = {},
+                     bool unusable = false);
+  // Ends an attempt before its response is complete, and closes its connection. A timeout before all was
+  // written is reported as unreachable: the statement has not run.
+  void Abort(const std::shared_ptr<Attempt>& attempt, Outcome if_written);
+  // Whether the data server may be about to close this idle connection.
+  bool NearsIdleTimeout(const ServerConnection& connection) const;
+  // Periodic: closes connections near their idle timeout and erases removed servers without any.
+  void CloseExpired();
+  // Logs a protocol violation or an unexpected error of a data server, at a limited rate.
+  void LogFault(const ServerPool& server, std::string_view cause);
 
   net::Loop& loop_;
   PoolSettings settings_;
   net::DescriptorBudget& budget_;
   std::function<bool()> make_room_;
   proxy::BackendEvents* events_ = nullptr;
-  std::map<ServerId, std::unique_ptr<Server>> servers_;
-  std::map<JobKey, std::shared_ptr<Job>> attempts_;
-  std::map<ServerId, std::shared_ptr<Job>> probes_;
-  net::LogLimit complaints_;
-  net::Timer retire_;
+  std::map<ServerId, std::unique_ptr<ServerPool>> servers_;
+  std::map<AttemptKey, std::shared_ptr<Attempt>> attempts_;
+  std::map<ServerId, std::shared_ptr<Attempt>> health_checks_;
+  net::LogLimit fault_log_limit_;
+  net::Timer expiry_timer_;
 };
 
 }  // namespace lynxgrade::upstream
--- a/src/upstream/server_connection.h
+++ b/src/upstream/server_connection.h
@@ -1,4 +1,4 @@
-// One connection to a data server, with the answer that is being read from it.
+// One connection to a data server, and the reader of its responses.
 #pragma once
 
 #include <memory>
@@ -13,31 +13,36 @@
 
 namespace lynxgrade::upstream {
 
-// What has come of an answer so far, and what it says in the module's terms. Reads messages, not sockets.
-class Reply {
+// Assembles one response from protocol messages and translates it to the terms of the routing module. Does no
+// I/O.
+class ResponseReader {
  public:
   enum class Step { kMore, kReady, kMalformed };
 
-  // Takes one message; kReady where the data server awaits the next query.
-  Step Take(char type, std::string_view body);
-  bool begun() const { return begun_; }
+  // Consumes one message. kReady: the data server awaits the next query; kMalformed: the message cannot be
+  // parsed or is out of order, and the connection is of no further use.
+  Step ReadMessage(char type, std::string_view body);
+  bool started() const { return started_; }
 
-  bool failed() const { return error_.has_value(); }
+  bool has_error() const { return error_.has_value(); }
   const std::optional<pg::ErrorFields>& error() const { return error_; }
-  // Whether the data server says that the statement itself is at fault: it has not run, and would nowhere.
+  // Whether the data server rejected the statement itself: it has not run, and no other server would run it.
   bool unusable() const;
-  bool whole() const { return row_.has_value() && tag_.has_value() && !failed(); }
-  // How the attempt ended, if nothing more comes; `written` where its last byte has gone out.
-  Outcome Ended(bool written) const;
+  bool complete() const { return row_.has_value() && tag_.has_value() && !has_error(); }
+  // The outcome of the attempt if no further message arrives; `all_written` tells whether its last byte was
+  // sent.
+  Outcome OutcomeAtEnd(bool all_written) const;
   ResponseMetadata metadata() const { return metadata_; }
   std::optional<LoadReport> report() const { return report_; }
+  // The single value of the row; empty without one.
   std::string_view value() const;
-  proxy::Answer TakeAnswer();
+  // Moves the response out; valid only where the outcome is kOk.
+  proxy::Answer ReleaseResponse();
 
  private:
-  bool TakeStatus(std::string_view body);
+  bool ReadParameterStatus(std::string_view body);
 
-  bool begun_ = false;
+  bool started_ = false;
   std::optional<std::string> description_;
   std::optional<std::string> row_;
   std::optional<std::string> tag_;
@@ -46,62 +51,78 @@
   std::optional<LoadReport> report_;
 };
 
-// A report's fields in the module's terms; positions are Unix seconds here.
-std::optional<LoadReport> ReportOf(std::string_view text);
+// Parses a load report such as "x0=1767225600.123,x1=1,util=0.61", in which a position is a Unix time in
+// seconds. Empty if the text is malformed.
+std::optional<LoadReport> ParseLoadReport(std::string_view text);
 
-class Backend final : public net::Connection::Owner, public std::enable_shared_from_this<Backend> {
+// One connection to a data server, which runs one attempt at a time. Owned by the pool through a shared_ptr;
+// callbacks hold a reference, as they may lead to the pool dropping its own.
+class ServerConnection final : public net::Connection::Owner,
+                               public std::enable_shared_from_this<ServerConnection> {
  public:
-  Backend(net::Loop& loop, Pool& pool, Server& server, net::DescriptorBudget& budget);
-  ~Backend();
+  ServerConnection(net::Loop& loop, ConnectionPool& pool, ServerPool& server, net::DescriptorBudget& budget);
+  ~ServerConnection();
+  ServerConnection(const ServerConnection&) = delete;
+  ServerConnection& operator=(const ServerConnection&) = delete;
 
-  // False if no connection can be opened; `full` where descriptors have run out.
+  // Starts to connect, within the given time. False if that fails at once; `full` is set if descriptors have
+  // run out.
   bool Open(const net::Address& address, Duration within, bool* full);
-  // Writes the job's query; the connection must be idle and sound.
-  void Run(std::shared_ptr<Job> job);
-  Server& server() { return server_; }
+  // Sends the query of an attempt. The connection has to be idle and current.
+  void SendQuery(std::shared_ptr<Attempt> attempt);
+  ServerPool& server() { return server_; }
   bool ready() const { return ready_; }
-  bool idle() const { return ready_ && job_ == nullptr; }
+  bool idle() const { return ready_ && attempt_ == nullptr; }
   TimePoint idle_since() const { return idle_since_; }
-  bool Sound() const { return !connection_->SomethingCame(); }
-  // Whether the last byte of what it runs has been handed to the kernel.
-  bool Written() const { return asked_ && connection_->all_written(); }
+  // Whether all input has been read: unread input on an idle connection is most likely its close.
+  bool IsCurrent() const { return !connection_->SomethingCame(); }
+  // Whether the last byte of the present query has been handed to the kernel.
+  bool AllWritten() const { return query_accepted_ && connection_->all_written(); }
   void Close();
 
  private:
   void OnUp() override;
   void OnReadable() override;
-  void OnPeerDone() override { Lost(); }
-  void OnBroken() override { Lost(); }
-  bool TakeMessage(char type, std::string_view body);
-  void TakeReady();
-  void Lost();
-  void Stalled(bool again);
-  void Malformed(const char* what);
+  void OnPeerDone() override { HandleConnectionLost(); }
+  void OnBroken() override { HandleConnectionLost(); }
+  bool HandleMessage(char type, std::string_view body);
+  // The data server awaits the next query: the connection is established, or the response has ended.
+  void HandleReadyForQuery();
+  // Reports the outcome of an attempt whose response has ended. Static: the connection may be closed by now.
+  static void FinishWithResponse(ConnectionPool& pool, const ServerPool& server,
+                                 const std::shared_ptr<Attempt>& attempt, ResponseReader response,
+                                 bool complete);
+  // The connection has closed, or was never established.
+  void HandleConnectionLost();
+  // `extended`: whether the response has already been given more time.
+  void HandleStalledResponse(bool extended);
+  // Fails the attempt as an error of the data server, and closes the connection.
+  void FailMalformed(const char* reason);
 
   net::Loop& loop_;
-  Pool& pool_;
-  Server& server_;
+  ConnectionPool& pool_;
+  ServerPool& server_;
   net::Slot slot_;
   std::shared_ptr<net::Connection> connection_;
-  net::Timer opening_;
-  net::Timer stalled_;
-  std::shared_ptr<Job> job_;
-  Reply reply_;
+  net::Timer open_timer_;
+  net::Timer stall_timer_;
+  std::shared_ptr<Attempt> attempt_;
+  ResponseReader response_;
   bool ready_ = false;
-  bool asked_ = false;  // the query of the present job was taken for writing
+  bool query_accepted_ = false;  // the connection accepted the query for writing
   TimePoint idle_since_{};
 };
 
-// A data server's connections and the jobs that wait for one.
-struct Server {
+// The connections to one data server, and the attempts that wait for one.
+struct ServerPool {
   ServerId id{};
   std::optional<net::Address> address;
-  std::list<std::shared_ptr<Backend>> backends;
-  std::vector<Backend*> idle;  // the one used last at the end, so that the rest can go
+  std::list<std::shared_ptr<ServerConnection>> connections;
+  std::vector<ServerConnection*> idle;  // the most recently used at the end
   std::size_t opening = 0;
-  std::deque<std::shared_ptr<Job>> waiting;
+  std::deque<std::shared_ptr<Attempt>> waiting;
   bool dispatching = false;
-  bool gone = false;  // from the list
+  bool removed = false;  // from the endpoint list
 };
 
 }  // namespace lynxgrade::upstream
--- a/tests/pg/parsers_test.cpp
+++ b/tests/pg/parsers_test.cpp
@@ -113,13 +113,13 @@
 }
 
 TEST_CASE("load reports") {
-  const auto report = upstream::ReportOf("x0=1767225600.123,x1=1,util=0.61");
+  const auto report = upstream::ParseLoadReport("x0=1767225600.123,x1=1,util=0.61");
   CHECK(report->position == TimePoint(std::chrono::milliseconds(1767225600123)));
   CHECK(report->primary == true);
   CHECK(report->utilization == 0.61);
   for (const char* bad : {"", "x0", "x0=", "x0=a", "x0=1e", "=1", "x0=inf"}) {
     CAPTURE(bad);
-    CHECK_FALSE(upstream::ReportOf(bad).has_value());
+    CHECK_FALSE(upstream::ParseLoadReport(bad).has_value());
   }
 }
 
@@ -141,10 +141,10 @@
       {{}, false, Outcome::kUnreachable},
   };
   for (const auto& c : cases) {
-    upstream::Reply reply;
+    upstream::ResponseReader response;
     for (const auto& [type, body] : c.messages)
-      REQUIRE(reply.Take(type, body) == upstream::Reply::Step::kMore);
-    CHECK(reply.Ended(c.written) == c.outcome);
+      REQUIRE(response.ReadMessage(type, body) == upstream::ResponseReader::Step::kMore);
+    CHECK(response.OutcomeAtEnd(c.written) == c.outcome);
   }
   // In an order that no data server has, or not as a value that a client could take.
   const std::string row = "\0\1\0\0\0\1a"s, null = "\0\1\xff\xff\xff\xff"s;
@@ -161,12 +161,14 @@
            {{'T', d}, {'D', row}, {'C', "SELECT 1\0"s}, {'E', "CXX000\0\0"s}},
            {{'E', "CXX000\0\0"s}, {'T', d}},
            {{'Z', "T"}}}) {
-    upstream::Reply reply;
+    upstream::ResponseReader response;
     for (std::size_t i = 0; i + 1 < messages.size(); ++i)
-      REQUIRE(reply.Take(messages[i].first, messages[i].second) == upstream::Reply::Step::kMore);
-    CHECK(reply.Take(messages.back().first, messages.back().second) == upstream::Reply::Step::kMalformed);
+      REQUIRE(response.ReadMessage(messages[i].first, messages[i].second) ==
+              upstream::ResponseReader::Step::kMore);
+    CHECK(response.ReadMessage(messages.back().first, messages.back().second) ==
+          upstream::ResponseReader::Step::kMalformed);
   }
-  upstream::Reply reply;
+  upstream::ResponseReader response;
   for (const auto& [type, body] : std::vector<std::pair<char, std::string>>{{'D', "no row"},
                                                                             {'E', "no code"},
                                                                             {'S', "log_position\0x\0"s},
@@ -174,7 +176,7 @@
                                                                             {'?', ""},
                                                                             {'R', "\0\0\0\5"s}}) {
     CAPTURE(type);
-    CHECK(reply.Take(type, body) == upstream::Reply::Step::kMalformed);
+    CHECK(response.ReadMessage(type, body) == upstream::ResponseReader::Step::kMalformed);
   }
 }
 
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -240,7 +240,7 @@
   Peer& client = w.Client(Asks(4));
   w.Until([&] { return client.Types().ends_with("TDCZTDCZTDCZTDCZ"); });
   w.List(ListKind::kPartial, Lifecycle::kDeleted);
-  w.pool.Forget(ServerId(1));
+  w.pool.RemoveServer(ServerId(1));
   w.Until([&] { return w.pool.servers() == 1; });
   w.List(ListKind::kPartial);
   CHECK(w.pool.servers() == 2);
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -445,7 +445,7 @@
 TEST_CASE("a repeat whose connection comes up after its window has closed is not written") {
   net::Loop loop;
   net::DescriptorBudget budget(100);
-  upstream::Pool pool(loop, {.connect_timeout = Duration(5000000)}, budget, [] { return false; });
+  upstream::ConnectionPool pool(loop, {.connect_timeout = Duration(5000000)}, budget, [] { return false; });
   Ends ends;
   pool.SetEvents(ends);
   std::vector<std::unique_ptr<Peer>> peers;
--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -39,7 +39,7 @@
   static constexpr ServerId kServer{1};
   net::Loop loop;
   net::DescriptorBudget budget{200};
-  upstream::Pool pool;
+  upstream::ConnectionPool pool;
   DataServer server;
   std::shared_ptr<const proxy::Work> work = std::make_shared<TellsTime>();
   std::vector<proxy::AttemptEnd> ends;
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -171,7 +171,7 @@
         pool(loop, {}, budget, [this] { return front.ShedIdle(); }),
         proxy(loop, settings, 7, pool),
         front(loop, proxy, budget, {"any", "own", "write"}, {"acme"}, settings,
-              [this] { return pool.ShedIdle(); }) {
+              [this] { return pool.CloseLongestIdle(); }) {
     pool.SetEvents(proxy);
     REQUIRE(front.Listen({"127.0.0.1", 0}));
   }
@@ -221,7 +221,7 @@
 
   net::Loop loop;
   net::DescriptorBudget budget;
-  upstream::Pool pool;
+  upstream::ConnectionPool pool;
   proxy::Proxy proxy;
   frontend::Front front;
   std::vector<std::unique_ptr<DataServer>> servers;
