--- a/src/frontend/client_session.h
+++ b/src/frontend/client_session.h
@@ -1,4 +1,4 @@
-// A client's session in PostgreSQL's protocol: one request after the other, each with one answer.
+// One client session in the PostgreSQL protocol: requests are processed in order, each with one response.
 #pragma once
 
 #include <cstddef>
@@ -16,11 +16,11 @@
 
 namespace lynxgrade::frontend {
 
-// A statement as its client sent it; all that an attempt changes is d.
-class StatementWork final : public proxy::Work {
+// A statement as its client sent it; an attempt changes nothing but the time budget `d` in its comment.
+class ClientStatement final : public proxy::Work {
  public:
-  // Nothing, and the reason in `wrong`, where the statement has no well-formed comment.
-  static std::shared_ptr<const StatementWork> Read(std::string_view statement, std::string& wrong);
+  // Null, with the reason in `error`, if the statement has no well-formed comment.
+  static std::shared_ptr<const ClientStatement> Read(std::string_view text, std::string& error);
   std::string TextFor(Duration left) const override;
   const pg::Comment& comment() const { return comment_; }
 
@@ -29,82 +29,88 @@
   pg::Comment comment_;
 };
 
-class Front;
+class Frontend;
 
-class Session final : public net::Connection::Owner,
-                      public proxy::Client,
-                      public std::enable_shared_from_this<Session> {
+// The state machine of one client connection. Owned by the frontend through a shared_ptr; a member function
+// that may close the session holds a reference to it.
+class ClientSession final : public net::Connection::Owner,
+                            public proxy::Client,
+                            public std::enable_shared_from_this<ClientSession> {
  public:
-  Session(Front& front, net::DescriptorBudget& budget);
-  // `queued_since`: what it brings may have come as early as that.
+  ClientSession(Frontend& frontend, net::DescriptorBudget& budget);
+  virtual ~ClientSession() = default;
+  ClientSession(const ClientSession&) = delete;
+  ClientSession& operator=(const ClientSession&) = delete;
+  // Adopts an accepted socket. `queued_since`: the earliest time at which its first input may have arrived.
   void Begin(net::ObjectPtr<GSocket> socket, TimePoint queued_since);
+  // Closes the connection at once and cancels the request in flight, if any.
   void Close();
-  // Its time on a shelf is over. Ends it as Leave does, or goes on where something has come meanwhile; the
-  // client hears why, if it is in the middle of saying something.
+  // Called when the timeout of the present phase has passed. Closes the session gracefully, or continues it
+  // if input has arrived meanwhile; a client within a message receives an error.
   void Expire();
-  // Ends the sending and throws away what still comes, until the client closes too: a close on bytes that
-  // were not read would reset the connection, and the reset overtakes the last answer.
-  void Leave();
-  // Whether nothing has come that was not read.
-  bool Quiet() const { return connection_->in().empty() && !connection_->SomethingCame(); }
-  // The client wants no answer any more, as it says by another connection, on which that came at `came`.
-  void Cancel(std::uint32_t secret, TimePoint came);
-  // Ends the request being answered, as nothing can be waited for any more.
+  // Ends sending, and discards input until the client closes as well: a close with unread input would reset
+  // the connection, and the reset overtakes the last response.
+  void CloseGracefully();
+  // Whether all input has been read and processed.
+  bool HasNoUnreadInput() const { return connection_->in().empty() && !connection_->SomethingCame(); }
+  // Handles a CancelRequest, which arrived on another connection at `arrived_at`.
+  void Cancel(std::uint32_t secret, TimePoint arrived_at);
+  // Aborts the request in flight shortly before the process exits.
   void GiveUp();
 
-  // What the front may do with it. kSilent: has not said who it is, or not ended a message that it began.
-  // kUnread: does not take its answer. kServed: has a request open, and stays.
-  enum class Shelf : std::size_t { kSilent, kIdle, kUnread, kServed, kLeaving };
-  static constexpr std::size_t kShelves = 5;
+  // Selects the timeout of a session. kAwaitingInput: startup or a message is incomplete. kAwaitingWrite: the
+  // client has not read its response yet. kInFlight: a request is in flight; no timeout applies.
+  enum class Phase : std::size_t { kAwaitingInput, kIdle, kAwaitingWrite, kInFlight, kClosing };
+  static constexpr std::size_t kPhaseCount = 5;
 
  private:
-  enum class State { kStartup, kReady, kAsking, kLeaving };
+  enum class State { kStartup, kReady, kInFlight, kClosing };
 
-  void OnReadable() override { Work(); }
+  void OnReadable() override { ProcessInput(); }
   void OnWritten() override;
   void OnPeerDone() override;
   void OnBroken() override { Close(); }
   void Served(const proxy::Answer& answer) override;
-  void Refused(Duration come_back) override;
+  void Refused(Duration retry_after) override;
   void Failed() override;
   void Unusable() override;
 
-  friend class Front;
+  friend class Frontend;
 
-  void Work();
-  // Looks whether a client whose sending is not read, or has ended, is still there.
-  void Look();
-  void TakeSome();
-  void Shelve();
-  bool TakeStartup();
-  bool TakeMessage();
-  void TakeQuery(std::string_view text);
-  void TakeRequest(std::string_view text);
+  void ProcessInput();
+  // Checks that a client whose input is not being read, or has ended, is still connected.
+  void CheckClientPresence();
+  void ProcessMessages();
+  void UpdatePhase();
+  bool HandleStartup();
+  bool HandleMessage();
+  void HandleQuery(std::string_view text);
+  void HandleRequest(std::string_view text);
   void Write(std::string_view bytes);
-  void Answer(std::string& bytes);
-  void AnswerError(std::string_view code, std::string_view message, std::string_view detail = {});
-  void Fatal(std::string_view code, std::string_view message);
+  void SendResponse(std::string& bytes);
+  void SendError(std::string_view code, std::string_view message, std::string_view detail = {});
+  void FailConnection(std::string_view code, std::string_view message);
 
-  Front& front_;
+  Frontend& frontend_;
   net::Slot slot_;
   std::shared_ptr<net::Connection> connection_;
   State state_ = State::kStartup;
-  bool working_ = false;
-  std::uint32_t process_ = 0;  // the key for CancelRequest, from the start on
+  bool processing_ = false;
+  std::uint32_t process_ = 0;  // with the secret: the key for CancelRequest; 0 before startup
   std::uint32_t secret_ = 0;
   RequestId request_{};
-  TimePoint came_{};          // the last byte of the message that is being taken
-  TimePoint read_from_{};     // when reading went on after the ring had been full
-  TimePoint answered_{};      // when the newest answer to a request was given
-  TimePoint cancels_from_{};  // CancelRequests that came before mean an earlier request
-  std::string id_;            // as the client named its open request
-  std::size_t thrown_away_ = 0;
-  net::Timer again_;
-  net::Timer look_;
-  // Kept by the front.
-  std::optional<Shelf> shelf_;
-  std::list<Session*>::iterator place_{};
-  TimePoint since_{};
+  TimePoint message_arrived_at_{};   // when the last byte of the present message arrived
+  TimePoint reading_resumed_at_{};   // when reading resumed after the ring buffer was full
+  TimePoint last_response_at_{};     // when the last request was responded to
+  TimePoint accept_cancels_from_{};  // an earlier CancelRequest refers to an earlier request
+  std::string request_key_;          // the client's id of the request in flight
+  std::size_t discarded_ = 0;
+  net::Timer resume_timer_;
+  net::Timer presence_timer_;
+  // Maintained by the frontend.
+  std::optional<Phase> phase_;
+  std::list<ClientSession*>::iterator position_{};
+  TimePoint phase_since_{};
 };
 
 }  // namespace lynxgrade::frontend
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -8,111 +8,113 @@
 namespace lynxgrade::frontend {
 namespace {
 
-constexpr Duration kSweepEvery{250000};
-constexpr Duration kSweepLeaving{20000};  // while the program stops
+constexpr Duration kSweepInterval{250000};
+constexpr Duration kStoppingSweepInterval{20000};  // while the program stops
 // A client that does not say who it is, or does not end what it has begun to say, is closed after this; with
 // the sweep that is well within the 3 s in which a bad client is owed its close.
-constexpr Duration kSayWithin{2000000};
-constexpr Duration kReadWithin{10000000};  // that does not take its answer
-constexpr Duration kLeaveWithin{500000};   // for a client to read why it was turned out
+constexpr Duration kInputTimeout{2000000};
+constexpr Duration kWriteTimeout{10000000};  // that does not take its answer
+constexpr Duration kCloseTimeout{500000};    // for a client to read why it was turned out
 // What a client has sent by the time it connected has been read after this; until then it is not called
 // silent.
-constexpr Duration kHeardWithin{100000};
+constexpr Duration kAcceptGrace{100000};
 // Clients that asked once and stay take the places of those that would ask. Where there are many, they go
 // after the first of these; the other is for a client that is only slow to ask again.
-constexpr Duration kIdleFull{500000};  // where they hold most of what is there for requests
-constexpr Duration kIdleCrowded{2200000};
-constexpr Duration kIdleMost{15000000};
+constexpr Duration kIdleTimeoutFull{500000};  // where they hold most of what is there for requests
+constexpr Duration kIdleTimeoutCrowded{2200000};
+constexpr Duration kIdleTimeout{15000000};
 // After SIGTERM clients are served on the connections they have, and new ones are taken, until little time is
 // left: by then the front layer has let go of this pooler, and another that is being restarted has been taken
 // in again. The program is killed no earlier than the longest deadline, or 3 s if that is shorter, and 0.7 s
 // after the signal.
-constexpr Duration kDeadlineCounts{3000000};
-constexpr Duration kKilledAfter{700000};
-constexpr Duration kLastRequest{900000};  // before that
-constexpr Duration kLastAnswer{200000};
+constexpr Duration kMaxCountedDeadline{3000000};
+constexpr Duration kKillMargin{700000};
+constexpr Duration kCloseListenerMargin{900000};  // before that
+constexpr Duration kAbortMargin{200000};
 // But new connections come for up to 0.4 s, and what is asked within 0.7 s is owed its whole time, which with
 // short deadlines ends no later than the earliest kill.
-constexpr Duration kServedAtLeast{700000};
+constexpr Duration kMinDrainTime{700000};
 // A connection that was taken in just before the listener closed brings what it has to say after this.
-constexpr Duration kSaidWithin{100000};
-constexpr Duration kRestWithin{300000};  // and the rest of a message that was begun
-constexpr std::size_t kLooks = 16;       // at connections that might be closed for their descriptor
+constexpr Duration kStoppingQuietTimeout{100000};
+constexpr Duration kStoppingPartialTimeout{300000};  // and the rest of a message that was begun
+constexpr std::size_t kMaxExamined = 16;  // at connections that might be closed for their descriptor
 
-Duration KilledAfter(const std::vector<RequestClass>& kinds) {
+Duration KillGrace(const std::vector<RequestClass>& kinds) {
   Duration longest{0};
   for (const RequestClass& kind : kinds) longest = std::max(longest, kind.deadline);
-  return std::min(longest, kDeadlineCounts) + kKilledAfter;
+  return std::min(longest, kMaxCountedDeadline) + kKillMargin;
 }
 
 }  // namespace
 
-Front::Front(net::Loop& loop, proxy::Proxy& proxy, net::DescriptorBudget& budget,
-             std::vector<std::string> classes, std::vector<std::string> tenants, const Settings& settings,
-             std::function<bool()> shed)
+Frontend::Frontend(net::Loop& loop, proxy::Proxy& proxy, net::DescriptorBudget& budget,
+                   std::vector<std::string> classes, std::vector<std::string> tenants,
+                   const Settings& settings, std::function<bool()> make_room)
     : loop_(loop),
       proxy_(proxy),
       budget_(budget),
       classes_(std::move(classes)),
       tenants_(std::move(tenants)),
       kinds_(settings.classes),
-      shed_(std::move(shed)),
+      make_room_(std::move(make_room)),
       listener_(
           loop, [this] { return MayAccept(); },
-          [this](net::ObjectPtr<GSocket> socket) { Accepted(std::move(socket)); }),
-      complaints_(loop),
-      killed_after_(KilledAfter(settings.classes)),
-      sweep_(loop),
-      drain_(loop),
-      last_(loop) {
-  sweep_.After(kSweepEvery, [this] { Sweep(); });
+          [this](net::ObjectPtr<GSocket> socket) { StartSession(std::move(socket)); }),
+      error_log_limit_(loop),
+      kill_grace_(KillGrace(settings.classes)),
+      sweep_timer_(loop),
+      drain_timer_(loop),
+      abort_timer_(loop) {
+  sweep_timer_.After(kSweepInterval, [this] { CloseExpired(); });
 }
 
-Front::~Front() = default;
+Frontend::~Frontend() = default;
 
-bool Front::MayAccept() { return budget_.ClientFits() || ShedIdle() || (shed_() && budget_.ClientFits()); }
+bool Frontend::MayAccept() {
+  return budget_.ClientFits() || CloseLeastActive() || (make_room_() && budget_.ClientFits());
+}
 
-void Front::Accepted(net::ObjectPtr<GSocket> socket) {
-  auto session = std::make_shared<Session>(*this, budget_);
+void Frontend::StartSession(net::ObjectPtr<GSocket> socket) {
+  auto session = std::make_shared<ClientSession>(*this, budget_);
   sessions_.emplace(session.get(), session);
-  Place(*session, Session::Shelf::kSilent, loop_.Now());
+  MoveToPhase(*session, ClientSession::Phase::kAwaitingInput, loop_.Now());
   session->Begin(std::move(socket), listener_.queued_since());
 }
 
-void Front::Place(Session& session, Session::Shelf shelf, TimePoint since) {
-  Shelf& to = shelves_[static_cast<std::size_t>(shelf)];
-  if (session.shelf_) shelves_[static_cast<std::size_t>(*session.shelf_)].erase(session.place_);
+void Frontend::MoveToPhase(ClientSession& session, ClientSession::Phase phase, TimePoint since) {
+  SessionList& to = sessions_by_phase_[static_cast<std::size_t>(phase)];
+  if (session.phase_) sessions_by_phase_[static_cast<std::size_t>(*session.phase_)].erase(session.position_);
   // Nearly all come last.
-  auto place = to.end();
-  while (place != to.begin() && (*std::prev(place))->since_ > since) --place;
-  session.place_ = to.insert(place, &session);
-  session.shelf_ = shelf;
-  session.since_ = since;
+  auto position = to.end();
+  while (position != to.begin() && (*std::prev(position))->phase_since_ > since) --position;
+  session.position_ = to.insert(position, &session);
+  session.phase_ = phase;
+  session.phase_since_ = since;
 }
 
-void Front::Closed(Session& session) {
-  if (session.shelf_) shelves_[static_cast<std::size_t>(*session.shelf_)].erase(session.place_);
-  session.shelf_.reset();
-  if (session.process_ != 0) keys_.erase(session.process_);
+void Frontend::RemoveSession(ClientSession& session) {
+  if (session.phase_) sessions_by_phase_[static_cast<std::size_t>(*session.phase_)].erase(session.position_);
+  session.phase_.reset();
+  if (session.process_ != 0) sessions_by_process_.erase(session.process_);
   sessions_.erase(&session);
-  if (leaving_ && sessions_.empty() && done_) std::exchange(done_, nullptr)();
+  if (stopping_ && sessions_.empty() && done_) std::exchange(done_, nullptr)();
 }
 
-bool Front::ShedIdle() {
-  const auto& silent = shelves_[static_cast<std::size_t>(Session::Shelf::kSilent)];
-  const auto& idle = shelves_[static_cast<std::size_t>(Session::Shelf::kIdle)];
-  const auto& going = shelves_[static_cast<std::size_t>(Session::Shelf::kLeaving)];
-  const Shelf* from = &going;
-  if (from->empty() && !silent.empty() && loop_.Now() - silent.front()->since_ >= kHeardWithin)
+bool Frontend::CloseLeastActive() {
+  const auto& silent = sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kAwaitingInput)];
+  const auto& idle = sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kIdle)];
+  const auto& closing = sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kClosing)];
+  const SessionList* from = &closing;
+  if (from->empty() && !silent.empty() && loop_.Now() - silent.front()->phase_since_ >= kAcceptGrace)
     from = &silent;
   // Many that have only just come are soon either served or silent: no reason to give up those that are
   // known.
   if (from->empty() && silent.size() <= idle.size()) from = &idle;
   // One that something has just come on is neither silent nor idle: closed over it, it would be reset.
-  std::size_t looks = 0;
-  for (Session* session : *from) {
-    if (++looks > kLooks) break;
-    if (from != &going && !session->Quiet()) continue;
+  std::size_t examined = 0;
+  for (ClientSession* session : *from) {
+    if (++examined > kMaxExamined) break;
+    if (from != &closing && !session->HasNoUnreadInput()) continue;
     const auto held = sessions_.at(session);
     held->Close();
     return true;
@@ -120,78 +122,81 @@
   return false;
 }
 
-std::uint32_t Front::NewKey(Session& session) {
+std::uint32_t Frontend::AssignProcessNumber(ClientSession& session) {
   do {
-    ++last_number_;
-  } while (last_number_ == 0 || keys_.contains(last_number_));
-  keys_[last_number_] = &session;
-  return last_number_;
+    ++last_process_;
+  } while (last_process_ == 0 || sessions_by_process_.contains(last_process_));
+  sessions_by_process_[last_process_] = &session;
+  return last_process_;
 }
 
-void Front::Cancel(std::uint32_t process, std::uint32_t secret, TimePoint came) {
-  const auto it = keys_.find(process);
-  if (it == keys_.end()) return;
+void Frontend::Cancel(std::uint32_t process, std::uint32_t secret, TimePoint arrived_at) {
+  const auto it = sessions_by_process_.find(process);
+  if (it == sessions_by_process_.end()) return;
   const auto held = sessions_.at(it->second);
-  held->Cancel(secret, came);
+  held->Cancel(secret, arrived_at);
 }
 
-void Front::CloseAfter(Session::Shelf shelf, Duration time) {
-  const Shelf& from = shelves_[static_cast<std::size_t>(shelf)];
+void Frontend::ExpireOlderThan(ClientSession::Phase phase, Duration time) {
+  const SessionList& from = sessions_by_phase_[static_cast<std::size_t>(phase)];
   // Each is looked at once: one that goes on stands last from now on.
   for (std::size_t left = from.size(); left > 0 && !from.empty(); --left) {
-    if (loop_.Now() - from.front()->since_ < time) return;
+    if (loop_.Now() - from.front()->phase_since_ < time) return;
     const auto held = sessions_.at(from.front());
     held->Expire();
   }
 }
 
-void Front::Sweep() {
-  CloseAfter(Session::Shelf::kLeaving, kLeaveWithin);
-  if (leaving_) return SweepLeaving();
-  CloseAfter(Session::Shelf::kSilent, kSayWithin);
-  CloseAfter(Session::Shelf::kUnread, kReadWithin);
-  CloseAfter(Session::Shelf::kIdle, budget_.ClientsOver(4)   ? kIdleFull
-                                    : budget_.ClientsOver(8) ? kIdleCrowded
-                                                             : kIdleMost);
-  sweep_.After(kSweepEvery, [this] { Sweep(); });
+void Frontend::CloseExpired() {
+  ExpireOlderThan(ClientSession::Phase::kClosing, kCloseTimeout);
+  if (stopping_) return CloseExpiredWhileStopping();
+  ExpireOlderThan(ClientSession::Phase::kAwaitingInput, kInputTimeout);
+  ExpireOlderThan(ClientSession::Phase::kAwaitingWrite, kWriteTimeout);
+  ExpireOlderThan(ClientSession::Phase::kIdle, budget_.ClientsOver(4)   ? kIdleTimeoutFull
+                                               : budget_.ClientsOver(8) ? kIdleTimeoutCrowded
+                                                                        : kIdleTimeout);
+  sweep_timer_.After(kSweepInterval, [this] { CloseExpired(); });
 }
 
-Duration Front::Within(Duration budget) const {
-  if (!drain_from_) return budget;
-  return std::min(budget, *drain_from_ + killed_after_ - kLastAnswer - loop_.Now());
+Duration Frontend::LimitToShutdown(Duration budget) const {
+  if (!drain_started_) return budget;
+  return std::min(budget, *drain_started_ + kill_grace_ - kAbortMargin - loop_.Now());
 }
 
-void Front::Drain(std::function<void()> done) {
-  if (drain_from_) return;
+void Frontend::StartDrain(std::function<void()> done) {
+  if (drain_started_) return;
   done_ = std::move(done);
-  drain_from_ = loop_.Now();
-  drain_.After(std::max(kServedAtLeast, killed_after_ - kLastRequest), [this] { StopServing(); });
-  last_.After(killed_after_ - kLastAnswer, [this] { EndOwed(); });
+  drain_started_ = loop_.Now();
+  drain_timer_.After(std::max(kMinDrainTime, kill_grace_ - kCloseListenerMargin),
+                     [this] { CloseListener(); });
+  abort_timer_.After(kill_grace_ - kAbortMargin, [this] { AbortInFlight(); });
 }
 
 // Nobody new from here on. Whoever has asked is answered, also what a connection brings that was taken in
 // last; each is then told the end of the sending, and what crosses that is not sent on.
-void Front::StopServing() {
-  leaving_ = true;
+void Frontend::CloseListener() {
+  stopping_ = true;
   listener_.Close();
-  SweepLeaving();
+  CloseExpiredWhileStopping();
   if (sessions_.empty() && done_) std::exchange(done_, nullptr)();
 }
 
-void Front::SweepLeaving() {
-  CloseAfter(Session::Shelf::kIdle, Duration{0});
-  std::vector<std::shared_ptr<Session>> over;
-  for (Session* session : shelves_[static_cast<std::size_t>(Session::Shelf::kSilent)]) {
-    const Duration time = session->Quiet() ? kSaidWithin : kRestWithin;
-    if (loop_.Now() - session->since_ >= time) over.push_back(sessions_.at(session));
+void Frontend::CloseExpiredWhileStopping() {
+  ExpireOlderThan(ClientSession::Phase::kIdle, Duration{0});
+  std::vector<std::shared_ptr<ClientSession>> expired;
+  for (ClientSession* session :
+       sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kAwaitingInput)]) {
+    const Duration time = session->HasNoUnreadInput() ? kStoppingQuietTimeout : kStoppingPartialTimeout;
+    if (loop_.Now() - session->phase_since_ >= time) expired.push_back(sessions_.at(session));
   }
-  for (const auto& session : over) session->Expire();
-  sweep_.After(kSweepLeaving, [this] { Sweep(); });
+  for (const auto& session : expired) session->Expire();
+  sweep_timer_.After(kStoppingSweepInterval, [this] { CloseExpired(); });
 }
 
-void Front::EndOwed() {
-  std::vector<std::shared_ptr<Session>> served;
-  for (Session* session : shelves_[static_cast<std::size_t>(Session::Shelf::kServed)]) {
+void Frontend::AbortInFlight() {
+  std::vector<std::shared_ptr<ClientSession>> served;
+  for (ClientSession* session :
+       sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kInFlight)]) {
     served.push_back(sessions_.at(session));
   }
   for (const auto& session : served) session->GiveUp();
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -1,4 +1,4 @@
-// All client sessions of the PostgreSQL front.
+// The PostgreSQL frontend: accepts clients, owns their sessions and enforces their timeouts.
 #pragma once
 
 #include <array>
@@ -19,46 +19,51 @@
 
 namespace lynxgrade::frontend {
 
-class Front {
+// Owns all client sessions. Runs on the thread of the loop.
+class Frontend {
  public:
-  // `shed` gives back a descriptor held by an idle backend, if there is one.
-  Front(net::Loop& loop, proxy::Proxy& proxy, net::DescriptorBudget& budget, std::vector<std::string> classes,
-        std::vector<std::string> tenants, const Settings& settings, std::function<bool()> shed);
-  ~Front();
+  // `make_room` closes an idle server connection to free its descriptor; false if there is none.
+  Frontend(net::Loop& loop, proxy::Proxy& proxy, net::DescriptorBudget& budget,
+           std::vector<std::string> classes, std::vector<std::string> tenants, const Settings& settings,
+           std::function<bool()> make_room);
+  ~Frontend();
+  Frontend(const Frontend&) = delete;
+  Frontend& operator=(const Frontend&) = delete;
 
   tl::expected<void, net::ListenError> Listen(const net::Address& address) { return listener_.Open(address); }
   std::uint16_t port() const { return listener_.port(); }
   void SetReady() { ready_ = true; }
   bool ready() const { return ready_; }
-  // Goes on serving for a while, then closes clients between requests; `done` is called once none is left.
-  void Drain(std::function<void()> done);
-  // Closes the client that is worth least: one on its way out, else the one that has been silent longest,
-  // else the one that has been idle longest. False if all are being served.
-  bool ShedIdle();
+  // Starts the graceful shutdown: serves for a while, then closes clients between requests. Calls `done` once
+  // no session remains.
+  void StartDrain(std::function<void()> done);
+  // Closes one session to free its descriptor: one that is closing, else the one that has awaited input
+  // longest, else the one that has been idle longest. False if there is none.
+  bool CloseLeastActive();
   std::size_t sessions() const { return sessions_.size(); }
 
  private:
-  friend class Session;
-  using Shelf = std::list<Session*>;
+  friend class ClientSession;
+  using SessionList = std::list<ClientSession*>;
 
   bool MayAccept();
-  void Accepted(net::ObjectPtr<GSocket> socket);
-  // Puts a session on the shelf for its state, where it has stood since then.
-  void Place(Session& session, Session::Shelf shelf, TimePoint since);
-  void Sweep();
-  // Closes those on a shelf that have stood there for so long.
-  void CloseAfter(Session::Shelf shelf, Duration time);
-  void StopServing();
-  void SweepLeaving();
-  // Ends what is still being answered: the program may be killed soon.
-  void EndOwed();
-  void Closed(Session& session);
-  // A key for CancelRequest that no other open connection has.
-  std::uint32_t NewKey(Session& session);
-  void Cancel(std::uint32_t process, std::uint32_t secret, TimePoint came);
-  bool leaving() const { return leaving_; }
-  // The time that a request may take: less than its client gives it, where this program ends before.
-  Duration Within(Duration budget) const;
+  void StartSession(net::ObjectPtr<GSocket> socket);
+  // Moves a session to the list of its phase, ordered by `since`.
+  void MoveToPhase(ClientSession& session, ClientSession::Phase phase, TimePoint since);
+  void CloseExpired();
+  // Expires the sessions that have been in the phase for at least `time`.
+  void ExpireOlderThan(ClientSession::Phase phase, Duration time);
+  void CloseListener();
+  void CloseExpiredWhileStopping();
+  // Aborts the requests in flight shortly before the process may be killed.
+  void AbortInFlight();
+  void RemoveSession(ClientSession& session);
+  // Assigns a process number for CancelRequest, unique among the open sessions.
+  std::uint32_t AssignProcessNumber(ClientSession& session);
+  void Cancel(std::uint32_t process, std::uint32_t secret, TimePoint arrived_at);
+  bool stopping() const { return stopping_; }
+  // The time a request may take: its budget, cut where the process would exit earlier.
+  Duration LimitToShutdown(Duration budget) const;
 
   net::Loop& loop_;
   proxy::Proxy& proxy_;
@@ -66,23 +71,23 @@
   std::vector<std::string> classes_;
   std::vector<std::string> tenants_;
   std::vector<RequestClass> kinds_;
-  std::function<bool()> shed_;
+  std::function<bool()> make_room_;
   net::Listener listener_;
-  std::unordered_map<Session*, std::shared_ptr<Session>> sessions_;
-  // In each, who has been there longest stands first.
-  std::array<Shelf, Session::kShelves> shelves_;
-  std::unordered_set<std::string> open_ids_;  // of the requests being answered
-  std::unordered_map<std::uint32_t, Session*> keys_;
-  net::LogLimit complaints_;
-  Duration killed_after_;  // SIGTERM, at the earliest
-  net::Timer sweep_;
-  net::Timer drain_;
-  net::Timer last_;
+  std::unordered_map<ClientSession*, std::shared_ptr<ClientSession>> sessions_;
+  // In each list, the session that has been in the phase longest is first.
+  std::array<SessionList, ClientSession::kPhaseCount> sessions_by_phase_;
+  std::unordered_set<std::string> open_ids_;  // of the requests in flight
+  std::unordered_map<std::uint32_t, ClientSession*> sessions_by_process_;
+  net::LogLimit error_log_limit_;
+  Duration kill_grace_;  // from SIGTERM to the earliest possible kill
+  net::Timer sweep_timer_;
+  net::Timer drain_timer_;
+  net::Timer abort_timer_;
   std::function<void()> done_;
-  std::optional<TimePoint> drain_from_;
-  std::uint32_t last_number_ = 0;
+  std::optional<TimePoint> drain_started_;
+  std::uint32_t last_process_ = 0;
   bool ready_ = false;
-  bool leaving_ = false;
+  bool stopping_ = false;
 };
 
 }  // namespace lynxgrade::frontend
--- a/src/pooler.cpp
+++ b/src/pooler.cpp
@@ -26,7 +26,7 @@
       settings_(settings),
       budget_(DescriptorLimit(config)),
       pool_(loop_, {config.settings.connect_timeout, config.idle}, budget_,
-            [this] { return front_.ShedIdle(); }),
+            [this] { return front_.CloseLeastActive(); }),
       instance_(loop_, config, settings, pool_,
                 {[this](ServerId server, const net::Address& address) { pool_.SetAddress(server, address); },
                  [this](ServerId server) { pool_.RemoveServer(server); },
@@ -110,7 +110,7 @@
 
 void Pooler::BeginGracefulShutdown() {
   spdlog::info("graceful shutdown started; requests_in_flight={}", instance_.proxy().open());
-  front_.Drain([this] {
+  front_.StartDrain([this] {
     instance_.Leave();
     loop_.Stop();
   });
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -58,17 +58,17 @@
   // `make_room` closes an idle client to free its descriptor; false if there is none.
   ConnectionPool(net::Loop& loop, PoolSettings settings, net::DescriptorBudget& budget,
                  std::function<bool()> make_room);
-  ~ConnectionPool();
+  virtual ~ConnectionPool();
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
 
   // Sets who receives the outcomes; required before the first Send or Probe, and outlives the pool's use.
   void SetEvents(proxy::BackendEvents& events) { events_ = &events; }
   // Adds a data server, or changes its address; idle connections to a former address are closed.
-  void SetAddress(ServerId server, const net::Address& address);
+  void SetAddress(ServerId id, const net::Address& address);
   // For a server that left the endpoint list: closes its idle connections, and erases it after the last one
   // in use has ended.
-  void RemoveServer(ServerId server);
+  void RemoveServer(ServerId id);
   std::size_t servers() const { return servers_.size(); }
   // Closes the connection that has been idle longest, to free its descriptor; false if none is idle.
   bool CloseLongestIdle();
--- a/src/upstream/server_connection.h
+++ b/src/upstream/server_connection.h
@@ -61,7 +61,7 @@
                                public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(net::Loop& loop, ConnectionPool& pool, ServerPool& server, net::DescriptorBudget& budget);
-  ~ServerConnection();
+  virtual ~ServerConnection();
   ServerConnection(const ServerConnection&) = delete;
   ServerConnection& operator=(const ServerConnection&) = delete;
 
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -270,7 +270,7 @@
   Peer& busy = w.Client({Ask("any")});
   w.Until([&] { return server.queries.size() == 1 && idle.Saw("I"); });
   bool done = false;
-  w.front.Drain([&] { done = true; });
+  w.front.StartDrain([&] { done = true; });
   const TimePoint from = w.loop.Now();
   Peer& late = w.Client({""});  // connections still come for a while
   w.Until([&] { return late.Types().ends_with("IZ"); });
@@ -293,7 +293,7 @@
   w.List();
   Peer& client = w.Client({""});
   w.Until([&] { return client.Saw("I"); });
-  w.front.Drain([] {});
+  w.front.StartDrain([] {});
   const TimePoint from = w.loop.Now();
   std::string query;
   pg::AppendQuery(query, Ask("any", "k", 60000));
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -246,7 +246,7 @@
   DataServer& server = w.Serve(kSilent);
   w.List();
   bool done = false;
-  w.front.Drain([&] { done = true; });
+  w.front.StartDrain([&] { done = true; });
   const TimePoint from = w.loop.Now();
   w.Until([&] { return w.loop.Now() - from >= Duration(600000); });
   Peer& client = w.Client({Ask("any", "1", kLong), Ask("any", "2", kLong)});
@@ -275,7 +275,7 @@
   w.List();
   Bare resting(w.front.port(), Query(""));
   w.Until([&] { return resting.Saw("I"); });
-  w.front.Drain([] {});
+  w.front.StartDrain([] {});
   w.Until([&] {
     resting.Read();
     return resting.ended;
@@ -298,7 +298,7 @@
   w.List();
   Peer& client = w.Client({Ask("any", "k", kLong)});
   bool done = false;
-  w.front.Drain([&] { done = true; });
+  w.front.StartDrain([&] { done = true; });
   const TimePoint from = w.loop.Now();
   std::size_t heard = 0, at_stop = 0;
   w.Until([&] {
@@ -319,7 +319,7 @@
   SimulatedFleet w(200, Short());
   w.Serve(kAnswer);
   w.List();
-  w.front.Drain([] {});
+  w.front.StartDrain([] {});
   const TimePoint from = w.loop.Now();
   w.Until([&] { return w.loop.Now() - from >= Duration(650000); });
   const std::string query = Query(Ask("any", "v", kLong));
@@ -340,7 +340,7 @@
   SimulatedFleet w(200, Short());
   w.Serve(kAnswer);
   w.List();
-  w.front.Drain([] {});
+  w.front.StartDrain([] {});
   const TimePoint from = w.loop.Now();
   w.Until([&] { return w.loop.Now() - from >= Duration(600000); });
   // The loop stands still until the listener is due to close: the connection and its request come meanwhile.
@@ -364,8 +364,8 @@
   Peer& held = w.Client({Ask("write", "2", kLong)});
   w.Until([&] { return w.proxy.open() == 2; });
   bool done = false;
-  w.front.Drain([&] { done = true; });
-  w.front.Drain([&] { FAIL("a second stop is none of its own"); });
+  w.front.StartDrain([&] { done = true; });
+  w.front.StartDrain([&] { FAIL("a second stop is none of its own"); });
   const TimePoint from = w.loop.Now();
   w.Until([&] { return out.Types().ends_with("EZ") && held.Types().ends_with("EZ"); });
   // The loop's own times: this is the moment that was chosen, not how fast the machine is.
@@ -398,7 +398,7 @@
   for (int i = 0; i < 60; ++i) pg::AppendQuery(out, Ask("any", "k", kLong));
   client.Say(out);
   w.Until([&] { return !server.queries.empty(); });
-  w.front.Drain([] {});
+  w.front.StartDrain([] {});
   const TimePoint from = w.loop.Now();
   UntilLeaving(w, from);
   client.connection->ResumeReading();
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -168,7 +168,7 @@
 struct SimulatedFleet {
   explicit SimulatedFleet(std::size_t descriptors = 200, const Settings& settings = Usual())
       : budget(descriptors),
-        pool(loop, {}, budget, [this] { return front.ShedIdle(); }),
+        pool(loop, {}, budget, [this] { return front.CloseLeastActive(); }),
         proxy(loop, settings, 7, pool),
         front(loop, proxy, budget, {"any", "own", "write"}, {"acme"}, settings,
               [this] { return pool.CloseLongestIdle(); }) {
@@ -223,7 +223,7 @@
   net::DescriptorBudget budget;
   upstream::ConnectionPool pool;
   proxy::Proxy proxy;
-  frontend::Front front;
+  frontend::Frontend front;
   std::vector<std::unique_ptr<DataServer>> servers;
   std::vector<std::unique_ptr<Peer>> clients;
 };
