--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -240,7 +240,7 @@
   Peer& client = w.Client(Asks(4));
   w.Until([&] { return client.Types().ends_with("TDCZTDCZTDCZTDCZ"); });
   w.List(ListKind::kPartial, Lifecycle::kDeleted);
-  w.pool.Forget(ServerId(1));
+  w.pool.RemoveServer(ServerId(1));
   w.Until([&] { return w.pool.servers() == 1; });
   w.List(ListKind::kPartial);
   CHECK(w.pool.servers() == 2);
@@ -270,7 +270,7 @@
   Peer& busy = w.Client({Ask("any")});
   w.Until([&] { return server.queries.size() == 1 && idle.Saw("I"); });
   bool done = false;
-  w.front.Drain([&] { done = true; });
+  w.front.StartDrain([&] { done = true; });
   const TimePoint from = w.loop.Now();
   Peer& late = w.Client({""});  // connections still come for a while
   w.Until([&] { return late.Types().ends_with("IZ"); });
@@ -293,7 +293,7 @@
   w.List();
   Peer& client = w.Client({""});
   w.Until([&] { return client.Saw("I"); });
-  w.front.Drain([] {});
+  w.front.StartDrain([] {});
   const TimePoint from = w.loop.Now();
   std::string query;
   pg::AppendQuery(query, Ask("any", "k", 60000));
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -168,10 +168,10 @@
 struct SimulatedFleet {
   explicit SimulatedFleet(std::size_t descriptors = 200, const Settings& settings = Usual())
       : budget(descriptors),
-        pool(loop, {}, budget, [this] { return front.ShedIdle(); }),
+        pool(loop, {}, budget, [this] { return front.CloseLeastActive(); }),
         proxy(loop, settings, 7, pool),
         front(loop, proxy, budget, {"any", "own", "write"}, {"acme"}, settings,
-              [this] { return pool.ShedIdle(); }) {
+              [this] { return pool.CloseLongestIdle(); }) {
     pool.SetEvents(proxy);
     REQUIRE(front.Listen({"127.0.0.1", 0}));
   }
@@ -221,9 +221,9 @@
 
   net::Loop loop;
   net::DescriptorBudget budget;
-  upstream::Pool pool;
+  upstream::ConnectionPool pool;
   proxy::Proxy proxy;
-  frontend::Front front;
+  frontend::Frontend front;
   std::vector<std::unique_ptr<DataServer>> servers;
   std::vector<std::unique_ptr<Peer>> clients;
 };
