--- a/src/frontend/client_session.cpp
+++ b/src/frontend/client_session.cpp
@@ -19,8 +19,8 @@
                                          << 50;  // a later Unix time would overflow in microseconds
 // Input that is read and discarded while a session closes. Beyond it the connection is closed at once, and
 // the reset stops the sender.
-constexpr std::size_t kMaxDiscarded = 256 * 1024;
-// A client that has gone is owed no attempt 0.1 s later: one look in half of that, and what brings its end.
+constexpr std::size_t kMaxDiscarded = std::size_t{256} * 1024;
+// No attempt may start later than 0.1 s after its client disconnected; checking takes under half of that.
 constexpr Duration kPresenceCheckInterval{40000};
 
 bool StartsWithWord(std::string_view text, std::string_view word) {
@@ -90,8 +90,8 @@
 void ClientSession::Expire() {
   if (phase_ == Phase::kClosing || phase_ == Phase::kAwaitingWrite) return Close();
   if (connection_->in().empty()) {
-    // What has come is read in this turn or the next: it is owed an answer, not a close. But a message that
-    // was begun has had its time, however it trickles on.
+    // Input that has arrived is processed in this turn or the next and gets a response, not a close. But an
+    // incomplete message has timed out, however slowly it continues.
     return connection_->SomethingCame() ? frontend_.MoveToPhase(*this, *phase_, frontend_.loop_.Now())
                                         : CloseGracefully();
   }
@@ -107,8 +107,8 @@
   UpdatePhase();
 }
 
-// A CancelRequest that had come before this request was taken, or before the one ahead of it was answered,
-// means an earlier one.
+// A CancelRequest that arrived before this request started, or before the previous response, refers to an
+// earlier request.
 void ClientSession::Cancel(std::uint32_t secret, TimePoint arrived_at) {
   if (secret != secret_ || state_ != State::kInFlight || arrived_at < accept_cancels_from_) return;
   frontend_.proxy_.Withdraw(request_);
@@ -119,8 +119,8 @@
   if (state_ == State::kInFlight) frontend_.proxy_.GiveUp(request_);
 }
 
-// Takes what has come, one request at a time: later ones stay in the ring until the answer is written, and a
-// full ring stops the reading.
+// Processes input one request at a time: later ones stay in the ring buffer until the response is written,
+// and a full ring buffer pauses reading.
 void ClientSession::ProcessInput() {
   if (processing_) return;
   const auto self = shared_from_this();
@@ -147,14 +147,14 @@
   if (state_ == State::kInFlight && unheard && !presence_timer_.armed()) {
     presence_timer_.After(kPresenceCheckInterval, [this] { CheckClientPresence(); });
   }
-  // Between requests of a program that stops, and nothing more has come that could be answered.
+  // Graceful shutdown, between requests and with no further input to process.
   if (frontend_.stopping() && state_ == State::kReady && !later && connection->all_written() &&
       HasNoUnreadInput())
     CloseGracefully();
 }
 
-// A notice, which every client skips, brings a reset from one that has closed. Nothing else tells of it: the
-// end of sending came before, or waits behind bytes for which the ring has no room.
+// Clients skip a notice, but the host of a client that has closed replies with a reset. Nothing else reveals
+// the close: the end of sending was seen before, or waits behind bytes for which the ring buffer has no room.
 void ClientSession::CheckClientPresence() {
   if (state_ != State::kInFlight) return;
   std::string notice;
@@ -173,7 +173,7 @@
   }
 }
 
-// Where it stands with the front. A message that was begun has to be ended in time, whatever comes meanwhile.
+// Derives the phase from the state. The timeout of an incomplete message runs from its first byte.
 void ClientSession::UpdatePhase() {
   Phase phase = Phase::kIdle;
   if (state_ == State::kClosing) {
@@ -187,8 +187,8 @@
   }
   const TimePoint now = frontend_.loop_.Now();
   if (phase == Phase::kAwaitingInput && state_ != State::kStartup) {
-    // From its first byte, which may have come while the request before it was served; but not from before
-    // its rest could be read.
+    // The first byte may have arrived while the previous request was in flight; time in which reading was
+    // paused does not count.
     const TimePoint began = std::max(connection_->CameAt(0), reading_resumed_at_);
     if (phase != phase_ || began != phase_since_) frontend_.MoveToPhase(*this, phase, began);
   } else if (phase != phase_ || phase == Phase::kIdle) {
@@ -198,8 +198,8 @@
 
 void ClientSession::OnWritten() { ProcessInput(); }
 
-// A client that has closed is gone, but one that has only ended its sending still wants its answer, and may
-// close later. They look alike from here until something is written.
+// A client that has closed and one that has only ended sending, and still awaits its response, cannot be told
+// apart until something is written.
 void ClientSession::OnPeerDone() {
   if (state_ != State::kInFlight) return ProcessInput();
   CheckClientPresence();
@@ -220,7 +220,7 @@
     case pg::StartupKind::kGssEncryption:
       Write("N");
       return true;
-    case pg::StartupKind::kCancel:  // answered by a close alone, whether or not the key is anybody's
+    case pg::StartupKind::kCancel:  // the protocol has no response; closed whether or not the key is valid
       frontend_.Cancel(startup.process, startup.secret, message_arrived_at_);
       CloseGracefully();
       return false;
@@ -288,7 +288,7 @@
   const std::size_t from = text.find_first_not_of(" \t\r\n;");
   std::string out;
   if (from == std::string_view::npos) {
-    // The front layer takes a pooler in by this answer: it is given only once requests can be served.
+    // The load balancer adds a pooler on this response: it is sent only once requests can be served.
     if (!frontend_.ready()) return SendError("57P03", "the pooler is starting up");
     pg::AppendEmptyQuery(out);
     return SendResponse(out);
@@ -322,7 +322,7 @@
   if (kind.idempotency == Idempotency::kIdempotencyKey && comment.key.empty()) {
     return SendError("22023", "the class is keyed, and the comment names no key");
   }
-  // The answers could not be told apart, and data servers would take the second for a repeat of the first.
+  // Data servers would treat the second as a retry of the first.
   std::string id(comment.id);
   if (frontend_.open_ids_.contains(id)) return SendError("22023", "a request of this id is open already");
   proxy::Ask ask;
@@ -331,14 +331,14 @@
   ask.event.tenant = tenant.value_or(0);
   if (kind.kind == AccessKind::kWrite || kind.kind == AccessKind::kSessionRead)
     ask.event.session = comment.object;
-  // Of a session that carries its newest write; a time that has not come is nobody's write.
+  // The client carries the watermark of its session; a time in the future cannot be that of a write.
   if (kind.kind == AccessKind::kSessionRead && comment.after_ms) {
     const LogPosition after{std::chrono::milliseconds(std::min(*comment.after_ms, kMaxWatermarkMs))};
     ask.event.required_position = std::min(after, frontend_.loop_.Now());
   }
   ask.event.is_retry = comment.retry;
-  // Its client's time has run since its last byte came, however long it waited here behind others. Where that
-  // is over the module turns it away at once.
+  // The budget counts from the arrival of the last byte, so it includes the wait behind other requests. The
+  // routing module rejects a request whose budget is used up.
   ask.event.waited = std::max(Duration{0}, frontend_.loop_.Now() - message_arrived_at_);
   ask.event.time_left =
       frontend_.LimitToShutdown(std::chrono::milliseconds(*comment.budget_ms) - ask.event.waited);
@@ -347,7 +347,7 @@
   accept_cancels_from_ = std::max(frontend_.loop_.Now(), last_response_at_ + Duration(1));
   frontend_.open_ids_.insert(id);
   request_key_ = std::move(id);
-  UpdatePhase();  // from here on it is not one to be closed for the descriptor that its own request needs
+  UpdatePhase();  // before the request, which may close idle sessions for a descriptor
   frontend_.proxy_.Take(std::move(ask), *this, request_);
 }
 
@@ -360,7 +360,7 @@
   SendResponse(out);
 }
 
-// What the client should know of a refusal is that trying again does no harm, and when that is worth it.
+// The SQLSTATE tells the client that a retry is safe, and the detail is the Retry-After in milliseconds.
 void ClientSession::Refused(Duration retry_after) {
   const std::int64_t ms = (retry_after.count() + 999) / 1000;
   SendError("53300", "too much to do to answer in time", ms > 0 ? std::to_string(ms) : std::string());
@@ -378,7 +378,7 @@
   SendResponse(out);
 }
 
-// Ends the request being answered, if there is one, and goes on with what the client has sent meanwhile.
+// Completes the request in flight, if any, and continues with the input that has arrived meanwhile.
 void ClientSession::SendResponse(std::string& bytes) {
   if (state_ == State::kInFlight) {
     frontend_.open_ids_.erase(request_key_);
@@ -393,7 +393,7 @@
 
 void ClientSession::Write(std::string_view bytes) {
   if (connection_->Write(bytes)) return;
-  Close();  // the ring takes the largest answer: this client is broken
+  Close();  // the ring buffer fits the largest response: the connection is broken
 }
 
 void ClientSession::FailConnection(std::string_view code, std::string_view message) {
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -10,34 +10,31 @@
 
 constexpr Duration kSweepInterval{250000};
 constexpr Duration kStoppingSweepInterval{20000};  // while the program stops
-// A client that does not say who it is, or does not end what it has begun to say, is closed after this; with
-// the sweep that is well within the 3 s in which a bad client is owed its close.
+// For a client to complete its startup or a message; with the sweep interval this is well within the 3 s in
+// which a misbehaving client has to be closed.
 constexpr Duration kInputTimeout{2000000};
-constexpr Duration kWriteTimeout{10000000};  // that does not take its answer
-constexpr Duration kCloseTimeout{500000};    // for a client to read why it was turned out
-// What a client has sent by the time it connected has been read after this; until then it is not called
-// silent.
+constexpr Duration kWriteTimeout{10000000};  // for a client to read its response
+constexpr Duration kCloseTimeout{500000};    // for a client to read the final error and close
+// Input sent with the connect has been read after this; until then a session is not closed for a descriptor.
 constexpr Duration kAcceptGrace{100000};
-// Clients that asked once and stay take the places of those that would ask. Where there are many, they go
-// after the first of these; the other is for a client that is only slow to ask again.
-constexpr Duration kIdleTimeoutFull{500000};  // where they hold most of what is there for requests
+// Idle sessions occupy descriptors that new requests need, so the idle timeout shrinks as sessions crowd.
+constexpr Duration kIdleTimeoutFull{500000};  // sessions hold most of the descriptors meant for requests
 constexpr Duration kIdleTimeoutCrowded{2200000};
 constexpr Duration kIdleTimeout{15000000};
-// After SIGTERM clients are served on the connections they have, and new ones are taken, until little time is
-// left: by then the front layer has let go of this pooler, and another that is being restarted has been taken
-// in again. The program is killed no earlier than the longest deadline, or 3 s if that is shorter, and 0.7 s
-// after the signal.
+// After SIGTERM the pooler serves open and new connections until little time is left: by then the load
+// balancer has removed it, and has added any other pooler that was restarting. The process is killed no
+// earlier than the longest deadline (at most 3 s is counted) plus 0.7 s after the signal.
 constexpr Duration kMaxCountedDeadline{3000000};
 constexpr Duration kKillMargin{700000};
-constexpr Duration kCloseListenerMargin{900000};  // before that
+constexpr Duration kCloseListenerMargin{900000};  // before the kill
 constexpr Duration kAbortMargin{200000};
-// But new connections come for up to 0.4 s, and what is asked within 0.7 s is owed its whole time, which with
-// short deadlines ends no later than the earliest kill.
+// New connections arrive for up to 0.4 s, and a request that arrives within 0.7 s is due its complete budget,
+// which with short deadlines ends no later than the earliest kill.
 constexpr Duration kMinDrainTime{700000};
-// A connection that was taken in just before the listener closed brings what it has to say after this.
+// While stopping, for a new connection to send its first input.
 constexpr Duration kStoppingQuietTimeout{100000};
-constexpr Duration kStoppingPartialTimeout{300000};  // and the rest of a message that was begun
-constexpr std::size_t kMaxExamined = 16;  // at connections that might be closed for their descriptor
+constexpr Duration kStoppingPartialTimeout{300000};  // and for the rest of an incomplete message
+constexpr std::size_t kMaxExamined = 16;             // sessions examined for one to close for its descriptor
 
 Duration KillGrace(const std::vector<RequestClass>& kinds) {
   Duration longest{0};
@@ -84,7 +81,7 @@
 void Frontend::MoveToPhase(ClientSession& session, ClientSession::Phase phase, TimePoint since) {
   SessionList& to = sessions_by_phase_[static_cast<std::size_t>(phase)];
   if (session.phase_) sessions_by_phase_[static_cast<std::size_t>(*session.phase_)].erase(session.position_);
-  // Nearly all come last.
+  // Nearly all belong at the end.
   auto position = to.end();
   while (position != to.begin() && (*std::prev(position))->phase_since_ > since) --position;
   session.position_ = to.insert(position, &session);
@@ -107,10 +104,9 @@
   const SessionList* from = &closing;
   if (from->empty() && !silent.empty() && loop_.Now() - silent.front()->phase_since_ >= kAcceptGrace)
     from = &silent;
-  // Many that have only just come are soon either served or silent: no reason to give up those that are
-  // known.
+  // Many sessions that have just connected soon send a request or time out: no reason to close idle ones.
   if (from->empty() && silent.size() <= idle.size()) from = &idle;
-  // One that something has just come on is neither silent nor idle: closed over it, it would be reset.
+  // A close with unread input would be a reset.
   std::size_t examined = 0;
   for (ClientSession* session : *from) {
     if (++examined > kMaxExamined) break;
@@ -139,7 +135,7 @@
 
 void Frontend::ExpireOlderThan(ClientSession::Phase phase, Duration time) {
   const SessionList& from = sessions_by_phase_[static_cast<std::size_t>(phase)];
-  // Each is looked at once: one that goes on stands last from now on.
+  // Examines each once: a session that continues moves to the end.
   for (std::size_t left = from.size(); left > 0 && !from.empty(); --left) {
     if (loop_.Now() - from.front()->phase_since_ < time) return;
     const auto held = sessions_.at(from.front());
@@ -172,8 +168,8 @@
   abort_timer_.After(kill_grace_ - kAbortMargin, [this] { AbortInFlight(); });
 }
 
-// Nobody new from here on. Whoever has asked is answered, also what a connection brings that was taken in
-// last; each is then told the end of the sending, and what crosses that is not sent on.
+// No new connections from here on. Requests received are completed, those of the last connections included;
+// then each session ends sending, and requests that cross this are not forwarded.
 void Frontend::CloseListener() {
   stopping_ = true;
   listener_.Close();
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -132,6 +132,8 @@
 void ConnectionPool::FinishAttempt(const std::shared_ptr<Attempt>& attempt, Outcome outcome,
                                    ResponseMetadata metadata, std::optional<LoadReport> report,
                                    std::optional<proxy::Answer> result, bool unusable) {
+  // Keeps the attempt alive if `attempt` refers to an entry erased below.
+  // NOLINTNEXTLINE(performance-unnecessary-copy-initialization)
   const std::shared_ptr<Attempt> held = attempt;
   held->deadline_timer.Clear();
   held->connect_timer.Clear();
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -79,7 +79,7 @@
   void Cancel(RequestId request, AttemptNumber number) override;
   void Drop(RequestId request) override;
   void Probe(ServerId server) override;
-  void CloseIdle(ServerId server) override;
+  void CloseIdle(ServerId id) override;
 
   // The number of idle connections to all data servers.
   std::size_t idle() const;
