--- a/src/pg/message.h
+++ b/src/pg/message.h
@@ -10,8 +10,8 @@
 namespace lynxgrade::pg {
 
 // A value has 64 KiB at most; as hex in a statement that is twice as much, with room for the rest.
-inline constexpr std::size_t kMostMessage = 192 * 1024;
-inline constexpr std::size_t kRingLimit = 256 * 1024;
+inline constexpr std::size_t kMostMessage = std::size_t{192} * 1024;
+inline constexpr std::size_t kRingLimit = std::size_t{256} * 1024;
 
 enum class Framing { kPartial, kWhole, kMalformed, kTooLong };
 
--- a/src/replication/lease_transport.h
+++ b/src/replication/lease_transport.h
@@ -55,7 +55,6 @@
   // The watermarks that the consistency guard knows, for the lease client.
   class GuardWatermarks final : public lease::KnownWatermarks {
    public:
-    ~GuardWatermarks() = default;
     explicit GuardWatermarks(consistency::SessionConsistencyGuard& consistency_guard)
         : consistency_guard_(consistency_guard) {}
     consistency::SessionWatermarkTable::Known Newest(consistency::SessionKey key) const override;
--- a/tests/proxy/deadlines_test.cpp
+++ b/tests/proxy/deadlines_test.cpp
@@ -168,6 +168,7 @@
   // It means the first, and stands behind so many in the queue that the second is taken before it is looked
   // at.
   std::vector<std::unique_ptr<Bare>> crowd;
+  crowd.reserve(70);
   for (int i = 0; i < 70; ++i) crowd.push_back(Bare::Mute(w.front.port()));
   crowd.back()->Say(CancelBytes(key));
   held.Answer();
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -329,6 +329,7 @@
     w.Until([&] { return useful.back()->Saw("I"); });
   }
   std::vector<Peer*> silent;
+  silent.reserve(60);
   for (int i = 0; i < 60; ++i) silent.push_back(&w.Connect(w.front.port()));
   w.Until([&] { return std::ranges::count_if(silent, [](Peer* p) { return p->ended; }) >= 20; });
   Peer& asks = w.Client({Ask("any")});
--- a/tests/replication/lease_traffic_curves_test.cpp
+++ b/tests/replication/lease_traffic_curves_test.cpp
@@ -33,6 +33,7 @@
 // SIZES, of poolers; OWNERS, set aside beside them; ROAM, in a hundred; TIMES, of the load; READS, own-reads
 // a write; BYTES_PER_S, the budget; COALESCE_MS while that is short; ASKS a second; SETTLE_S after the start;
 // EACH_UP_TO which size the other way is played too.
+// NOLINTNEXTLINE(readability-function-cognitive-complexity): one table, run by hand
 TEST_CASE("leases: traffic curves" * doctest::skip()) {
   const auto owners = static_cast<std::size_t>(FromEnvironment("OWNERS", 0));
   const double times = FromEnvironment("TIMES", 1);
