--- a/src/capacity/as_it_stands.h
+++ b/src/capacity/as_it_stands.h
@@ -5,30 +5,30 @@
 
 namespace lynxgrade::capacity {
 
-constexpr double kPacketsPerS = 2'000;      // peers::Exchange::Options::packets_per_s
-constexpr double kIdleFlushMs = 100;        // peers::Exchange::Options::idle
-constexpr double kMarksKept = 65'536;       // peers::Exchange::Options::kept
-constexpr double kReignsAPacket = 8;        // src/replication/exchange
-constexpr double kReignsEveryMs = 500;      // src/replication/exchange
-constexpr double kPlayedMembersAGroup = 3;  // lab: the scale run's databases stand in groups of so many
-constexpr double kPlayedOwnReads = 0.5;     // lab: of the scale run's reads, unless a record tells more
-constexpr double kMessagesAFirstMeet = 2;   // src/lease: ask and grant
-constexpr double kMessagesAMove = 4;        // src/lease: ask, recall, release, grant
+constexpr double kPacketsPerS = 2'000;      // replication::ReplicationEngine::Options
+constexpr double kIdleFlushMs = 100;        // the same
+constexpr double kMarksKept = 65'536;       // the same
+constexpr double kReignsAPacket = 8;        // src/replication/timeline_gossip
+constexpr double kReignsEveryMs = 500;      // src/replication/timeline_gossip
+constexpr double kPlayedMembersAGroup = 3;  // testbed: the scale run's databases stand in groups of so many
+constexpr double kPlayedOwnReads = 0.5;     // testbed: of the scale run's reads, unless a record tells more
+constexpr double kMessagesAFirstMeet = 2;   // src/lease: acquire and grant
+constexpr double kMessagesAMove = 4;        // src/lease: acquire, revoke, release, grant
 constexpr double kLeaseS = 30;              // src/lease/session_lease_manager
-constexpr double kOwnedForS = 63;  // src/lease/session_lease_manager: a lease, a tenth longer, and `recall`
-constexpr double kSessionsOwned =
-    262'144;  // src/replication/udp_replication_service.cpp: of one that is set aside to own
-constexpr double kSessionsHeld = 65'536;  // src/lease: Directory::Options::holds
-constexpr double kAsksPerS = 20;          // peers.asks_per_s: of reads
-constexpr double kHoldMs = 30;            // sessions.hold_ms
+constexpr double kOwnedForS =
+    63;  // src/lease/session_lease_manager: a lease, a tenth longer, and the write retention
+constexpr double kSessionsOwned = 262'144;  // src/replication/engine_options: of a dedicated lease manager
+constexpr double kSessionsHeld = 65'536;    // lease::SessionLeaseClient::Options::lease_capacity
+constexpr double kAsksPerS = 20;            // peers.asks_per_s: of reads
+constexpr double kHoldMs = 30;              // sessions.hold_ms
 constexpr double kHeardLately =
     8;  // src/consistency/session_consistency_guard: holds; an older word is not waited for
 constexpr double kRecallS = 30;            // sessions.recall_s
 constexpr double kLedgerSessions = 8'192;  // sessions.capacity
 constexpr double kProbeMs = 200;           // peers.probe_ms
-// A probe is `SHOW pressure` and its row with a report of two fields, as the lab's data servers answer it.
-// Each way of a TCP connection adds heads of IPv4 and TCP with its timestamps; the answer is acknowledged by
-// itself.
+// A probe is `SHOW pressure` and its row with a report of two fields, as the testbed's data servers answer
+// it. Each way of a TCP connection adds heads of IPv4 and TCP with its timestamps; the answer is acknowledged
+// by itself.
 constexpr double kProbeQueryBytes = 19, kProbeAnswerBytes = 83, kTcpHeads = 52;
 constexpr double kPooledS =
     10;  // src/upstream/connection_pool: a connection to a database asked that lately stays
--- a/src/capacity/model.cpp
+++ b/src/capacity/model.cpp
@@ -429,10 +429,11 @@
   const auto either = [&](const std::vector<Term>& as_each) {
     return none ? Choices{peers} : each ? Choices{as_each} : by_meets;
   };
-  std::vector<Kind> kinds = {{"membership", "membership", "src/membership/swim", Choices{peers}},
-                             {"marks", "marks", "src/replication/exchange", either(by_packets)},
-                             {"reigns", "reigns of primaries", "src/replication/exchange", either(timelines)},
-                             {"ledger", "whole ledgers", "src/replication/exchange", Choices{peers}}};
+  std::vector<Kind> kinds = {
+      {"membership", "membership", "src/membership/swim", Choices{peers}},
+      {"marks", "marks", "src/replication/watermark_replicator", either(by_packets)},
+      {"reigns", "reigns of primaries", "src/replication/timeline_gossip", either(timelines)},
+      {"ledger", "whole ledgers", "src/replication/snapshot_transfer", Choices{peers}}};
   for (const std::string& figure : OtherKinds(build.Kept(keep))) {
     kinds.push_back({figure, figure, "src/" + figure, either(by_packets)});
   }
@@ -610,7 +611,7 @@
                      return Times(cell,
                                   ValueOf(Term::kFleetWrites, SizeIn(target, column)) * kRecallS * 1e-6);
                    });
-  build.Arithmetic(Named(role, "state", "own marks kept for others, entries", "src/replication/exchange",
+  build.Arithmetic(Named(role, "state", "own marks kept for others, entries", "src/replication/watermark_log",
                          "writes of one pooler x the length of a cut, 65,536 at most"),
                    [](const Target& target, Column) { return Worked(MissedMarks(target)); });
 
@@ -640,7 +641,8 @@
   probe_bytes("out", kProbeQueryBytes, 2);
   probe_bytes("in", kProbeAnswerBytes, 1);
   Row pause =
-      Named(role, "messages", "two pauses between packets to one pooler, ms", "src/replication/exchange",
+      Named(role, "messages", "two pauses between packets to one pooler, ms",
+            "src/replication/watermark_replicator",
             "from each to each, 2,000 packets a second at most; a word older than 240 ms is not waited "
             "for, and reads take a cautious target");
   pause.budget = [](const Target&) { return kHoldMs * kHeardLately; };
@@ -651,7 +653,7 @@
   });
   Row timelines = Named(
       role, "messages", "round in which all reigns of primaries are told to one pooler again, s",
-      "src/replication/exchange",
+      "src/replication/timeline_gossip",
       "from each to each, databases / members of a group, 8 a packet; a reign that changed goes first, with "
       "the "
       "next packet, and one whose packet was lost is told again within a round: beside the time in which a "
