--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -60,7 +60,6 @@
 
 TEST_CASE("guard: a session known completely has no gap after its position, and others keep theirs") {
   struct Known final : consistency::SessionLeases {
-    virtual ~Known() = default;
     std::optional<LogPosition> CompleteThrough(consistency::SessionKey) override { return exact; }
     bool AcquireLease(GroupId, consistency::SessionKey, consistency::LeaseUse use) override {
       ++(use == consistency::LeaseUse::kWrite ? writes : reads);
--- a/tests/routing/balancer_server_health_test.cpp
+++ b/tests/routing/balancer_server_health_test.cpp
@@ -192,6 +192,7 @@
         instance.Advance(60_ms);
   for (int round = 0; round < 10; ++round) {
     std::vector<RequestId> ids;
+    ids.reserve(4);
     for (int i = 0; i < 4; ++i) ids.push_back(instance.SendRequest(kEventualRead));
     instance.Stall(900_ms);
     for (RequestId id : ids) instance.EndAttempt(id, Outcome::kOk, {}, 900_ms);
