--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -21,7 +21,7 @@
     const gssize count = g_input_stream_read(stream, buffer.data(), buffer.size(), nullptr, error.out());
     if (count == 0) return response;
     if (count < 0) {
-      return tl::unexpected(AdminError{AdminErrorCode::kResponseIncomplete, address, error.text()});
+      return tl::unexpected(AdminError{AdminErrorCode::kResponseIncomplete, address, error.message()});
     }
     response.append(buffer.data(), static_cast<std::size_t>(count));
     if (response.size() > kMaxResponseBytes) {
@@ -60,12 +60,12 @@
   const net::ObjectPtr<GSocketConnection> connection(g_socket_client_connect_to_host(
       client.get(), address.host.c_str(), address.port, nullptr, error.out()));
   if (connection == nullptr) {
-    return tl::unexpected(AdminError{AdminErrorCode::kUnreachable, text, error.text()});
+    return tl::unexpected(AdminError{AdminErrorCode::kUnreachable, text, error.message()});
   }
   const std::string line = std::string(name) + "\n";
   GOutputStream* out = g_io_stream_get_output_stream(G_IO_STREAM(connection.get()));
   if (!g_output_stream_write_all(out, line.data(), line.size(), nullptr, nullptr, error.out())) {
-    return tl::unexpected(AdminError{AdminErrorCode::kSendFailed, text, error.text()});
+    return tl::unexpected(AdminError{AdminErrorCode::kSendFailed, text, error.message()});
   }
   return ReceiveAll(g_io_stream_get_input_stream(G_IO_STREAM(connection.get())), text);
 }
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -13,7 +13,7 @@
         connection_(net::Connection::Adopt(server.loop_, std::move(socket), *this, kMaxQueryBytes,
                                            kMaxResponseBytes)),
         timeout_(server.loop_) {
-    timeout_.After(kConnectionTimeout, [this] { server_.Close(this); });
+    timeout_.ScheduleAfter(kConnectionTimeout, [this] { server_.Close(this); });
   }
   ~QueryConnection() { connection_->Close(); }
   QueryConnection(const QueryConnection&) = delete;
@@ -21,8 +21,8 @@
 
  private:
   void OnReadable() override {
-    net::RingBuffer& in = connection_->in();
-    const std::string text(in.All());
+    net::RingBuffer& in = connection_->input();
+    const std::string text(in.Linearize());
     const auto line_end = text.find('\n');
     if (line_end == std::string::npos) {
       if (text.size() >= kMaxQueryBytes) server_.Close(this);
@@ -32,12 +32,12 @@
     if (responded_) return;
     responded_ = true;
     if (!connection_->Write(Respond(text.substr(0, line_end)) + "\n")) return server_.Close(this);
-    connection_->EndSending();
+    connection_->ShutdownSending();
   }
-  void OnPeerDone() override {
+  void OnEndOfStream() override {
     if (!responded_ || connection_->all_written()) server_.Close(this);
   }
-  void OnBroken() override { server_.Close(this); }
+  void OnDisconnected() override { server_.Close(this); }
 
   std::string Respond(const std::string& query) const {
     const auto handler = server_.handlers_.find(query);
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -37,18 +37,19 @@
   Duration wait{0};
   // Half of the grace at most: the other half is for the response, or a retry.
   if (service_.shared) wait = retry_policy_.FirstWait(DrawUniform(), service_.drain_grace / 2);
-  retry_timer_.After(wait, [this] { SendRequest(); });
+  retry_timer_.ScheduleAfter(wait, [this] { SendRequest(); });
 }
 
 void DiscoveryWatch::SendRequest() {
   body_ = {};
   response_.emplace();
   bool full = false;
-  connection_ = net::Connection::Open(loop_, address_, *this, kBufferBytes, kBufferBytes, &full);
+  connection_ = net::Connection::Connect(loop_, address_, *this, kBufferBytes, kBufferBytes, &full);
   if (connection_ == nullptr) return Retry("no connection to be had");
   // One deadline from connecting to the head of the response. It counts from this moment, as the present pass
   // of the loop may have begun long ago.
-  deadline_timer_.Set(loop_.Precise() + retry_policy_.call(), [this] { Retry("no answer in time"); });
+  deadline_timer_.ScheduleAt(loop_.PreciseNow() + retry_policy_.call(),
+                             [this] { Retry("no answer in time"); });
 }
 
 void DiscoveryWatch::MoveTo(const net::Address& address) {
@@ -57,15 +58,15 @@
   if (connection_ != nullptr) connection_->Close();
   retry_policy_.RecordSuccess();  // the failures were those of the former address
   last_sign_of_life_ = loop_.Now();
-  deadline_timer_.Clear();
+  deadline_timer_.Cancel();
   ScheduleFirstRequest();
 }
 
 void DiscoveryWatch::ExpectSignOfLifeWithin(Duration timeout) {
-  deadline_timer_.After(timeout, [this] { Retry("silent for too long"); });
+  deadline_timer_.ScheduleAfter(timeout, [this] { Retry("silent for too long"); });
 }
 
-void DiscoveryWatch::OnUp() {
+void DiscoveryWatch::OnConnected() {
   connection_->Write("GET /registry/instances?follow=1&since=" + std::to_string(revision_) +
                      " HTTP/1.1\r\nHost: " + address_.host + ":" + std::to_string(address_.port) +
                      "\r\nAccept: application/json\r\n\r\n");
@@ -74,9 +75,9 @@
 void DiscoveryWatch::OnReadable() {
   using State = HttpResponseParser::State;
   const bool head_pending = response_->state() == State::kHead;
-  const std::string_view bytes = connection_->in().All();
+  const std::string_view bytes = connection_->input().Linearize();
   const State state = response_->Append(bytes);
-  connection_->in().Consume(bytes.size());
+  connection_->input().Consume(bytes.size());
   connection_->ResumeReading();
   if (state == State::kMalformed) return Retry(response_->error());
   if (state == State::kHead) return;
@@ -136,7 +137,7 @@
   retry_policy_.RecordSuccess();
   // It may have arrived while this loop was busy or the process was stopped: updates may be missing from then
   // on.
-  last_sign_of_life_ = std::max(last_sign_of_life_, loop_.Since());
+  last_sign_of_life_ = std::max(last_sign_of_life_, loop_.EarliestArrival());
   ExpectSignOfLifeWithin(retry_policy_.silence());
 }
 
@@ -145,19 +146,19 @@
   if (HandleItems() == WatchState::kOpen) Retry("the watch has ended");
 }
 
-void DiscoveryWatch::OnPeerDone() {
+void DiscoveryWatch::OnEndOfStream() {
   const bool complete = response_->HandleConnectionEnd() == HttpResponseParser::State::kComplete;
   if (complete && response_->status() == kOk) return HandleBodyEnd();
   Retry("the connection was closed");
 }
 
-void DiscoveryWatch::OnBroken() { Retry("the connection broke"); }
+void DiscoveryWatch::OnDisconnected() { Retry("the connection broke"); }
 
 double DiscoveryWatch::DrawUniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
 void DiscoveryWatch::Retry(std::string_view cause) {
   if (connection_ != nullptr) connection_->Close();
-  deadline_timer_.Clear();
+  deadline_timer_.Cancel();
   const Duration wait = retry_policy_.NextWait(DrawUniform(), loop_.Now() - last_sign_of_life_);
   if (retry_policy_.failures() == 1) {
     spdlog::info("discovery: watch interrupted, reopening; cause=\"{}\" revision={}", cause, revision_);
@@ -165,7 +166,7 @@
     spdlog::debug("discovery: watch interrupted, reopening; cause=\"{}\" failures={}", cause,
                   retry_policy_.failures());
   }
-  retry_timer_.After(wait, [this] { SendRequest(); });
+  retry_timer_.ScheduleAfter(wait, [this] { SendRequest(); });
 }
 
 }  // namespace lynxgrade::discovery
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -51,13 +51,13 @@
   // Whether any update has been received.
   bool has_received_update() const { return has_received_update_; }
   // When the next request is due; absent while one is open.
-  std::optional<TimePoint> next_request_at() const { return retry_timer_.due(); }
+  std::optional<TimePoint> next_request_at() const { return retry_timer_.deadline(); }
 
  private:
-  void OnUp() override;
+  void OnConnected() override;
   void OnReadable() override;
-  void OnPeerDone() override;
-  void OnBroken() override;
+  void OnEndOfStream() override;
+  void OnDisconnected() override;
 
   // Whether the watch is still open.
   enum class WatchState { kOpen, kClosed };
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -85,7 +85,7 @@
   return ServerId(number);
 }
 
-std::vector<ServerId> EndpointListReader::RemoveEnded(const EndpointListUpdate& update) {
+std::vector<ServerId> EndpointListReader::RemoveDeleted(const EndpointListUpdate& update) {
   std::set<ServerId> remaining;
   std::set<ServerId> ended;
   for (const Endpoint& endpoint : update.endpoints) {
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -54,8 +54,8 @@
   ServerId IdOf(const std::string& uid);
   // Removes the servers that the update has ended, either deleted or missing from a complete list, and
   // returns their ids. To be called after the update has been applied.
-  std::vector<ServerId> RemoveEnded(const EndpointListUpdate& update);
-  std::size_t known_servers() const { return ids_.size(); }
+  std::vector<ServerId> RemoveDeleted(const EndpointListUpdate& update);
+  std::size_t known_server_count() const { return ids_.size(); }
 
  private:
   tl::expected<Endpoint, EntryError> ReadEndpoint(const nlohmann::json& json);
--- a/src/durability/write_ahead_log.cpp
+++ b/src/durability/write_ahead_log.cpp
@@ -45,7 +45,7 @@
   switch (writer_.WaitForAll(kStartTimeout)) {
     case LogWriterThread::WaitResult::kCompleted:
       durable_ticket_ = writer_.last_submitted();
-      tick_timer_.After(kCompleteThroughInterval, [this] { HandleTick(); });
+      tick_timer_.ScheduleAfter(kCompleteThroughInterval, [this] { HandleTick(); });
       return {};
     case LogWriterThread::WaitResult::kFailed:
       cause = Describe(writer_.FetchProgress().error.value_or(WriteError{}), settings_.folder);
@@ -112,7 +112,7 @@
   std::string part = snapshot_.EncodeNextPart(loop_.Now());
   if (!part.empty()) writer_.Submit(AppendJob(std::move(part)));
   if (snapshot_.in_progress()) {
-    snapshot_timer_.After(Duration{0}, [this] { ContinueSnapshot(); });
+    snapshot_timer_.ScheduleAfter(Duration{0}, [this] { ContinueSnapshot(); });
     return;
   }
   Append(SnapshotEndRecord{loop_.Now()});
@@ -122,7 +122,7 @@
 void WriteAheadLog::HandleTick() {
   ExtendDeadlinesByLoopStall();
   next_tick_ = loop_.Now() + kTickInterval;
-  tick_timer_.Set(next_tick_, [this] { HandleTick(); });
+  tick_timer_.ScheduleAt(next_tick_, [this] { HandleTick(); });
   const LogWriterThread::Progress progress = writer_.FetchProgress();
   ReleaseDurable(progress.completed);
   ReleaseTimedOut();
--- a/src/frontend/client_session.cpp
+++ b/src/frontend/client_session.cpp
@@ -59,7 +59,7 @@
 }
 
 std::string ClientStatement::TextFor(Duration left) const {
-  return pg::WithBudget(text_, comment_, std::max<std::int64_t>(1, left.count() / 1000));
+  return pg::ReplaceTimeBudget(text_, comment_, std::max<std::int64_t>(1, left.count() / 1000));
 }
 
 ClientSession::ClientSession(Frontend& frontend, net::DescriptorBudget& budget)
@@ -69,16 +69,16 @@
       presence_timer_(frontend.loop_) {}
 
 void ClientSession::Begin(net::ObjectPtr<GSocket> socket, TimePoint queued_since) {
-  connection_ =
-      net::Connection::Adopt(frontend_.loop_, std::move(socket), *this, pg::kRingLimit, pg::kRingLimit);
-  connection_->KeepArrivals(queued_since);
+  connection_ = net::Connection::Adopt(frontend_.loop_, std::move(socket), *this, pg::kMaxBufferBytes,
+                                       pg::kMaxBufferBytes);
+  connection_->RecordArrivalTimes(queued_since);
 }
 
 void ClientSession::Close() {
   if (connection_->closed()) return;
   connection_->Close();
-  resume_timer_.Clear();
-  presence_timer_.Clear();
+  resume_timer_.Cancel();
+  presence_timer_.Cancel();
   if (state_ == State::kInFlight) {
     state_ = State::kReady;
     frontend_.open_ids_.erase(request_key_);
@@ -89,11 +89,11 @@
 
 void ClientSession::Expire() {
   if (phase_ == Phase::kClosing || phase_ == Phase::kAwaitingWrite) return Close();
-  if (connection_->in().empty()) {
+  if (connection_->input().empty()) {
     // Input that has arrived is processed in this turn or the next and gets a response, not a close. But an
     // incomplete message has timed out, however slowly it continues.
-    return connection_->SomethingCame() ? frontend_.MoveToPhase(*this, *phase_, frontend_.loop_.Now())
-                                        : CloseGracefully();
+    return connection_->HasPendingInput() ? frontend_.MoveToPhase(*this, *phase_, frontend_.loop_.Now())
+                                          : CloseGracefully();
   }
   if (frontend_.stopping()) return FailConnection("57P03", "the pooler is stopping");
   FailConnection("08P01", "a message was begun and not ended in time");
@@ -102,7 +102,7 @@
 void ClientSession::CloseGracefully() {
   if (connection_->closed()) return;
   state_ = State::kClosing;
-  connection_->EndSending();
+  connection_->ShutdownSending();
   connection_->ResumeReading();
   UpdatePhase();
 }
@@ -130,22 +130,22 @@
   processing_ = false;
   if (connection->closed()) return;
   if (state_ == State::kClosing) {
-    discarded_ += connection->in().size();
-    connection->Consume(connection->in().size());
-    if (connection->peer_done() || discarded_ > kMaxDiscarded) return Close();
+    discarded_ += connection->input().size();
+    connection->Consume(connection->input().size());
+    if (connection->end_of_stream() || discarded_ > kMaxDiscarded) return Close();
   }
   const bool later = resume_timer_.armed();
-  if (state_ != State::kInFlight && !later && connection->peer_done() && connection->all_written()) {
+  if (state_ != State::kInFlight && !later && connection->end_of_stream() && connection->all_written()) {
     return Close();
   }
   UpdatePhase();
-  if (connection->in().room() > 0 && connection->paused()) {
+  if (connection->input().free_space() > 0 && connection->reading_paused()) {
     reading_resumed_at_ = frontend_.loop_.Now();
     connection->ResumeReading();
   }
-  const bool unheard = connection->peer_done() || connection->in().room() == 0;
+  const bool unheard = connection->end_of_stream() || connection->input().free_space() == 0;
   if (state_ == State::kInFlight && unheard && !presence_timer_.armed()) {
-    presence_timer_.After(kPresenceCheckInterval, [this] { CheckClientPresence(); });
+    presence_timer_.ScheduleAfter(kPresenceCheckInterval, [this] { CheckClientPresence(); });
   }
   // Graceful shutdown, between requests and with no further input to process.
   if (frontend_.stopping() && state_ == State::kReady && !later && connection->all_written() &&
@@ -158,17 +158,18 @@
 void ClientSession::CheckClientPresence() {
   if (state_ != State::kInFlight) return;
   std::string notice;
-  pg::AppendNotice(notice, "still at work");
-  connection_->LookAhead();
-  presence_timer_.After(kPresenceCheckInterval, [this] { CheckClientPresence(); });
+  pg::AppendNoticeResponse(notice, "still at work");
+  connection_->RecordUnreadArrivals();
+  presence_timer_.ScheduleAfter(kPresenceCheckInterval, [this] { CheckClientPresence(); });
   Write(notice);
 }
 
 void ClientSession::ProcessMessages() {
-  resume_timer_.Clear();
+  resume_timer_.Cancel();
   for (int processed = 0; !connection_->closed() && connection_->all_written(); ++processed) {
-    if (state_ == State::kInFlight || state_ == State::kClosing || connection_->in().empty()) return;
-    if (processed == kMaxMessagesPerTurn) return resume_timer_.After(Duration{0}, [this] { ProcessInput(); });
+    if (state_ == State::kInFlight || state_ == State::kClosing || connection_->input().empty()) return;
+    if (processed == kMaxMessagesPerTurn)
+      return resume_timer_.ScheduleAfter(Duration{0}, [this] { ProcessInput(); });
     if (!(state_ == State::kStartup ? HandleStartup() : HandleMessage())) return;
   }
 }
@@ -182,38 +183,38 @@
     phase = Phase::kInFlight;
   } else if (!connection_->all_written()) {
     phase = Phase::kAwaitingWrite;
-  } else if (state_ == State::kStartup || !connection_->in().empty()) {
+  } else if (state_ == State::kStartup || !connection_->input().empty()) {
     phase = Phase::kAwaitingInput;
   }
   const TimePoint now = frontend_.loop_.Now();
   if (phase == Phase::kAwaitingInput && state_ != State::kStartup) {
     // The first byte may have arrived while the previous request was in flight; time in which reading was
     // paused does not count.
-    const TimePoint began = std::max(connection_->CameAt(0), reading_resumed_at_);
+    const TimePoint began = std::max(connection_->ArrivalTime(0), reading_resumed_at_);
     if (phase != phase_ || began != phase_since_) frontend_.MoveToPhase(*this, phase, began);
   } else if (phase != phase_ || phase == Phase::kIdle) {
     frontend_.MoveToPhase(*this, phase, now);
   }
 }
 
-void ClientSession::OnWritten() { ProcessInput(); }
+void ClientSession::OnOutputFlushed() { ProcessInput(); }
 
 // A client that has closed and one that has only ended sending, and still awaits its response, cannot be told
 // apart until something is written.
-void ClientSession::OnPeerDone() {
+void ClientSession::OnEndOfStream() {
   if (state_ != State::kInFlight) return ProcessInput();
   CheckClientPresence();
 }
 
 bool ClientSession::HandleStartup() {
-  const pg::Frame frame = pg::ReadStartupFrame(connection_->in().All());
+  const pg::Frame frame = pg::ReadStartupFrame(connection_->input().Linearize());
   if (frame.framing == pg::Framing::kPartial) return false;
-  if (frame.framing != pg::Framing::kWhole) {
+  if (frame.framing != pg::Framing::kComplete) {
     FailConnection("08P01", "invalid length of startup packet");
     return false;
   }
-  const pg::Startup startup = pg::ReadStartup(frame.body);
-  message_arrived_at_ = connection_->CameAt(frame.size - 1);
+  const pg::Startup startup = pg::ReadStartupMessage(frame.body);
+  message_arrived_at_ = connection_->ArrivalTime(frame.size - 1);
   connection_->Consume(frame.size);
   switch (startup.kind) {
     case pg::StartupKind::kSsl:
@@ -221,7 +222,7 @@
       Write("N");
       return true;
     case pg::StartupKind::kCancel:  // the protocol has no response; closed whether or not the key is valid
-      frontend_.Cancel(startup.process, startup.secret, message_arrived_at_);
+      frontend_.Cancel(startup.process_id, startup.secret_key, message_arrived_at_);
       CloseGracefully();
       return false;
     case pg::StartupKind::kUnsupported:
@@ -230,27 +231,27 @@
     case pg::StartupKind::kMalformed:
       FailConnection("08P01", "invalid startup packet layout");
       return false;
-    case pg::StartupKind::kStart:
+    case pg::StartupKind::kStartup:
       break;
   }
   std::string hello;
-  if (startup.minor > 0) pg::AppendNegotiate(hello, 3u << 16);
+  if (startup.minor_version > 0) pg::AppendNegotiateProtocolVersion(hello, 3u << 16);
   pg::AppendAuthenticationOk(hello);
-  pg::AppendStatus(hello, "server_version", "15.0");
-  pg::AppendStatus(hello, "server_encoding", "UTF8");
-  pg::AppendStatus(hello, "client_encoding", "UTF8");
-  pg::AppendStatus(hello, "standard_conforming_strings", "on");
+  pg::AppendParameterStatus(hello, "server_version", "15.0");
+  pg::AppendParameterStatus(hello, "server_encoding", "UTF8");
+  pg::AppendParameterStatus(hello, "client_encoding", "UTF8");
+  pg::AppendParameterStatus(hello, "standard_conforming_strings", "on");
   process_ = frontend_.AssignProcessNumber(*this);
   secret_ = RandomSecret();
-  pg::AppendBackendKey(hello, process_, secret_);
-  pg::AppendReady(hello);
+  pg::AppendBackendKeyData(hello, process_, secret_);
+  pg::AppendReadyForQuery(hello);
   state_ = State::kReady;
   Write(hello);
   return true;
 }
 
 bool ClientSession::HandleMessage() {
-  const pg::Frame frame = pg::ReadFrame(connection_->in().All());
+  const pg::Frame frame = pg::ReadFrame(connection_->input().Linearize());
   switch (frame.framing) {
     case pg::Framing::kPartial:
       return false;
@@ -260,7 +261,7 @@
     case pg::Framing::kMalformed:
       FailConnection("08P01", "invalid frontend message");
       return false;
-    case pg::Framing::kWhole:
+    case pg::Framing::kComplete:
       break;
   }
   if (frame.type == 'X') {
@@ -278,7 +279,7 @@
     FailConnection("08P01", "a query without its end");
     return false;
   }
-  message_arrived_at_ = connection_->CameAt(frame.size - 1);
+  message_arrived_at_ = connection_->ArrivalTime(frame.size - 1);
   HandleQuery(*text);
   if (!connection_->closed()) connection_->Consume(frame.size);
   return true;
@@ -290,13 +291,13 @@
   if (from == std::string_view::npos) {
     // The load balancer adds a pooler on this response: it is sent only once requests can be served.
     if (!frontend_.ready()) return SendError("57P03", "the pooler is starting up");
-    pg::AppendEmptyQuery(out);
+    pg::AppendEmptyQueryResponse(out);
     return SendResponse(out);
   }
   const std::string_view rest = text.substr(from);
   for (const std::string_view word : {"SET", "RESET", "DISCARD"}) {
     if (!StartsWithWord(rest, word)) continue;
-    pg::AppendComplete(out, word);
+    pg::AppendCommandComplete(out, word);
     return SendResponse(out);
   }
   HandleRequest(text);
@@ -308,40 +309,40 @@
   if (statement == nullptr) return SendError("42601", error);
   const pg::Comment& comment = statement->comment();
   if (comment.id.empty()) return SendError("22023", "the comment names no id");
-  if (!comment.cluster) return SendError("22023", "the comment names no cluster");
-  if (!comment.budget_ms || *comment.budget_ms > 3600000) {
+  if (!comment.group) return SendError("22023", "the comment names no cluster");
+  if (!comment.time_budget_ms || *comment.time_budget_ms > 3600000) {
     return SendError("22023", "the comment gives no time that a client would wait");
   }
-  const auto cls = IndexOf(frontend_.classes_, comment.cls);
+  const auto cls = IndexOf(frontend_.classes_, comment.request_class);
   if (!cls) return SendError("22023", "the class is not known here");
   const auto tenant = IndexOf(frontend_.tenants_, comment.tenant);
   if (!tenant && !(frontend_.tenants_.empty() && comment.tenant.empty())) {
     return SendError("22023", "the tenant is not known here");
   }
   const RequestClass& kind = frontend_.kinds_[*cls];
-  if (kind.idempotency == Idempotency::kIdempotencyKey && comment.key.empty()) {
+  if (kind.idempotency == Idempotency::kIdempotencyKey && comment.idempotency_key.empty()) {
     return SendError("22023", "the class is keyed, and the comment names no key");
   }
   // Data servers would treat the second as a retry of the first.
   std::string id(comment.id);
   if (frontend_.open_ids_.contains(id)) return SendError("22023", "a request of this id is open already");
   proxy::Ask ask;
-  ask.event.group = GroupId(*comment.cluster);
+  ask.event.group = GroupId(*comment.group);
   ask.event.request_class = *cls;
   ask.event.tenant = tenant.value_or(0);
   if (kind.kind == AccessKind::kWrite || kind.kind == AccessKind::kSessionRead)
-    ask.event.session = comment.object;
+    ask.event.session = comment.object_id;
   // The client carries the watermark of its session; a time in the future cannot be that of a write.
-  if (kind.kind == AccessKind::kSessionRead && comment.after_ms) {
-    const LogPosition after{std::chrono::milliseconds(std::min(*comment.after_ms, kMaxWatermarkMs))};
+  if (kind.kind == AccessKind::kSessionRead && comment.session_write_ms) {
+    const LogPosition after{std::chrono::milliseconds(std::min(*comment.session_write_ms, kMaxWatermarkMs))};
     ask.event.required_position = std::min(after, frontend_.loop_.Now());
   }
-  ask.event.is_retry = comment.retry;
+  ask.event.is_retry = comment.is_retry;
   // The budget counts from the arrival of the last byte, so it includes the wait behind other requests. The
   // routing module rejects a request whose budget is used up.
   ask.event.waited = std::max(Duration{0}, frontend_.loop_.Now() - message_arrived_at_);
   ask.event.time_left =
-      frontend_.LimitToShutdown(std::chrono::milliseconds(*comment.budget_ms) - ask.event.waited);
+      frontend_.LimitToShutdown(std::chrono::milliseconds(*comment.time_budget_ms) - ask.event.waited);
   ask.work = statement;
   state_ = State::kInFlight;
   accept_cancels_from_ = std::max(frontend_.loop_.Now(), last_response_at_ + Duration(1));
@@ -374,7 +375,7 @@
 
 void ClientSession::SendError(std::string_view code, std::string_view message, std::string_view detail) {
   std::string out;
-  pg::AppendError(out, "ERROR", code, message, detail);
+  pg::AppendErrorResponse(out, "ERROR", code, message, detail);
   SendResponse(out);
 }
 
@@ -385,7 +386,7 @@
     last_response_at_ = frontend_.loop_.Now();
   }
   state_ = State::kReady;
-  pg::AppendReady(bytes);
+  pg::AppendReadyForQuery(bytes);
   const auto self = shared_from_this();
   Write(bytes);
   if (!connection_->closed()) ProcessInput();
@@ -402,7 +403,7 @@
     spdlog::info("client closed: {} ({}); {} more lines like this left out", message, code, left_out);
   }
   std::string out;
-  pg::AppendError(out, "FATAL", code, message);
+  pg::AppendErrorResponse(out, "FATAL", code, message);
   Write(out);
   if (connection_->closed()) return;
   CloseGracefully();
--- a/src/frontend/client_session.h
+++ b/src/frontend/client_session.h
@@ -52,7 +52,7 @@
   // the connection, and the reset overtakes the last response.
   void CloseGracefully();
   // Whether all input has been read and processed.
-  bool HasNoUnreadInput() const { return connection_->in().empty() && !connection_->SomethingCame(); }
+  bool HasNoUnreadInput() const { return connection_->input().empty() && !connection_->HasPendingInput(); }
   // Handles a CancelRequest, which arrived on another connection at `arrived_at`.
   void Cancel(std::uint32_t secret, TimePoint arrived_at);
   // Aborts the request in flight shortly before the process exits.
@@ -67,9 +67,9 @@
   enum class State { kStartup, kReady, kInFlight, kClosing };
 
   void OnReadable() override { ProcessInput(); }
-  void OnWritten() override;
-  void OnPeerDone() override;
-  void OnBroken() override { Close(); }
+  void OnOutputFlushed() override;
+  void OnEndOfStream() override;
+  void OnDisconnected() override { Close(); }
   void Served(const proxy::Answer& answer) override;
   void Refused(Duration retry_after) override;
   void Failed() override;
@@ -92,7 +92,7 @@
   void FailConnection(std::string_view code, std::string_view message);
 
   Frontend& frontend_;
-  net::Slot slot_;
+  net::DescriptorSlot slot_;
   std::shared_ptr<net::Connection> connection_;
   State state_ = State::kStartup;
   bool processing_ = false;
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -62,13 +62,13 @@
       sweep_timer_(loop),
       drain_timer_(loop),
       abort_timer_(loop) {
-  sweep_timer_.After(kSweepInterval, [this] { CloseExpired(); });
+  sweep_timer_.ScheduleAfter(kSweepInterval, [this] { CloseExpired(); });
 }
 
 Frontend::~Frontend() = default;
 
 bool Frontend::MayAccept() {
-  return budget_.ClientFits() || CloseLeastActive() || (make_room_() && budget_.ClientFits());
+  return budget_.CanAddClient() || CloseLeastActive() || (make_room_() && budget_.CanAddClient());
 }
 
 void Frontend::StartSession(net::ObjectPtr<GSocket> socket) {
@@ -148,10 +148,10 @@
   if (stopping_) return CloseExpiredWhileStopping();
   ExpireOlderThan(ClientSession::Phase::kAwaitingInput, kInputTimeout);
   ExpireOlderThan(ClientSession::Phase::kAwaitingWrite, kWriteTimeout);
-  ExpireOlderThan(ClientSession::Phase::kIdle, budget_.ClientsOver(4)   ? kIdleTimeoutFull
-                                               : budget_.ClientsOver(8) ? kIdleTimeoutCrowded
-                                                                        : kIdleTimeout);
-  sweep_timer_.After(kSweepInterval, [this] { CloseExpired(); });
+  ExpireOlderThan(ClientSession::Phase::kIdle, budget_.ClientsExceedFraction(4)   ? kIdleTimeoutFull
+                                               : budget_.ClientsExceedFraction(8) ? kIdleTimeoutCrowded
+                                                                                  : kIdleTimeout);
+  sweep_timer_.ScheduleAfter(kSweepInterval, [this] { CloseExpired(); });
 }
 
 Duration Frontend::LimitToShutdown(Duration budget) const {
@@ -163,9 +163,9 @@
   if (drain_started_) return;
   done_ = std::move(done);
   drain_started_ = loop_.Now();
-  drain_timer_.After(std::max(kMinDrainTime, kill_grace_ - kCloseListenerMargin),
-                     [this] { CloseListener(); });
-  abort_timer_.After(kill_grace_ - kAbortMargin, [this] { AbortInFlight(); });
+  drain_timer_.ScheduleAfter(std::max(kMinDrainTime, kill_grace_ - kCloseListenerMargin),
+                             [this] { CloseListener(); });
+  abort_timer_.ScheduleAfter(kill_grace_ - kAbortMargin, [this] { AbortInFlight(); });
 }
 
 // No new connections from here on. Requests received are completed, those of the last connections included;
@@ -186,7 +186,7 @@
     if (loop_.Now() - session->phase_since_ >= time) expired.push_back(sessions_.at(session));
   }
   for (const auto& session : expired) session->Expire();
-  sweep_timer_.After(kStoppingSweepInterval, [this] { CloseExpired(); });
+  sweep_timer_.ScheduleAfter(kStoppingSweepInterval, [this] { CloseExpired(); });
 }
 
 void Frontend::AbortInFlight() {
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -78,7 +78,7 @@
   std::array<SessionList, ClientSession::kPhaseCount> sessions_by_phase_;
   std::unordered_set<std::string> open_ids_;  // of the requests in flight
   std::unordered_map<std::uint32_t, ClientSession*> sessions_by_process_;
-  net::LogLimit error_log_limit_;
+  net::LogRateLimiter error_log_limit_;
   Duration kill_grace_;  // from SIGTERM to the earliest possible kill
   net::Timer sweep_timer_;
   net::Timer drain_timer_;
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -42,8 +42,8 @@
 // The endpoint list of the configuration, and in `revision` the one to watch discovery from.
 ListEvent Instance::ReadKnownList(std::int64_t& revision) {
   ListEvent event{ListKind::kPersisted, {}};
-  if (config_.known.empty()) return event;
-  const auto known = reader_.Read(config_.known);
+  if (config_.known_endpoint_list.empty()) return event;
+  const auto known = reader_.Read(config_.known_endpoint_list);
   if (!known) {
     spdlog::warn("configuration: endpoint list ignored; cause=\"{}\"", Describe(known.error()));
     return event;
@@ -59,7 +59,7 @@
 
 tl::expected<void, StartError> Instance::StartSessionConsistency() {
   if (settings_.sessions.scope != consistency::Scope::kEverywhere) return {};
-  const TimePoint now = loop_.Precise();
+  const TimePoint now = loop_.PreciseNow();
   const RecoveredKnowledge recovered = StartDurability(now);
   proxy_.consistency_guard().HandleStart(now, recovered.complete_through);
   if (auto started = StartReplication(recovered.complete); !started) return started;
@@ -170,7 +170,7 @@
   proxy_.ListChanged({update.complete ? ListKind::kComplete : ListKind::kPartial, ApplyAddresses(update)});
   // Unless deletions are binding, requests may still be sent to a deleted server.
   if (!config_.settings.unlisted_stay_usable) {
-    for (const ServerId server : reader_.RemoveEnded(update)) host_.forget(server);
+    for (const ServerId server : reader_.RemoveDeleted(update)) host_.forget(server);
   }
   if (host_.changed) host_.changed();
 }
--- a/src/instance.h
+++ b/src/instance.h
@@ -63,7 +63,7 @@
   const proxy::Proxy& proxy() const { return proxy_; }
   // The exchange with the others; null where the settings name none.
   const replication::ReplicationService* peers() const { return replication_.get(); }
-  std::size_t data_servers() const { return reader_.known_servers(); }
+  std::size_t data_servers() const { return reader_.known_server_count(); }
 
  private:
   // What recovery has found of the writes that this instance answered before its start.
--- a/src/net/arrivals.cpp
+++ b/src/net/arrivals.cpp
@@ -4,7 +4,7 @@
 
 namespace lynxgrade::net {
 
-void Arrivals::Came(std::size_t count, TimePoint at) {
+void ArrivalTimes::RecordArrival(std::size_t count, TimePoint at) {
   if (count == 0) return;
   newest_ = std::max(newest_, at);
   size_ += count;
@@ -24,7 +24,7 @@
   grain_ *= 2;
 }
 
-void Arrivals::Consume(std::size_t count) {
+void ArrivalTimes::Consume(std::size_t count) {
   count = std::min(count, size_);
   size_ -= count;
   if (size_ == 0) {
@@ -38,7 +38,7 @@
   stretches_.erase(stretches_.begin(), first);
 }
 
-TimePoint Arrivals::At(std::size_t offset) const {
+TimePoint ArrivalTimes::TimeAt(std::size_t offset) const {
   for (const Stretch& stretch : stretches_) {
     if (offset < stretch.size) return stretch.at;
     offset -= stretch.size;
--- a/src/net/arrivals.h
+++ b/src/net/arrivals.h
@@ -9,16 +9,16 @@
 
 namespace lynxgrade::net {
 
-class Arrivals {
+class ArrivalTimes {
  public:
   // `count` more bytes, none of which came before `at`. Times that fall back are taken for the last one.
-  void Came(std::size_t count, TimePoint at);
+  void RecordArrival(std::size_t count, TimePoint at);
   // The first `count` bytes are gone.
   void Consume(std::size_t count);
   // When the byte at `offset` came, at the earliest; the newest time known where there is none.
-  TimePoint At(std::size_t offset) const;
+  TimePoint TimeAt(std::size_t offset) const;
   // How many bytes from the first on have one time.
-  std::size_t First() const { return stretches_.empty() ? 0 : stretches_.front().size; }
+  std::size_t FirstSpanBytes() const { return stretches_.empty() ? 0 : stretches_.front().size; }
   std::size_t size() const { return size_; }
 
  private:
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -47,7 +47,7 @@
   ErrorSlot error;
   ObjectPtr<GSocket> socket(g_socket_new(family, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error.out()));
   // GIO names the shortage of descriptors by its own code.
-  if (socket == nullptr) *full = error.Is(G_IO_ERROR_TOO_MANY_OPEN_FILES);
+  if (socket == nullptr) *full = error.Matches(G_IO_ERROR_TOO_MANY_OPEN_FILES);
   if (socket != nullptr) g_socket_set_blocking(socket.get(), FALSE);
   return socket;
 }
@@ -69,8 +69,8 @@
   return made;
 }
 
-std::shared_ptr<Connection> Connection::Open(Loop& loop, const Address& address, Owner& owner,
-                                             std::size_t in_limit, std::size_t out_limit, bool* full) {
+std::shared_ptr<Connection> Connection::Connect(Loop& loop, const Address& address, Owner& owner,
+                                                std::size_t in_limit, std::size_t out_limit, bool* full) {
   const ObjectPtr<GSocketAddress> target = SocketAddress(address);
   if (target == nullptr) return nullptr;
   ObjectPtr<GSocket> socket = NewSocket(g_socket_address_get_family(target.get()), full);
@@ -78,7 +78,7 @@
   std::shared_ptr<Connection> made(new Connection(loop, std::move(socket), owner, in_limit, out_limit));
   ErrorSlot error;
   if (!g_socket_connect(made->socket_.get(), target.get(), nullptr, error.out()) &&
-      !error.Is(G_IO_ERROR_PENDING)) {
+      !error.Matches(G_IO_ERROR_PENDING)) {
     return nullptr;
   }
   made->writing_ = true;  // an opening connection becomes writable when it is up or has failed
@@ -112,7 +112,7 @@
   if (broken_ || (over && (peer_done_ || paused_))) return Break();
   if ((events & EPOLLOUT) != 0 && writing_) {
     Flush();
-    if (!closed() && !broken_ && out_.empty()) owner_->OnWritten();
+    if (!closed() && !broken_ && out_.empty()) owner_->OnOutputFlushed();
   }
   if (closed() || broken_ || peer_done_ || paused_) return;
   if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0) Read();
@@ -124,7 +124,7 @@
   writing_ = false;
   Watch();
   if (!out_.empty()) Flush();  // what was written before it was up
-  owner_->OnUp();
+  owner_->OnConnected();
 }
 
 void Connection::Read() {
@@ -144,7 +144,7 @@
     }
     if (count == 0) {
       peer_done_ = true;
-    } else if (!error.Is(G_IO_ERROR_WOULD_BLOCK)) {
+    } else if (!error.Matches(G_IO_ERROR_WOULD_BLOCK)) {
       broken = true;
     }
     break;
@@ -153,9 +153,9 @@
   if (came) owner_->OnReadable();
   if (closed()) return;
   if (broken) return Break();
-  if (peer_done_) return owner_->OnPeerDone();
+  if (peer_done_) return owner_->OnEndOfStream();
   // A full ring that its owner leaves as it is must not spin on a readable socket.
-  if (in_.room() == 0) PauseReading();
+  if (in_.free_space() == 0) PauseReading();
 }
 
 bool Connection::Write(std::string_view bytes) {
@@ -172,7 +172,7 @@
     if (count < 0) {
       // The owner may be in the middle of something: it is told of a broken connection by the poller, as the
       // kernel reports it from now on.
-      broken_ = !error.Is(G_IO_ERROR_WOULD_BLOCK);
+      broken_ = !error.Matches(G_IO_ERROR_WOULD_BLOCK);
       writing_ = !broken_;
       return Watch();
     }
@@ -183,13 +183,13 @@
   if (ending_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
 }
 
-void Connection::EndSending() {
+void Connection::ShutdownSending() {
   if (closed() || broken_) return;
   ending_ = true;
   Flush();
 }
 
-void Connection::KeepArrivals(TimePoint from) {
+void Connection::RecordArrivalTimes(TimePoint from) {
   keeps_arrivals_ = true;
   looked_ = from;
 }
@@ -201,54 +201,54 @@
 
 void Connection::KeepArrival(std::size_t count) {
   while (count > 0 && ahead_.size() > 0) {
-    const std::size_t part = std::min(count, ahead_.First());
-    arrivals_.Came(part, ahead_.At(0));
+    const std::size_t part = std::min(count, ahead_.FirstSpanBytes());
+    arrivals_.RecordArrival(part, ahead_.TimeAt(0));
     ahead_.Consume(part);
     count -= part;
   }
   if (count == 0) return;
   const TimePoint now = loop_.Now();
-  TimePoint at = loop_.Since();
+  TimePoint at = loop_.EarliestArrival();
   if (looked_ != TimePoint{}) at = std::min(at, std::exchange(looked_, TimePoint{}));
   if (now - at >= kLate) {
     if (const auto ago = SinceNewest(descriptor())) at = std::clamp(now - *ago, at, now);
   }
-  arrivals_.Came(count, at);
+  arrivals_.RecordArrival(count, at);
 }
 
-void Connection::LookAhead() {
+void Connection::RecordUnreadArrivals() {
   if (!paused_ || !keeps_arrivals_ || closed()) return;
   const gssize there = g_socket_get_available_bytes(socket_.get());
   if (there < 0) return;  // not to be told: all of it may have come since the last look
   const TimePoint now = loop_.Now();
   const auto count = static_cast<std::size_t>(there);
-  if (count > ahead_.size()) ahead_.Came(count - ahead_.size(), std::min(looked_, now));
+  if (count > ahead_.size()) ahead_.RecordArrival(count - ahead_.size(), std::min(looked_, now));
   looked_ = now;
 }
 
 void Connection::PauseReading() {
   if (paused_) return;
   paused_ = true;
-  looked_ = loop_.Since();
-  LookAhead();
+  looked_ = loop_.EarliestArrival();
+  RecordUnreadArrivals();
   Watch();
 }
 
 void Connection::ResumeReading() {
   if (!paused_) return;
-  LookAhead();
+  RecordUnreadArrivals();
   paused_ = false;
   Watch();
 }
 
-bool Connection::SomethingCame() const {
+bool Connection::HasPendingInput() const {
   return closed() || broken_ || peer_done_ || g_socket_condition_check(socket_.get(), G_IO_IN) != 0;
 }
 
 void Connection::Break() {
   broken_ = over_ = true;
   Unwatch();
-  owner_->OnBroken();
+  owner_->OnDisconnected();
 }
 
 void Connection::Close() {
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -29,11 +29,11 @@
  public:
   class Owner {
    public:
-    virtual void OnUp() {}          // a connection that was opened is up
-    virtual void OnReadable() = 0;  // the incoming ring has grown
-    virtual void OnWritten() {}     // the outgoing ring has run empty
-    virtual void OnPeerDone() = 0;  // the peer sends no more; what came before has been read
-    virtual void OnBroken() = 0;    // refused, reset or hung up: nothing can be sent or read any more
+    virtual void OnConnected() {}       // a connection that was opened is up
+    virtual void OnReadable() = 0;      // the incoming ring has grown
+    virtual void OnOutputFlushed() {}   // the outgoing ring has run empty
+    virtual void OnEndOfStream() = 0;   // the peer sends no more; what came before has been read
+    virtual void OnDisconnected() = 0;  // refused, reset or hung up: nothing can be sent or read any more
 
    protected:
     ~Owner() = default;
@@ -43,30 +43,30 @@
   static std::shared_ptr<Connection> Adopt(Loop& loop, ObjectPtr<GSocket> socket, Owner& owner,
                                            std::size_t in_limit, std::size_t out_limit);
   // Opens a connection; nothing where it fails at once, with `full` set if for want of a descriptor.
-  static std::shared_ptr<Connection> Open(Loop& loop, const Address& address, Owner& owner,
-                                          std::size_t in_limit, std::size_t out_limit, bool* full);
+  static std::shared_ptr<Connection> Connect(Loop& loop, const Address& address, Owner& owner,
+                                             std::size_t in_limit, std::size_t out_limit, bool* full);
   ~Connection();
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  RingBuffer& in() { return in_; }
+  RingBuffer& input() { return in_; }
   // From now on it is kept when what is in the ring has come; `from`: the first of it no earlier than this.
-  void KeepArrivals(TimePoint from);
+  void RecordArrivalTimes(TimePoint from);
   // When the byte at `offset` of the ring has come, as far as can be told; never later than it did by more
   // than the kernel's clock ticks.
-  TimePoint CameAt(std::size_t offset) const { return arrivals_.At(offset); }
+  TimePoint ArrivalTime(std::size_t offset) const { return arrivals_.TimeAt(offset); }
   // Takes `count` bytes out of the ring.
   void Consume(std::size_t count);
   // While reading is paused: looks how much has come meanwhile, so that it is known from when it is.
-  void LookAhead();
-  bool up() const { return up_; }
-  bool paused() const { return paused_; }
+  void RecordUnreadArrivals();
+  bool connected() const { return up_; }
+  bool reading_paused() const { return paused_; }
   bool closed() const { return socket_ == nullptr; }
   int descriptor() const { return closed() ? -1 : g_socket_get_fd(socket_.get()); }
-  bool peer_done() const { return peer_done_; }
+  bool end_of_stream() const { return peer_done_; }
   // Whether everything given to Write has been handed to the kernel.
   bool all_written() const { return out_.empty(); }
-  std::size_t queued() const { return out_.size(); }
+  std::size_t unsent_bytes() const { return out_.size(); }
 
   // Sends now what the kernel takes and keeps the rest. False: it does not fit, and nothing was taken.
   bool Write(std::string_view bytes);
@@ -74,9 +74,9 @@
   void PauseReading();
   void ResumeReading();
   // Ends the sending once all is written; the peer can still be read.
-  void EndSending();
+  void ShutdownSending();
   // Whether bytes or an end have come that were not read yet.
-  bool SomethingCame() const;
+  bool HasPendingInput() const;
   void Close();
 
  private:
@@ -99,9 +99,9 @@
   RingBuffer in_;
   RingBuffer out_;
   bool keeps_arrivals_ = false;
-  Arrivals arrivals_;   // of what is in the ring
-  Arrivals ahead_;      // of what was seen in the kernel while reading was paused
-  TimePoint looked_{};  // what is not in `ahead_` has come after this; zero: as the loop says
+  ArrivalTimes arrivals_;  // of what is in the ring
+  ArrivalTimes ahead_;     // of what was seen in the kernel while reading was paused
+  TimePoint looked_{};     // what is not in `ahead_` has come after this; zero: as the loop says
   std::optional<std::uint32_t> watched_;  // what the poller was told
   bool writing_ = false;                  // room to write is waited for: to be up, or to send the rest
   bool up_ = false;
--- a/src/net/descriptor_budget.h
+++ b/src/net/descriptor_budget.h
@@ -13,15 +13,15 @@
   explicit DescriptorBudget(std::size_t limit)
       : all_(limit > 2 * kReserve ? limit - kReserve : limit / 2), least_(all_ / 4) {}
 
-  bool ClientFits() const { return Fits(clients_); }
-  bool BackendFits() const { return Fits(backends_); }
+  bool CanAddClient() const { return Fits(clients_); }
+  bool CanAddBackend() const { return Fits(backends_); }
   // Whether clients hold more than one part in so many of all. They may use a third for requests, and share
   // it.
-  bool ClientsOver(std::size_t part) const { return clients_ > all_ / part; }
+  bool ClientsExceedFraction(std::size_t part) const { return clients_ > all_ / part; }
 
   std::size_t& clients() { return clients_; }
   std::size_t& backends() { return backends_; }
-  std::size_t all() const { return all_; }
+  std::size_t total() const { return all_; }
 
  private:
   static constexpr std::size_t kReserve = 40;
@@ -35,12 +35,12 @@
 };
 
 // Counts one descriptor while it lives.
-class Slot {
+class DescriptorSlot {
  public:
-  explicit Slot(std::size_t& count) : count_(&count) { ++*count_; }
-  ~Slot() { --*count_; }
-  Slot(const Slot&) = delete;
-  Slot& operator=(const Slot&) = delete;
+  explicit DescriptorSlot(std::size_t& count) : count_(&count) { ++*count_; }
+  ~DescriptorSlot() { --*count_; }
+  DescriptorSlot(const DescriptorSlot&) = delete;
+  DescriptorSlot& operator=(const DescriptorSlot&) = delete;
 
  private:
   std::size_t* count_;
--- a/src/net/glib_ptr.h
+++ b/src/net/glib_ptr.h
@@ -26,8 +26,8 @@
   ErrorSlot(const ErrorSlot&) = delete;
   ErrorSlot& operator=(const ErrorSlot&) = delete;
   GError** out() { return &error_; }
-  bool Is(GIOErrorEnum code) const { return g_error_matches(error_, G_IO_ERROR, code); }
-  const char* text() const { return error_ == nullptr ? "no error" : error_->message; }
+  bool Matches(GIOErrorEnum code) const { return g_error_matches(error_, G_IO_ERROR, code); }
+  const char* message() const { return error_ == nullptr ? "no error" : error_->message; }
 
  private:
   GError* error_ = nullptr;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -34,7 +34,7 @@
   if (!g_socket_bind(socket_.get(), local.get(), TRUE, error.out()) ||
       !g_socket_listen(socket_.get(), error.out())) {
     socket_.reset();
-    return tl::unexpected(ListenError{ListenError::Reason::kSystem, error.text()});
+    return tl::unexpected(ListenError{ListenError::Reason::kSystem, error.message()});
   }
   Watch();
   return {};
@@ -58,7 +58,7 @@
 }
 
 void Listener::Accept(int most) {
-  if (!left_) queued_since_ = loop_.Since();
+  if (!left_) queued_since_ = loop_.EarliestArrival();
   left_ = true;
   for (int i = 0; i < most && socket_ != nullptr; ++i) {
     if (!may_()) return PauseAWhile();
@@ -68,19 +68,19 @@
       accepted_(std::move(client));
       continue;
     }
-    if (error.Is(G_IO_ERROR_WOULD_BLOCK)) {
+    if (error.Matches(G_IO_ERROR_WOULD_BLOCK)) {
       left_ = false;
       return;
     }
     // Out of descriptors: the connection stays queued and readable, so look again later, not in a spin.
-    spdlog::warn("accept failed: {}", error.text());
+    spdlog::warn("accept failed: {}", error.message());
     return PauseAWhile();
   }
 }
 
 void Listener::PauseAWhile() {
   source_.reset();
-  again_.After(kPauseWhenFull, [this] {
+  again_.ScheduleAfter(kPauseWhenFull, [this] {
     if (socket_ != nullptr) Watch();
   });
 }
@@ -88,7 +88,7 @@
 void Listener::Close() {
   if (socket_ == nullptr) return;
   Accept(kBacklog);
-  again_.Clear();
+  again_.Cancel();
   source_.reset();
   g_socket_close(socket_.get(), nullptr);
   socket_.reset();
--- a/src/net/log_limit.h
+++ b/src/net/log_limit.h
@@ -7,9 +7,9 @@
 
 namespace lynxgrade::net {
 
-class LogLimit {
+class LogRateLimiter {
  public:
-  explicit LogLimit(Loop& loop) : loop_(loop) {}
+  explicit LogRateLimiter(Loop& loop) : loop_(loop) {}
 
   // Whether one more line may be written; `left_out` is how many were not since the last one that was.
   bool Allows(std::uint64_t& left_out) {
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -36,7 +36,7 @@
   g_loop = nullptr;
 }
 
-TimePoint Loop::Precise() const {
+TimePoint Loop::PreciseNow() const {
   return std::max(now_, unix_anchor_ + std::chrono::duration_cast<Duration>(SteadyNow() - anchor_));
 }
 
@@ -46,10 +46,10 @@
 }
 
 gint Loop::Poll(GPollFD* fds, guint count, gint timeout) {
-  const TimePoint entered = g_loop != nullptr ? g_loop->Precise() : TimePoint{};
+  const TimePoint entered = g_loop != nullptr ? g_loop->PreciseNow() : TimePoint{};
   const gint ready = g_poll(fds, count, timeout);
   if (g_loop == nullptr) return ready;
-  const TimePoint now = g_loop->Precise();
+  const TimePoint now = g_loop->PreciseNow();
   const Duration waited = now - entered;
   if (timeout == 0 || waited < kAtOnce) {
     g_loop->since_ = g_loop->now_;  // it was there already: it came at any time in the last pass
@@ -62,7 +62,7 @@
   return ready;
 }
 
-Loop::TimerKey Loop::At(TimePoint when, std::function<void()> call) {
+Loop::TimerKey Loop::Schedule(TimePoint when, std::function<void()> call) {
   const TimerKey key{when, next_++};
   timers_.emplace(key, std::move(call));
   // A separate step: the operands of one comparison are evaluated in any order, and begin() taken before the
@@ -71,7 +71,7 @@
   return key;
 }
 
-void Loop::Drop(const TimerKey& key) {
+void Loop::Cancel(const TimerKey& key) {
   const auto it = timers_.find(key);
   if (it == timers_.end()) return;
   const bool first = it == timers_.begin();
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -26,10 +26,10 @@
   // The time at which this pass over the sources began: the same for all that one pass brings.
   TimePoint Now() const { return now_; }
   // The clock as it stands at this moment; never behind Now().
-  TimePoint Precise() const;
+  TimePoint PreciseNow() const;
   // What this pass brings has come no earlier than this: what comes during a long pass waits for the next
   // one, and what comes to a process that stands still waits until it goes on.
-  TimePoint Since() const { return since_; }
+  TimePoint EarliestArrival() const { return since_; }
 
   Poller& poller() { return poller_; }
 
@@ -37,9 +37,9 @@
   void Stop() { running_ = false; }
 
   using TimerKey = std::pair<TimePoint, std::uint64_t>;
-  TimerKey At(TimePoint when, std::function<void()> call);
-  void Drop(const TimerKey& key);
-  std::size_t timers() const { return timers_.size(); }
+  TimerKey Schedule(TimePoint when, std::function<void()> call);
+  void Cancel(const TimerKey& key);
+  std::size_t timer_count() const { return timers_.size(); }
 
  private:
   static gint Poll(GPollFD* fds, guint count, gint timeout);
@@ -62,26 +62,28 @@
 class Timer {
  public:
   explicit Timer(Loop& loop) : loop_(&loop) {}
-  ~Timer() { Clear(); }
+  ~Timer() { Cancel(); }
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  void Set(TimePoint when, std::function<void()> call) {
-    Clear();
+  void ScheduleAt(TimePoint when, std::function<void()> call) {
+    Cancel();
     armed_ = true;
     // The loop holds the call while it runs: it may set this timer anew, or destroy it.
-    key_ = loop_->At(when, [this, call = std::move(call)] {
+    key_ = loop_->Schedule(when, [this, call = std::move(call)] {
       armed_ = false;
       call();
     });
   }
-  void After(Duration delay, std::function<void()> call) { Set(loop_->Now() + delay, std::move(call)); }
-  void Clear() {
-    if (armed_) loop_->Drop(key_);
+  void ScheduleAfter(Duration delay, std::function<void()> call) {
+    ScheduleAt(loop_->Now() + delay, std::move(call));
+  }
+  void Cancel() {
+    if (armed_) loop_->Cancel(key_);
     armed_ = false;
   }
   bool armed() const { return armed_; }
-  std::optional<TimePoint> due() const { return armed_ ? std::optional(key_.first) : std::nullopt; }
+  std::optional<TimePoint> deadline() const { return armed_ ? std::optional(key_.first) : std::nullopt; }
 
  private:
   Loop* loop_;
--- a/src/net/ring_buffer.cpp
+++ b/src/net/ring_buffer.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 bool RingBuffer::Append(std::string_view bytes) {
-  if (bytes.size() > room()) return false;
+  if (bytes.size() > free_space()) return false;
   if (bytes.empty()) return true;
   if (size_ + bytes.size() > capacity_) Grow(size_ + bytes.size());
   const std::size_t tail = (head_ + size_) % capacity_;
@@ -37,7 +37,7 @@
   return {data_.get() + head_, std::min(size_, capacity_ - head_)};
 }
 
-std::string_view RingBuffer::All() {
+std::string_view RingBuffer::Linearize() {
   if (head_ + size_ > capacity_) {
     std::rotate(data_.get(), data_.get() + head_, data_.get() + capacity_);
     head_ = 0;
--- a/src/net/ring_buffer.h
+++ b/src/net/ring_buffer.h
@@ -14,7 +14,7 @@
 
   std::size_t size() const { return size_; }
   bool empty() const { return size_ == 0; }
-  std::size_t room() const { return limit_ - size_; }
+  std::size_t free_space() const { return limit_ - size_; }
   std::size_t capacity() const { return capacity_; }
 
   // Takes all of `bytes`, or nothing where they do not fit under the limit.
@@ -32,7 +32,7 @@
   // The first stretch of the content, without moving anything.
   std::string_view Front() const;
   // The whole content in one piece; moves bytes only where the content wraps.
-  std::string_view All();
+  std::string_view Linearize();
   void Consume(std::size_t count);
 
  private:
--- a/src/pg/message.cpp
+++ b/src/pg/message.cpp
@@ -70,10 +70,10 @@
   const std::size_t length = U32(bytes.substr(1));
   if (length < 4) {
     frame.framing = Framing::kMalformed;
-  } else if (length > kMostMessage) {
+  } else if (length > kMaxMessageBytes) {
     frame.framing = Framing::kTooLong;
   } else if (bytes.size() >= length + 1) {
-    frame.framing = Framing::kWhole;
+    frame.framing = Framing::kComplete;
     frame.size = length + 1;
     frame.body = bytes.substr(kHead, length - 4);
   }
@@ -89,14 +89,14 @@
   } else if (length > kMostStartup) {
     frame.framing = Framing::kTooLong;
   } else if (bytes.size() >= length) {
-    frame.framing = Framing::kWhole;
+    frame.framing = Framing::kComplete;
     frame.size = length;
     frame.body = bytes.substr(kStartupHead, length - kStartupHead);
   }
   return frame;
 }
 
-Startup ReadStartup(std::string_view body) {
+Startup ReadStartupMessage(std::string_view body) {
   Startup startup;
   if (body.size() < 4) return startup;
   const std::uint32_t code = U32(body);
@@ -106,8 +106,8 @@
     if (code == kGssCode && body.empty()) startup.kind = StartupKind::kGssEncryption;
     if (code == kCancelCode && body.size() == 8) {
       startup.kind = StartupKind::kCancel;
-      startup.process = U32(body);
-      startup.secret = U32(body.substr(4));
+      startup.process_id = U32(body);
+      startup.secret_key = U32(body.substr(4));
     }
     return startup;
   }
@@ -115,7 +115,7 @@
     startup.kind = StartupKind::kUnsupported;
     return startup;
   }
-  startup.minor = static_cast<std::uint16_t>(code & 0xffff);
+  startup.minor_version = static_cast<std::uint16_t>(code & 0xffff);
   while (true) {
     const auto name = TakeText(body);
     if (!name) return startup;
@@ -125,7 +125,7 @@
     if (*name == "user") startup.user = *value;
     if (*name == "database") startup.database = *value;
   }
-  if (body.empty() && !startup.user.empty()) startup.kind = StartupKind::kStart;
+  if (body.empty() && !startup.user.empty()) startup.kind = StartupKind::kStartup;
   return startup;
 }
 
@@ -134,7 +134,7 @@
   return body.substr(0, body.size() - 1);
 }
 
-std::optional<ErrorFields> ReadError(std::string_view body) {
+std::optional<ErrorFields> ReadErrorFields(std::string_view body) {
   ErrorFields fields;
   while (!body.empty()) {
     const char name = body[0];
@@ -150,21 +150,21 @@
   return std::nullopt;
 }
 
-std::optional<Status> ReadStatus(std::string_view body) {
+std::optional<ParameterStatus> ReadParameterStatus(std::string_view body) {
   const auto name = TakeText(body);
   if (!name) return std::nullopt;
   const auto value = TakeText(body);
   if (!value || !body.empty()) return std::nullopt;
-  return Status{*name, *value};
+  return ParameterStatus{*name, *value};
 }
 
-std::optional<OneValue> ReadOneValue(std::string_view body) {
+std::optional<SingleColumnRow> ReadSingleColumnRow(std::string_view body) {
   if (body.size() < 6 || U16(body) != 1) return std::nullopt;
   const std::uint32_t length = U32(body.substr(2));
   const std::string_view value = body.substr(6);
-  if (length == 0xffffffff) return value.empty() ? std::optional(OneValue{}) : std::nullopt;
+  if (length == 0xffffffff) return value.empty() ? std::optional(SingleColumnRow{}) : std::nullopt;
   if (value.size() != length) return std::nullopt;
-  return OneValue{value};
+  return SingleColumnRow{value};
 }
 
 bool DescribesOneColumn(std::string_view body) {
@@ -173,7 +173,7 @@
   return TakeText(body) && body.size() == kColumnRest;
 }
 
-std::optional<std::string_view> ReadTag(std::string_view body) {
+std::optional<std::string_view> ReadCommandTag(std::string_view body) {
   const auto tag = TakeText(body);
   return tag && !tag->empty() && body.empty() ? tag : std::nullopt;
 }
@@ -184,7 +184,7 @@
   out += body;
 }
 
-void AppendStartup(std::string& out, std::string_view user, std::string_view database) {
+void AppendStartupMessage(std::string& out, std::string_view user, std::string_view database) {
   std::string body;
   PutU32(body, 3u << 16);
   for (const std::string_view text :
@@ -206,7 +206,7 @@
 
 void AppendAuthenticationOk(std::string& out) { AppendMessage(out, 'R', std::string_view("\0\0\0\0", 4)); }
 
-void AppendStatus(std::string& out, std::string_view name, std::string_view value) {
+void AppendParameterStatus(std::string& out, std::string_view name, std::string_view value) {
   std::string body(name);
   body += '\0';
   body += value;
@@ -214,35 +214,35 @@
   AppendMessage(out, 'S', body);
 }
 
-void AppendBackendKey(std::string& out, std::uint32_t process, std::uint32_t secret) {
+void AppendBackendKeyData(std::string& out, std::uint32_t process, std::uint32_t secret) {
   std::string body;
   PutU32(body, process);
   PutU32(body, secret);
   AppendMessage(out, 'K', body);
 }
 
-void AppendNegotiate(std::string& out, std::uint32_t newest) {
+void AppendNegotiateProtocolVersion(std::string& out, std::uint32_t newest) {
   std::string body;
   PutU32(body, newest);
   PutU32(body, 0);
   AppendMessage(out, 'v', body);
 }
 
-void AppendReady(std::string& out) { AppendMessage(out, 'Z', "I"); }
-void AppendEmptyQuery(std::string& out) { AppendMessage(out, 'I', ""); }
+void AppendReadyForQuery(std::string& out) { AppendMessage(out, 'Z', "I"); }
+void AppendEmptyQueryResponse(std::string& out) { AppendMessage(out, 'I', ""); }
 
-void AppendComplete(std::string& out, std::string_view tag) {
+void AppendCommandComplete(std::string& out, std::string_view tag) {
   std::string body(tag);
   body += '\0';
   AppendMessage(out, 'C', body);
 }
 
-void AppendError(std::string& out, std::string_view severity, std::string_view code, std::string_view message,
-                 std::string_view detail) {
+void AppendErrorResponse(std::string& out, std::string_view severity, std::string_view code,
+                         std::string_view message, std::string_view detail) {
   AppendFields(out, 'E', severity, code, message, detail);
 }
 
-void AppendNotice(std::string& out, std::string_view message) {
+void AppendNoticeResponse(std::string& out, std::string_view message) {
   AppendFields(out, 'N', "NOTICE", "00000", message, {});
 }
 
--- a/src/pg/statement.cpp
+++ b/src/pg/statement.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::optional<std::int64_t> ReadWhole(std::string_view text) {
+std::optional<std::int64_t> ParseInteger(std::string_view text) {
   std::int64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (text.empty() || error != std::errc() || end != text.data() + text.size()) return std::nullopt;
@@ -52,42 +52,42 @@
     const std::string_view name = Trimmed(item.substr(0, equals));
     const std::string_view value = Trimmed(item.substr(equals + 1));
     if (name == "id") comment.id = value;
-    if (name == "c") comment.cls = value;
+    if (name == "c") comment.request_class = value;
     if (name == "t") comment.tenant = value;
-    if (name == "k") comment.key = value;
-    if (name == "r") comment.retry = value == "1";
+    if (name == "k") comment.idempotency_key = value;
+    if (name == "r") comment.is_retry = value == "1";
     if (name == "d" || name == "cluster" || name == "after") {
-      const auto number = ReadWhole(value);
+      const auto number = ParseInteger(value);
       if (!number || *number < 0) {
         wrong = "the value of " + std::string(name) + " is not a whole number";
         return std::nullopt;
       }
       if (name != "d") {
-        (name == "cluster" ? comment.cluster : comment.after_ms) = number;
+        (name == "cluster" ? comment.group : comment.session_write_ms) = number;
         continue;
       }
-      comment.budget_ms = number;
-      comment.budget_from = static_cast<std::size_t>(value.data() - statement.data());
-      comment.budget_size = value.size();
+      comment.time_budget_ms = number;
+      comment.time_budget_offset = static_cast<std::size_t>(value.data() - statement.data());
+      comment.time_budget_size = value.size();
     }
   }
   const std::string_view rest = statement.substr(end + 2);
   const std::size_t quote = rest.find('\'');
   if (quote != std::string_view::npos) {
     const std::string_view quoted = rest.substr(quote + 1);
-    comment.object = quoted.substr(0, quoted.find('\''));
+    comment.object_id = quoted.substr(0, quoted.find('\''));
   }
   return comment;
 }
 
-std::string WithBudget(std::string_view statement, const Comment& comment, std::int64_t budget_ms) {
-  std::string out(statement.substr(0, comment.budget_from));
+std::string ReplaceTimeBudget(std::string_view statement, const Comment& comment, std::int64_t budget_ms) {
+  std::string out(statement.substr(0, comment.time_budget_offset));
   out += std::to_string(budget_ms);
-  out += statement.substr(comment.budget_from + comment.budget_size);
+  out += statement.substr(comment.time_budget_offset + comment.time_budget_size);
   return out;
 }
 
-std::optional<std::map<std::string, double>> ReadReport(std::string_view text) {
+std::optional<std::map<std::string, double>> ReadLoadReport(std::string_view text) {
   std::map<std::string, double> fields;
   while (!text.empty()) {
     const std::string_view item = TakeItem(text);
--- a/src/pooler.cpp
+++ b/src/pooler.cpp
@@ -25,7 +25,7 @@
     : config_(config),
       settings_(settings),
       budget_(DescriptorLimit(config)),
-      pool_(loop_, {config.settings.connect_timeout, config.idle}, budget_,
+      pool_(loop_, {config.settings.connect_timeout, config.server_idle_timeout}, budget_,
             [this] { return front_.CloseLeastActive(); }),
       instance_(loop_, config, settings, pool_,
                 {[this](ServerId server, const net::Address& address) { pool_.SetAddress(server, address); },
@@ -50,9 +50,9 @@
   // The list of the configuration serves at once; discovery updates it when it answers.
   BecomeReadyIfListed();
   if (!front_.ready() && !instance_.listed()) {
-    ready_timer_.After(kReadyWithoutListAfter, [this] { BecomeReadyUnlisted(); });
+    ready_timer_.ScheduleAfter(kReadyWithoutListAfter, [this] { BecomeReadyUnlisted(); });
   }
-  report_timer_.After(kReportInterval, [this] { LogReport(); });
+  report_timer_.ScheduleAfter(kReportInterval, [this] { LogReport(); });
   WatchSignals();
   return {};
 }
@@ -94,8 +94,8 @@
 
 std::size_t Pooler::DescriptorLimit(const PlatformConfig& config) {
   rlimit limit{};
-  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return config.sockets;
-  return std::min<std::size_t>(config.sockets, limit.rlim_cur);
+  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return config.max_descriptors;
+  return std::min<std::size_t>(config.max_descriptors, limit.rlim_cur);
 }
 
 gboolean Pooler::HandleStopSignal(gpointer self) {
@@ -133,17 +133,17 @@
   if (front_.ready() || !instance_.listed()) return;
   // Until the other instances count this one, they would not wait for the writes that it answers.
   if (!instance_.Counted()) {
-    ready_timer_.After(kReadyRetryInterval, [this] { BecomeReadyIfListed(); });
+    ready_timer_.ScheduleAfter(kReadyRetryInterval, [this] { BecomeReadyIfListed(); });
     return;
   }
-  ready_timer_.Clear();
+  ready_timer_.Cancel();
   BecomeReady();
 }
 
 void Pooler::BecomeReadyUnlisted() {
   if (front_.ready() || instance_.listed()) return BecomeReadyIfListed();
   if (!instance_.Counted()) {
-    ready_timer_.After(kReadyRetryInterval, [this] { BecomeReadyUnlisted(); });
+    ready_timer_.ScheduleAfter(kReadyRetryInterval, [this] { BecomeReadyUnlisted(); });
     return;
   }
   spdlog::warn("no endpoint list yet; requests are rejected until discovery provides one");
@@ -173,7 +173,7 @@
         sessions.rejected_unknown_write, sessions.stale_answers, guard.watermark_table().size(),
         guard.watermark_table().evicted());
   }
-  report_timer_.After(kReportInterval, [this] { LogReport(); });
+  report_timer_.ScheduleAfter(kReportInterval, [this] { LogReport(); });
 }
 
 }  // namespace lynxgrade
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -45,13 +45,13 @@
   ask.event.id = id;
   // The request may have been sent after this pass of the loop began, following a write acknowledged by
   // another instance meanwhile: its required position therefore counts up to the precise time.
-  const TimePoint arrived = loop_.Precise();
+  const TimePoint arrived = loop_.PreciseNow();
   ask.event.arrived = arrived;
   if (waits_.ask_others && consistency_guard_.ShouldDelayRead(ask.event, arrived)) {
     delayed_reads_.push_back(
         {id, std::move(ask.event), loop_.Now(), arrived + consistency_guard_.max_read_delay()});
     if (!delay_timer_.armed()) {
-      delay_timer_.Set(delayed_reads_.front().deadline, [this] { ReleaseDelayedReads(); });
+      delay_timer_.ScheduleAt(delayed_reads_.front().deadline, [this] { ReleaseDelayedReads(); });
     }
     waits_.ask_others();
     return;
@@ -83,9 +83,9 @@
     read.event.time_left -= held;
     DispatchRequest(read.id, std::move(read.event));
   }
-  delay_timer_.Clear();
+  delay_timer_.Cancel();
   if (!delayed_reads_.empty()) {
-    delay_timer_.Set(delayed_reads_.front().deadline, [this] { ReleaseDelayedReads(); });
+    delay_timer_.ScheduleAt(delayed_reads_.front().deadline, [this] { ReleaseDelayedReads(); });
   }
 }
 
@@ -223,7 +223,7 @@
   }
   ++in_flight_;  // until the held response is sent
   held_responses_[id] = {&client, std::move(answer)};
-  loop_.At(std::max(deadline, loop_.Now()), [self = std::weak_ptr(self_), id] {
+  loop_.Schedule(std::max(deadline, loop_.Now()), [self = std::weak_ptr(self_), id] {
     if (const auto proxy = self.lock()) (*proxy)->FailHeldResponse(id);
   });
 }
@@ -307,7 +307,7 @@
 }
 
 void Proxy::Execute(const SetTimer& action) {
-  loop_.At(loop_.Now() + action.delay, [self = std::weak_ptr(self_), id = action.id] {
+  loop_.Schedule(loop_.Now() + action.delay, [self = std::weak_ptr(self_), id = action.id] {
     if (const auto proxy = self.lock()) (*proxy)->HandleEvent(TimerEvent{id});
   });
 }
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -76,7 +76,7 @@
   loop_.poller().Add(g_socket_get_fd(socket_.get()), EPOLLIN, *this);
   // Not the beginning of this pass, nor that of the loop: recovery may have taken seconds since, which the
   // peers would lack to count this instance.
-  started_ = loop_.Precise();
+  started_ = loop_.PreciseNow();
   spdlog::info("peers: instance {} at {}", name_, bound_address);
   Tick();
   return {};
@@ -92,7 +92,7 @@
   if (socket_ == nullptr || !g_socket_bind(socket_.get(), local.get(), TRUE, error.out())) {
     socket_.reset();
     return tl::unexpected(
-        StartError{StartErrorCode::kPeerListen, TextOf(*settings_.listen_address), error.text()});
+        StartError{StartErrorCode::kPeerListen, TextOf(*settings_.listen_address), error.message()});
   }
   g_socket_set_blocking(socket_.get(), FALSE);
   return net::ObjectPtr<GSocketAddress>(g_socket_get_local_address(socket_.get(), nullptr));
@@ -128,7 +128,7 @@
 
 bool UdpReplicationService::Ready() const {
   // Whoever is there, the leases of a former incarnation expire soon.
-  if (!engine_->MayServe(loop_.Precise())) return false;
+  if (!engine_->MayServe(loop_.PreciseNow())) return false;
   if (engine_->CountedByAllPeers() && engine_->swim().unheard_seeds().empty()) return true;
   return loop_.Now() - started_ >= settings_.join_timeout;
 }
@@ -136,20 +136,20 @@
 void UdpReplicationService::Tick() {
   {
     const ProcessorTimeMeter::Scope scope(processor_time_);
-    engine_->Tick(loop_.Precise(), outbox_);
+    engine_->Tick(loop_.PreciseNow(), outbox_);
     SendOutbox();
     LogQuorumChange();
     LogDuplicateName();
   }
   NotifyLearned();
-  tick_timer_.After(kTickInterval, [this] { Tick(); });
+  tick_timer_.ScheduleAfter(kTickInterval, [this] { Tick(); });
 }
 
 void UdpReplicationService::LogQuorumChange() {
   // It walks over all members: not in each tick.
   if (loop_.Now() - quorum_checked_ < kQuorumLogInterval) return;
   quorum_checked_ = loop_.Now();
-  const membership::QuorumTracker::Assessment quorum = engine_->QuorumStateAt(loop_.Precise());
+  const membership::QuorumTracker::Assessment quorum = engine_->QuorumStateAt(loop_.PreciseNow());
   if (quorum.state == logged_quorum_) return;
   logged_quorum_ = quorum.state;
   spdlog::info("peers: {}: {} of {} instances in reach, view {:016x}", membership::NameOf(logged_quorum_),
@@ -175,7 +175,7 @@
 }
 
 std::string UdpReplicationService::Describe() const {
-  return FormatReplicationReport({.now = loop_.Precise(),
+  return FormatReplicationReport({.now = loop_.PreciseNow(),
                                   .name = name_,
                                   .settings = settings_,
                                   .engine = *engine_,
@@ -185,32 +185,32 @@
 }
 
 std::optional<LogPosition> UdpReplicationService::CompleteThrough(consistency::SessionKey key) {
-  return engine_->CompleteThrough(loop_.Precise(), key);
+  return engine_->CompleteThrough(loop_.PreciseNow(), key);
 }
 
 bool UdpReplicationService::AcquireLease(GroupId group, consistency::SessionKey key,
                                          consistency::LeaseUse use) {
   const ProcessorTimeMeter::Scope scope(processor_time_);
-  const bool expected = engine_->AcquireLease(loop_.Precise(), group, key, use, outbox_);
+  const bool expected = engine_->AcquireLease(loop_.PreciseNow(), group, key, use, outbox_);
   SendOutbox();
   return expected;
 }
 
 bool UdpReplicationService::CallWhenMayAnswer(GroupId group, consistency::SessionKey key,
                                               std::function<void()> call) {
-  if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
+  if (engine_->MayAnswerWrite(loop_.PreciseNow(), key)) return false;
   AcquireLease(group, key, consistency::LeaseUse::kWrite);
   // This instance may manage the lease itself, and hold it at once.
-  if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
-  pending_answers_.Add({group, key, std::move(call), loop_.Precise() + kPendingAnswerLifetime});
+  if (engine_->MayAnswerWrite(loop_.PreciseNow(), key)) return false;
+  pending_answers_.Add({group, key, std::move(call), loop_.PreciseNow() + kPendingAnswerLifetime});
   return true;
 }
 
 void UdpReplicationService::ProcessPendingAnswers() {
   if (pending_answers_.empty()) return;
   pending_answers_.Process(
-      loop_.Precise(),
-      [this](consistency::SessionKey key) { return engine_->MayAnswerWrite(loop_.Precise(), key); },
+      loop_.PreciseNow(),
+      [this](consistency::SessionKey key) { return engine_->MayAnswerWrite(loop_.PreciseNow(), key); },
       [this](GroupId group, consistency::SessionKey key) {
         AcquireLease(group, key, consistency::LeaseUse::kWrite);
       });
@@ -227,15 +227,15 @@
   if (engine_->lease_client() != nullptr) return;  // the lease of the session has been requested
   if (poll_timer_.armed()) return;
   const ProcessorTimeMeter::Scope scope(processor_time_);
-  const TimePoint now = loop_.Precise();
+  const TimePoint now = loop_.PreciseNow();
   if (!engine_->PollPeers(now, outbox_)) {
-    return poll_timer_.Set(now + ReplicationEngine::kMinPollInterval, [this] { PollPeers(); });
+    return poll_timer_.ScheduleAt(now + ReplicationEngine::kMinPollInterval, [this] { PollPeers(); });
   }
   SendOutbox();
 }
 
 void UdpReplicationService::Leave() {
-  engine_->PollPeers(loop_.Precise() + kLastPollAdvance, outbox_);
+  engine_->PollPeers(loop_.PreciseNow() + kLastPollAdvance, outbox_);
   engine_->Leave(outbox_);
   SendOutbox();
 }
@@ -248,7 +248,7 @@
     if (passes_ && !passes_(outgoing.address)) continue;
     const std::string datagram = authenticator_->Sign(outgoing.packet);
     CountPacket(outgoing.packet, datagram.size(), traffic_.out);
-    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeaderBytes);
+    engine_->ChargeBandwidth(loop_.PreciseNow(), datagram.size() + Traffic::kHeaderBytes);
     // A datagram that cannot be sent now is lost, like one on the network.
     g_socket_send_to(socket_.get(), target.get(), datagram.data(), datagram.size(), nullptr, nullptr);
   }
@@ -280,10 +280,10 @@
   if (passes_ && !passes_(sender_address)) return;
   if (const auto packet = authenticator_->Verify(datagram)) {
     CountPacket(*packet, datagram.size(), traffic_.in);
-    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeaderBytes);
+    engine_->ChargeBandwidth(loop_.PreciseNow(), datagram.size() + Traffic::kHeaderBytes);
     // Not the beginning of this pass: ages of acknowledgements count up to the moment of the response, and
     // the process may have been suspended in between.
-    engine_->HandlePacket(loop_.Precise(), sender_address, *packet, outbox_);
+    engine_->HandlePacket(loop_.PreciseNow(), sender_address, *packet, outbox_);
   } else {
     ++rejected_datagrams_;
     std::uint64_t suppressed = 0;
--- a/src/replication/udp_replication_service.h
+++ b/src/replication/udp_replication_service.h
@@ -88,7 +88,7 @@
   PendingWriteAnswers pending_answers_;
   net::Timer tick_timer_;
   net::Timer poll_timer_;
-  net::LogLimit log_limit_;
+  net::LogRateLimiter log_limit_;
   membership::QuorumState logged_quorum_ = membership::QuorumState::kUnknown;
   TimePoint quorum_checked_{};
   TimePoint started_{};
--- a/src/settings/platform_config.cpp
+++ b/src/settings/platform_config.cpp
@@ -99,7 +99,7 @@
   if (!sockets.is_number_integer() || sockets.get<std::int64_t>() < kMinSockets) {
     return Problem("'sockets' is not a whole number of at least 16");
   }
-  config.sockets = sockets.get<std::size_t>();
+  config.max_descriptors = sockets.get<std::size_t>();
   return {};
 }
 
@@ -110,7 +110,7 @@
   if (!idle.is_number_integer() || idle.get<std::int64_t>() <= 0) {
     return Problem("'conn_idle_us' is not a whole number above 0");
   }
-  config.idle = Duration(idle.get<std::int64_t>());
+  config.server_idle_timeout = Duration(idle.get<std::int64_t>());
   return {};
 }
 
@@ -140,7 +140,7 @@
   if (auto read = ReadRoutingSettings(json["settings"], config); !read) {
     return tl::unexpected(std::move(read.error()));
   }
-  if (json.contains("known")) config.known = json["known"].dump();
+  if (json.contains("known")) config.known_endpoint_list = json["known"].dump();
   return config;
 }
 
--- a/src/settings/platform_config.h
+++ b/src/settings/platform_config.h
@@ -18,14 +18,14 @@
   net::Address listen;
   net::Address discovery;
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;  // file descriptors for connections, at most
+  std::size_t max_descriptors = 1024;  // file descriptors for connections, at most
   Settings settings;
   // Names by index: of request classes, of tenants and of zones.
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
   std::vector<std::string> zones;
-  Duration idle{15000000};  // after which an unused server connection is closed
-  std::string known;        // the endpoint list as this pooler last had it, as JSON; may be empty
+  Duration server_idle_timeout{15000000};  // after which an unused server connection is closed
+  std::string known_endpoint_list;  // the endpoint list as this pooler last had it, as JSON; may be empty
 };
 
 // Why a configuration cannot be used.
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -41,7 +41,7 @@
                                                           Balancer(std::move(begin->settings), begin->seed)});
     } else if (auto* stop = std::get_if<Stop>(&line)) {
       instances_.erase(stop->instance);
-    } else if (auto* news = std::get_if<ListNews>(&line)) {
+    } else if (auto* news = std::get_if<ListUpdate>(&line)) {
       ListEvent event{news->kind, {}};
       if (news->kind != ListKind::kError) {
         const auto entries = pages_.find(news->page);
@@ -51,7 +51,7 @@
         event.entries = entries->second;
       }
       HandleEvent(news->instance, Event(std::move(event)));
-    } else if (auto* given = std::get_if<ForInstance>(&line)) {
+    } else if (auto* given = std::get_if<InstanceEvent>(&line)) {
       HandleEvent(given->instance, std::move(given->event));
     }
     return false;
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -244,7 +244,7 @@
   return columns;
 }
 
-void TakeReportValue(LoadReport& report, const std::string& column, double value, Duration zero) {
+void StoreReportValue(LoadReport& report, const std::string& column, double value, Duration zero) {
   if (column == "x0") {
     report.position = TimePoint(zero + Duration(static_cast<std::int64_t>(std::floor(value * 1e6))));
   } else if (column == "x1") {
@@ -302,7 +302,7 @@
   LoadReport report;
   for (std::size_t i = 0; i < row->size() && i < columns.size(); ++i) {
     if ((*row)[i].is_null()) continue;
-    TakeReportValue(report, columns[i], AsNumber((*row)[i], "health_info"), zero);
+    StoreReportValue(report, columns[i], AsNumber((*row)[i], "health_info"), zero);
   }
   return report;
 }
@@ -390,9 +390,9 @@
   if (op == "directory_update") {
     const ListKind kind = Word(Text(json, "how"), kListKinds, "how");
     const bool failed = kind == ListKind::kError;
-    return ListNews{instance, kind, failed ? -1 : static_cast<int>(Small(json, "page"))};
+    return ListUpdate{instance, kind, failed ? -1 : static_cast<int>(Small(json, "page"))};
   }
-  return ForInstance{instance, DecodeEvent(op, json, DialectOf(instance))};
+  return InstanceEvent{instance, DecodeEvent(op, json, DialectOf(instance))};
 }
 
 Line Codec::Decode(std::string_view text) {
--- a/src/simulator/codec.h
+++ b/src/simulator/codec.h
@@ -42,19 +42,19 @@
   Instance instance = 0;
 };
 // An update of the endpoint list. It names the page; the host adds the page's entries.
-struct ListNews {
+struct ListUpdate {
   Instance instance = 0;
   ListKind kind = ListKind::kComplete;
   int page = 0;
 };
 // An event for the balancer of one instance. Its load report was decoded with the columns of the instance's
 // Start.
-struct ForInstance {
+struct InstanceEvent {
   Instance instance = 0;
   Event event;
 };
 
-using Line = std::variant<BatchStart, BatchEnd, ListPage, Start, Stop, ListNews, ForInstance>;
+using Line = std::variant<BatchStart, BatchEnd, ListPage, Start, Stop, ListUpdate, InstanceEvent>;
 
 // Decodes input lines and encodes replies. Keeps the report columns and position origin of each started
 // instance.
--- a/src/simulator/settings_json.h
+++ b/src/simulator/settings_json.h
@@ -15,6 +15,6 @@
 
 // Stores the value of a named column in the report; unknown columns are ignored. Positions are relative to
 // `zero`.
-void TakeReportValue(LoadReport& report, const std::string& column, double value, Duration zero);
+void StoreReportValue(LoadReport& report, const std::string& column, double value, Duration zero);
 
 }  // namespace lynxgrade::simulator
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -28,7 +28,7 @@
       make_room_(std::move(make_room)),
       fault_log_limit_(loop),
       expiry_timer_(loop) {
-  expiry_timer_.After(kExpiryInterval, [this] { CloseExpired(); });
+  expiry_timer_.ScheduleAfter(kExpiryInterval, [this] { CloseExpired(); });
 }
 
 ConnectionPool::~ConnectionPool() = default;
@@ -75,21 +75,21 @@
   if (health_checks_.contains(server)) return;  // the outcome of the one in flight answers both
   auto attempt = std::make_shared<Attempt>(loop_, server);
   health_checks_[server] = attempt;
-  attempt->deadline = loop_.Precise() + settings_.connect_timeout;
+  attempt->deadline = loop_.PreciseNow() + settings_.connect_timeout;
   Enqueue(std::move(attempt));
 }
 
 // The connect timeout counts from the precise time: from the loop time, a long iteration would time out a
 // connection, and blame its data server, before any event of it could be read.
 void ConnectionPool::Enqueue(std::shared_ptr<Attempt> attempt) {
-  attempt->wait_started = loop_.Precise();
+  attempt->wait_started = loop_.PreciseNow();
   ServerPool* server = FindServer(attempt->server);
   if (server == nullptr || !server->address) return FinishAttempt(attempt, Outcome::kUnreachable);
   const std::weak_ptr<Attempt> weak = attempt;
-  attempt->deadline_timer.Set(attempt->deadline, [this, weak] {
+  attempt->deadline_timer.ScheduleAt(attempt->deadline, [this, weak] {
     if (const auto held = weak.lock()) Abort(held, Outcome::kTimeout);
   });
-  attempt->connect_timer.Set(
+  attempt->connect_timer.ScheduleAt(
       std::min(attempt->wait_started + settings_.connect_timeout, attempt->write_deadline), [this, weak] {
         if (const auto held = weak.lock()) FinishAttempt(held, Outcome::kUnreachable);
       });
@@ -135,8 +135,8 @@
   // Keeps the attempt alive if `attempt` refers to an entry erased below.
   // NOLINTNEXTLINE(performance-unnecessary-copy-initialization)
   const std::shared_ptr<Attempt> held = attempt;
-  held->deadline_timer.Clear();
-  held->connect_timer.Clear();
+  held->deadline_timer.Cancel();
+  held->connect_timer.Cancel();
   held->connection = nullptr;
   if (ServerPool* server = FindServer(held->server)) std::erase(server->waiting, held);
   // The latency of the data server excludes the time spent waiting for a connection.
@@ -162,7 +162,7 @@
     if (server.opening >= std::min(kMaxOpening, server.waiting.size())) break;
     if (!OpenConnection(server)) {
       const std::shared_ptr<Attempt> attempt = server.waiting.front();
-      FinishAttempt(attempt, budget_.BackendFits() ? Outcome::kUnreachable : Outcome::kNotRun);
+      FinishAttempt(attempt, budget_.CanAddBackend() ? Outcome::kUnreachable : Outcome::kNotRun);
     }
   }
   server.dispatching = false;
@@ -188,7 +188,7 @@
   const std::shared_ptr<Attempt> attempt = server.waiting.front();
   server.waiting.pop_front();
   // The wait for a connection may have used up the time, with the timers delayed by a blocked loop.
-  if (loop_.Precise() >= std::min(attempt->write_deadline, attempt->deadline)) {
+  if (loop_.PreciseNow() >= std::min(attempt->write_deadline, attempt->deadline)) {
     server.idle.push_back(connection);
     return FinishAttempt(attempt, Outcome::kUnreachable);
   }
@@ -196,8 +196,8 @@
 }
 
 bool ConnectionPool::OpenConnection(ServerPool& server) {
-  if (!budget_.BackendFits() && !CloseLongestIdle() && !make_room_()) return false;
-  if (!budget_.BackendFits()) return false;
+  if (!budget_.CanAddBackend() && !CloseLongestIdle() && !make_room_()) return false;
+  if (!budget_.CanAddBackend()) return false;
   auto connection = std::make_shared<ServerConnection>(loop_, *this, server, budget_);
   bool full = false;
   bool open = connection->Open(*server.address, settings_.connect_timeout, &full);
@@ -259,7 +259,7 @@
 bool ConnectionPool::NearsIdleTimeout(const ServerConnection& connection) const {
   const Duration max_idle(
       static_cast<std::int64_t>(kIdleTimeoutFraction * static_cast<double>(settings_.idle.count())));
-  return loop_.Precise() - connection.idle_since() >= max_idle;
+  return loop_.PreciseNow() - connection.idle_since() >= max_idle;
 }
 
 void ConnectionPool::CloseExpired() {
@@ -272,7 +272,7 @@
     const ServerPool& server = *item.second;
     return server.removed && server.connections.empty() && server.waiting.empty();
   });
-  expiry_timer_.After(kExpiryInterval, [this] { CloseExpired(); });
+  expiry_timer_.ScheduleAfter(kExpiryInterval, [this] { CloseExpired(); });
 }
 
 }  // namespace lynxgrade::upstream
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -127,7 +127,7 @@
   std::map<ServerId, std::unique_ptr<ServerPool>> servers_;
   std::map<AttemptKey, std::shared_ptr<Attempt>> attempts_;
   std::map<ServerId, std::shared_ptr<Attempt>> health_checks_;
-  net::LogLimit fault_log_limit_;
+  net::LogRateLimiter fault_log_limit_;
   net::Timer expiry_timer_;
 };
 
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 std::optional<LoadReport> ParseLoadReport(std::string_view text) {
-  const auto fields = pg::ReadReport(text);
+  const auto fields = pg::ReadLoadReport(text);
   if (!fields) return std::nullopt;
   LoadReport report;
   for (const auto& [name, value] : *fields) {
@@ -37,13 +37,13 @@
 }
 
 bool ResponseReader::ReadParameterStatus(std::string_view body) {
-  const auto status = pg::ReadStatus(body);
+  const auto status = pg::ReadParameterStatus(body);
   if (!status) return false;
   if (status->name == "replication_role") {
     if (status->value == "primary") metadata_.primary = true;
     if (status->value == "standby") metadata_.primary = false;
   } else if (status->name == "log_position") {
-    const auto position = pg::ReadWhole(status->value);
+    const auto position = pg::ParseInteger(status->value);
     if (!position || *position < 0 || *position > (std::int64_t{1} << 50)) return false;
     if (*position > 0) metadata_.position = PositionFromUnixMs(*position);
   } else if (status->name == "pressure") {
@@ -71,18 +71,18 @@
       description_ = std::string(body);
       return Step::kMore;
     case 'D': {
-      const auto column = pg::ReadOneValue(body);
+      const auto column = pg::ReadSingleColumnRow(body);
       if (!description_ || row_ || error_ || !column || !column->value) return Step::kMalformed;
       row_ = std::string(body);
       return Step::kMore;
     }
     case 'C':
-      if (!row_ || tag_ || error_ || !pg::ReadTag(body)) return Step::kMalformed;
+      if (!row_ || tag_ || error_ || !pg::ReadCommandTag(body)) return Step::kMalformed;
       tag_ = std::string(body);
       return Step::kMore;
     case 'E':
       if (tag_ || error_) return Step::kMalformed;
-      error_ = pg::ReadError(body);
+      error_ = pg::ReadErrorFields(body);
       return error_ ? Step::kMore : Step::kMalformed;
     case 'Z':
       return body == "I" ? Step::kReady : Step::kMalformed;  // the pooler opens no transactions
@@ -110,7 +110,7 @@
 
 std::string_view ResponseReader::value() const {
   if (!row_) return {};
-  return pg::ReadOneValue(*row_)->value.value_or(std::string_view());
+  return pg::ReadSingleColumnRow(*row_)->value.value_or(std::string_view());
 }
 
 proxy::Answer ResponseReader::ReleaseResponse() {
@@ -129,32 +129,33 @@
 ServerConnection::~ServerConnection() { Close(); }
 
 bool ServerConnection::Open(const net::Address& address, Duration within, bool* full) {
-  connection_ = net::Connection::Open(loop_, address, *this, pg::kRingLimit, pg::kRingLimit, full);
+  connection_ =
+      net::Connection::Connect(loop_, address, *this, pg::kMaxBufferBytes, pg::kMaxBufferBytes, full);
   if (connection_ == nullptr) return false;
   // A host that is down sends no reset: this timer ends the attempt to connect.
-  open_timer_.Set(loop_.Precise() + within, [this] { HandleConnectionLost(); });
+  open_timer_.ScheduleAt(loop_.PreciseNow() + within, [this] { HandleConnectionLost(); });
   return true;
 }
 
 void ServerConnection::Close() {
-  open_timer_.Clear();
-  stall_timer_.Clear();
+  open_timer_.Cancel();
+  stall_timer_.Cancel();
   attempt_.reset();
   if (connection_ != nullptr) connection_->Close();
 }
 
-void ServerConnection::OnUp() {
+void ServerConnection::OnConnected() {
   std::string hello;
-  pg::AppendStartup(hello, pool_.settings_.user, pool_.settings_.database);
+  pg::AppendStartupMessage(hello, pool_.settings_.user, pool_.settings_.database);
   connection_->Write(hello);
 }
 
 void ServerConnection::SendQuery(std::shared_ptr<Attempt> attempt) {
   attempt_ = std::move(attempt);
   attempt_->connection = this;
-  const TimePoint now = loop_.Precise();
+  const TimePoint now = loop_.PreciseNow();
   attempt_->sent_at = now;
-  attempt_->connect_timer.Clear();
+  attempt_->connect_timer.Cancel();
   response_ = ResponseReader();
   query_accepted_ = false;
   std::string query;
@@ -167,41 +168,43 @@
   if (!query_accepted_) return HandleConnectionLost();
   if (attempt_->write_deadline == TimePoint::max() || AllWritten()) return;
   // Part of it is still buffered, since the kernel's send buffer is full.
-  attempt_->connect_timer.Set(attempt_->write_deadline, [this, weak = std::weak_ptr<Attempt>(attempt_)] {
-    if (const auto held = weak.lock()) pool_.AbortIfUnwritten(held);
-  });
+  attempt_->connect_timer.ScheduleAt(attempt_->write_deadline,
+                                     [this, weak = std::weak_ptr<Attempt>(attempt_)] {
+                                       if (const auto held = weak.lock()) pool_.AbortIfUnwritten(held);
+                                     });
 }
 
 void ServerConnection::OnReadable() {
   const auto self = shared_from_this();
   const auto connection = connection_;
   while (!connection->closed()) {
-    const pg::Frame frame = pg::ReadFrame(connection->in().All());
+    const pg::Frame frame = pg::ReadFrame(connection->input().Linearize());
     if (frame.framing == pg::Framing::kPartial) break;
-    if (frame.framing != pg::Framing::kWhole) return FailMalformed("invalid message framing");
+    if (frame.framing != pg::Framing::kComplete) return FailMalformed("invalid message framing");
     const bool go_on = HandleMessage(frame.type, frame.body);
     if (!go_on || connection->closed()) return;
-    connection->in().Consume(frame.size);
+    connection->input().Consume(frame.size);
     if (frame.type == 'Z') HandleReadyForQuery();
   }
   if (connection->closed()) return;
   connection->ResumeReading();
   // A partial message left here would be parsed as the start of the next response.
-  if (idle() && !connection->in().empty()) return FailMalformed("unexpected bytes on an idle connection");
+  if (idle() && !connection->input().empty()) return FailMalformed("unexpected bytes on an idle connection");
   // Data servers send a response at once. If one stalls half way, its request is better retried while there
   // is time.
-  const bool incomplete = !connection->in().empty() || (attempt_ != nullptr && response_.started());
-  if (!incomplete) return stall_timer_.Clear();
+  const bool incomplete = !connection->input().empty() || (attempt_ != nullptr && response_.started());
+  if (!incomplete) return stall_timer_.Cancel();
   if (!stall_timer_.armed())
-    stall_timer_.After(kResponseCompletionTimeout, [this] { HandleStalledResponse(/*extended=*/false); });
+    stall_timer_.ScheduleAfter(kResponseCompletionTimeout,
+                               [this] { HandleStalledResponse(/*extended=*/false); });
 }
 
 void ServerConnection::HandleStalledResponse(bool extended) {
   // The rest may have arrived while this loop was blocked. Extended only once, since an endless response
   // always has unread input.
   if (!extended && !IsCurrent())
-    return stall_timer_.After(kResponseCompletionTimeout,
-                              [this] { HandleStalledResponse(/*extended=*/true); });
+    return stall_timer_.ScheduleAfter(kResponseCompletionTimeout,
+                                      [this] { HandleStalledResponse(/*extended=*/true); });
   FailMalformed("response timed out after its first byte");
 }
 
@@ -221,7 +224,7 @@
 }
 
 void ServerConnection::HandleReadyForQuery() {
-  open_timer_.Clear();
+  open_timer_.Cancel();
   idle_since_ = loop_.Now();
   const std::shared_ptr<Attempt> attempt = std::exchange(attempt_, nullptr);
   if (!ready_) {
@@ -236,7 +239,7 @@
   if (!complete) {
     pool.LogFault(server, "incomplete response");
     pool.CloseConnection(*this);
-  } else if (connection_->in().empty()) {
+  } else if (connection_->input().empty()) {
     server_.idle.push_back(this);
   } else {
     // The remaining bytes would be parsed as the response to the next request.
--- a/src/upstream/server_connection.h
+++ b/src/upstream/server_connection.h
@@ -75,16 +75,16 @@
   bool idle() const { return ready_ && attempt_ == nullptr; }
   TimePoint idle_since() const { return idle_since_; }
   // Whether all input has been read: unread input on an idle connection is most likely its close.
-  bool IsCurrent() const { return !connection_->SomethingCame(); }
+  bool IsCurrent() const { return !connection_->HasPendingInput(); }
   // Whether the last byte of the present query has been handed to the kernel.
   bool AllWritten() const { return query_accepted_ && connection_->all_written(); }
   void Close();
 
  private:
-  void OnUp() override;
+  void OnConnected() override;
   void OnReadable() override;
-  void OnPeerDone() override { HandleConnectionLost(); }
-  void OnBroken() override { HandleConnectionLost(); }
+  void OnEndOfStream() override { HandleConnectionLost(); }
+  void OnDisconnected() override { HandleConnectionLost(); }
   bool HandleMessage(char type, std::string_view body);
   // The data server awaits the next query: the connection is established, or the response has ended.
   void HandleReadyForQuery();
@@ -102,7 +102,7 @@
   net::Loop& loop_;
   ConnectionPool& pool_;
   ServerPool& server_;
-  net::Slot slot_;
+  net::DescriptorSlot slot_;
   std::shared_ptr<net::Connection> connection_;
   net::Timer open_timer_;
   net::Timer stall_timer_;
--- a/testbed/client.cpp
+++ b/testbed/client.cpp
@@ -15,34 +15,34 @@
 Client::Client(net::Loop& loop, std::uint16_t port, const std::string& query, int budget_ms, Done done)
     : done_(std::move(done)), patience_(loop) {
   bool full = false;
-  connection_ = net::Connection::Open(loop, {"127.0.0.1", port}, *this, kRing, kRing, &full);
-  patience_.After(kMs * budget_ms + kSlack, [this] { Finish(End::kSilent); });
+  connection_ = net::Connection::Connect(loop, {"127.0.0.1", port}, *this, kRing, kRing, &full);
+  patience_.ScheduleAfter(kMs * budget_ms + kSlack, [this] { Finish(End::kSilent); });
   if (connection_ == nullptr) {
-    patience_.After(Duration{0}, [this] { Finish(End::kBroken); });
+    patience_.ScheduleAfter(Duration{0}, [this] { Finish(End::kBroken); });
     return;
   }
   std::string out;
-  pg::AppendStartup(out, "worker", "catalog");
+  pg::AppendStartupMessage(out, "worker", "catalog");
   pg::AppendQuery(out, query);
   connection_->Write(out);
 }
 
 void Client::OnReadable() {
   while (!over_) {
-    const pg::Frame frame = pg::ReadFrame(connection_->in().All());
+    const pg::Frame frame = pg::ReadFrame(connection_->input().Linearize());
     if (frame.framing == pg::Framing::kPartial) return connection_->ResumeReading();
-    if (frame.framing != pg::Framing::kWhole) return Finish(End::kBroken);
+    if (frame.framing != pg::Framing::kComplete) return Finish(End::kBroken);
     if (frame.type == 'D') {
-      const auto row = pg::ReadOneValue(frame.body);
+      const auto row = pg::ReadSingleColumnRow(frame.body);
       if (row && row->value) value_ = std::string(*row->value);
     }
     if (frame.type == 'E') {
-      const auto error = pg::ReadError(frame.body);
+      const auto error = pg::ReadErrorFields(frame.body);
       const bool refused = error && (error->code == "53300" || error->code == "57P03");
       end_ = refused ? End::kRefused : End::kFailed;
     }
     const char type = frame.type;
-    connection_->in().Consume(frame.size);
+    connection_->input().Consume(frame.size);
     if (type == 'C' || type == 'I') return Finish(End::kServed);
     if (type == 'E') return Finish(end_);
   }
@@ -51,7 +51,7 @@
 void Client::Finish(End end) {
   if (over_) return;
   over_ = true;
-  patience_.Clear();
+  patience_.Cancel();
   if (connection_ != nullptr) connection_->Close();
   done_(end, value_);
 }
--- a/testbed/client.h
+++ b/testbed/client.h
@@ -22,8 +22,8 @@
 
  private:
   void OnReadable() override;
-  void OnPeerDone() override { Finish(End::kBroken); }
-  void OnBroken() override { Finish(End::kBroken); }
+  void OnEndOfStream() override { Finish(End::kBroken); }
+  void OnDisconnected() override { Finish(End::kBroken); }
   void Finish(End end);
 
   Done done_;
--- a/testbed/consistency_run.cpp
+++ b/testbed/consistency_run.cpp
@@ -119,7 +119,7 @@
     Arrive();
     // Half of the way, when sessions of all ages are open.
     const double length_s = static_cast<double>(options_.sessions) / options_.per_s;
-    fault_.After(Duration(static_cast<std::int64_t>(length_s * 0.4e6)), [this] { Strike(); });
+    fault_.ScheduleAfter(Duration(static_cast<std::int64_t>(length_s * 0.4e6)), [this] { Strike(); });
     Until([this] { return begun_ == options_.sessions && open_ == 0; }, Duration(120'000'000));
     for (const auto& pooler : poolers_) tally_.crashed += pooler->Crashed();
     tally_.complaints = Complaints();
@@ -154,7 +154,7 @@
   void Until(const std::function<bool()>& holds, Duration most) {
     const TimePoint end = loop_.Now() + most;
     net::Timer look(loop_);
-    std::function<void()> again = [&] { look.After(kMs * 5, again); };
+    std::function<void()> again = [&] { look.ScheduleAfter(kMs * 5, again); };
     again();
     while (!holds() && loop_.Now() < end) g_main_context_iteration(nullptr, TRUE);
   }
@@ -187,8 +187,8 @@
     session->number = begun_;
     session->group = random_() % groups_.size();
     Write(session);
-    arrivals_.After(Drawn(boost::math::exponential_distribution<double>(options_.per_s)),
-                    [this] { Arrive(); });
+    arrivals_.ScheduleAfter(Drawn(boost::math::exponential_distribution<double>(options_.per_s)),
+                            [this] { Arrive(); });
   }
 
   // Half of the rereads go to another pooler than the write: that is what is tested here.
@@ -199,7 +199,9 @@
                       static_cast<std::int64_t>(groups_[session.group]->number()));
   }
 
-  void Later(Duration pause, std::function<void()> call) { loop_.At(loop_.Now() + pause, std::move(call)); }
+  void Later(Duration pause, std::function<void()> call) {
+    loop_.Schedule(loop_.Now() + pause, std::move(call));
+  }
 
   void Write(const std::shared_ptr<Session>& session) {
     if (session->rounds++ == kRounds) {
--- a/testbed/data_servers.cpp
+++ b/testbed/data_servers.cpp
@@ -25,7 +25,7 @@
   row += static_cast<char>(value.size());
   row += value;
   pg::AppendMessage(out, 'D', row);
-  pg::AppendComplete(out, tag);
+  pg::AppendCommandComplete(out, tag);
 }
 
 // The quoted texts of a statement after its comment.
@@ -55,36 +55,36 @@
   bool over() const { return over_; }
   void Close() {
     over_ = true;
-    answer_.Clear();
+    answer_.Cancel();
     connection_->Close();
   }
 
  private:
   void OnReadable() override { Work(); }
-  void OnPeerDone() override { Close(); }
-  void OnBroken() override { Close(); }
+  void OnEndOfStream() override { Close(); }
+  void OnDisconnected() override { Close(); }
 
   void Work() {
     if (over_ || busy_ || servers_.servers_[member_].cut) return;
-    const std::string_view bytes = connection_->in().All();
+    const std::string_view bytes = connection_->input().Linearize();
     const pg::Frame frame = started_ ? pg::ReadFrame(bytes) : pg::ReadStartupFrame(bytes);
     if (frame.framing == pg::Framing::kPartial) return connection_->ResumeReading();
-    if (frame.framing != pg::Framing::kWhole) return Close();
+    if (frame.framing != pg::Framing::kComplete) return Close();
     if (!started_) {
       started_ = true;
-      connection_->in().Consume(frame.size);
+      connection_->input().Consume(frame.size);
       std::string hello;
       pg::AppendAuthenticationOk(hello);
-      pg::AppendReady(hello);
+      pg::AppendReadyForQuery(hello);
       connection_->Write(hello);
       return Work();
     }
     const auto text = frame.type == 'Q' ? pg::ReadQuery(frame.body) : std::nullopt;
     if (!text) return Close();
     const std::string query(*text);
-    connection_->in().Consume(frame.size);
+    connection_->input().Consume(frame.size);
     busy_ = true;
-    answer_.After(servers_.work_, [this, query] {
+    answer_.ScheduleAfter(servers_.work_, [this, query] {
       busy_ = false;
       if (servers_.servers_[member_].cut) return;
       connection_->Write(servers_.AnswerTo(member_, query));
@@ -137,7 +137,7 @@
 
 void DataServers::Tick() {
   group_.Advance(loop_.Now());
-  tick_.After(kTick, [this] { Tick(); });
+  tick_.ScheduleAfter(kTick, [this] { Tick(); });
 }
 
 void DataServers::Kill(std::size_t member) {
@@ -169,30 +169,30 @@
     char report[64];
     std::snprintf(report, sizeof report, "x0=%.3f,x1=%d", static_cast<double>(Ms(position)) / 1000, primary);
     AppendRow(out, report, "SELECT 1");
-    pg::AppendReady(out);
+    pg::AppendReadyForQuery(out);
     return out;
   }
   const auto comment = pg::ReadComment(query, wrong);
   const std::vector<std::string> texts = Quoted(query);
   if (!comment || texts.empty()) {
-    pg::AppendError(out, "ERROR", "08P01", "not a statement that is known here");
+    pg::AppendErrorResponse(out, "ERROR", "08P01", "not a statement that is known here");
   } else if (query.find("INSERT") != std::string::npos) {
     ++writes_;
-    const auto version = pg::ReadWhole(texts.size() > 1 ? texts[1] : "");
+    const auto version = pg::ParseInteger(texts.size() > 1 ? texts[1] : "");
     const auto commit = group_.Write(member, texts[0], version.value_or(1), now);
     if (commit) {
       position = *commit;
       AppendRow(out, texts.size() > 1 ? texts[1] : "1", "INSERT 0 1");
     } else {
-      pg::AppendError(out, "ERROR", "25006", "not the primary");
+      pg::AppendErrorResponse(out, "ERROR", "25006", "not the primary");
     }
   } else {
     ++reads_;
     AppendRow(out, std::to_string(group_.Read(member, texts[0], now)), "SELECT 1");
   }
-  pg::AppendStatus(out, "replication_role", primary ? "primary" : "standby");
-  pg::AppendStatus(out, "log_position", std::to_string(Ms(position)));
-  pg::AppendReady(out);
+  pg::AppendParameterStatus(out, "replication_role", primary ? "primary" : "standby");
+  pg::AppendParameterStatus(out, "log_position", std::to_string(Ms(position)));
+  pg::AppendReadyForQuery(out);
   return out;
 }
 
@@ -214,9 +214,9 @@
 
  private:
   void OnReadable() override {
-    const std::string request(connection_->in().All());
+    const std::string request(connection_->input().Linearize());
     if (follows_ || request.find("\r\n\r\n") == std::string::npos) return connection_->ResumeReading();
-    connection_->in().Consume(request.size());
+    connection_->input().Consume(request.size());
     const std::string list = agent_.Whole();
     ++agent_.calls_;
     if (request.find("follow=1") == std::string::npos) {
@@ -227,8 +227,8 @@
     follows_ = true;
     Say(list);
   }
-  void OnPeerDone() override { OnBroken(); }
-  void OnBroken() override {
+  void OnEndOfStream() override { OnDisconnected(); }
+  void OnDisconnected() override {
     over_ = true;
     connection_->Close();
   }
@@ -259,7 +259,7 @@
   };
   struct Again {
     static void Arm(net::Timer& timer, std::function<void()> call) {
-      timer.After(kEmptyLine, [&timer, call] {
+      timer.ScheduleAfter(kEmptyLine, [&timer, call] {
         call();
         Arm(timer, call);
       });
--- a/testbed/membership_run.cpp
+++ b/testbed/membership_run.cpp
@@ -116,7 +116,7 @@
 
   void Pass(Duration time) {
     net::Timer end(loop);
-    end.After(time, [this] { loop.Stop(); });
+    end.ScheduleAfter(time, [this] { loop.Stop(); });
     loop.Run();
   }
   // Runs until it holds. The limit is for what never will, not a measure of speed.
--- a/testbed/pooler_process.cpp
+++ b/testbed/pooler_process.cpp
@@ -115,7 +115,7 @@
   words.push_back(nullptr);
   net::ErrorSlot error;
   process_.reset(g_subprocess_launcher_spawnv(launcher.get(), words.data(), error.out()));
-  return process_ == nullptr ? error.text() : std::string();
+  return process_ == nullptr ? error.message() : std::string();
 }
 
 void PoolerProcess::Signal(int signal) {
--- a/testbed/relay.h
+++ b/testbed/relay.h
@@ -64,7 +64,7 @@
       Deliver(1, to, datagram);
     }
     if (left <= Duration{0}) return;
-    flood_.After(Duration(5000), [this, to, left] { Flood(to, left - Duration(5000)); });
+    flood_.ScheduleAfter(Duration(5000), [this, to, left] { Flood(to, left - Duration(5000)); });
   }
 
   std::set<std::pair<int, int>> cut;  // from, to
@@ -106,7 +106,7 @@
       Deliver(due.from, due.to, due.datagram);
     }
     if (flying_.empty()) return;
-    landing_.After(flying_.begin()->first - loop_.Now(), [this] { Land(); });
+    landing_.ScheduleAfter(flying_.begin()->first - loop_.Now(), [this] { Land(); });
   }
 
   void Deliver(int from, int to, const std::string& datagram) {
--- a/testbed/scale_host.cpp
+++ b/testbed/scale_host.cpp
@@ -350,7 +350,7 @@
 }
 
 void SimulatedPooler::Later(Duration wait, std::function<void()> call) {
-  host_.loop_.At(host_.loop_.Now() + wait, [alive = std::weak_ptr(alive_), call = std::move(call)] {
+  host_.loop_.Schedule(host_.loop_.Now() + wait, [alive = std::weak_ptr(alive_), call = std::move(call)] {
     if (!alive.expired()) call();
   });
 }
@@ -468,7 +468,7 @@
   memory_before_ = MemoryKb();
   descriptors_before_ = Descriptors();
   // The processes take turns.
-  starts_.After(kStartAPeer * spec_.poolers * number_, [this] { StartNext(); });
+  starts_.ScheduleAfter(kStartAPeer * spec_.poolers * number_, [this] { StartNext(); });
 }
 
 void Host::Begin(int pooler, const std::vector<int>& others) {
@@ -485,7 +485,7 @@
   to_start_.erase(to_start_.begin());
   Begin(pooler, others);
   if (hollow_.size() == 1) memory_before_ = MemoryKb();
-  starts_.After(kStartAPeer * spec_.poolers * spec_.processes(), [this] { StartNext(); });
+  starts_.ScheduleAfter(kStartAPeer * spec_.poolers * spec_.processes(), [this] { StartNext(); });
 }
 
 bool Host::Passes(int from, const std::string& address) const {
@@ -547,7 +547,7 @@
 }
 
 void Host::Load() {
-  load_.After(kLoadEvery, [this] { Load(); });
+  load_.ScheduleAfter(kLoadEvery, [this] { Load(); });
   // A loop that is late asks for the time that has passed; one that stood still does not make up for it all.
   const TimePoint now = loop_.Now();
   const Duration passed = loaded_ ? std::min(now - *loaded_, kMostLoad) : kLoadEvery;
--- a/testbed/scale_run.cpp
+++ b/testbed/scale_run.cpp
@@ -110,7 +110,7 @@
         words.data(), GSubprocessFlags(G_SUBPROCESS_FLAGS_STDIN_PIPE | G_SUBPROCESS_FLAGS_STDOUT_PIPE),
         error.out()));
     if (process_ == nullptr)
-      throw std::runtime_error(std::string("a host cannot be started: ") + error.text());
+      throw std::runtime_error(std::string("a host cannot be started: ") + error.message());
     id_ = std::atoi(g_subprocess_get_identifier(process_.get()));
     descriptor_ =
         g_unix_input_stream_get_fd(G_UNIX_INPUT_STREAM(g_subprocess_get_stdout_pipe(process_.get())));
@@ -239,7 +239,7 @@
     Tell("news_under_way", loop_.Now() - met_at < news);
     if (ChangesPerS(options_) > 0) Change();
     for (const Step& step : steps) {
-      loop_.At(loop_.Now() + step.at, [this, step] { Do(step); });
+      loop_.Schedule(loop_.Now() + step.at, [this, step] { Do(step); });
     }
     const Sum hollow_from = SimulatedPooler(), real_from = Real();
     const double calls = static_cast<double>(Calls()), told = static_cast<double>(Told());
@@ -329,7 +329,7 @@
   void Pass(Duration time) {
     if (time <= Duration{0}) return;
     net::Timer end(loop_);
-    end.After(time, [this] { loop_.Stop(); });
+    end.ScheduleAfter(time, [this] { loop_.Stop(); });
     loop_.Run();
   }
   bool Until(const std::function<bool()>& holds, Duration most) {
@@ -350,7 +350,7 @@
     std::vector<Json> answers;
     const TimePoint end = loop_.Now() + kAnswerWithin;
     net::Timer look(loop_);
-    std::function<void()> again = [&] { look.After(Duration(2000), again); };
+    std::function<void()> again = [&] { look.ScheduleAfter(Duration(2000), again); };
     again();
     for (const auto& host : hosts_) {
       std::optional<Json> answer;
@@ -615,12 +615,13 @@
           loop_, static_cast<std::uint16_t>(ports_[at]), query, wait_ms,
           [this](testbed::End end, const std::string&) { served_ += end == testbed::End::kServed; }));
     }
-    asks_.After(kClientsEvery, [this, now] { LoadReal(now); });
+    asks_.ScheduleAfter(kClientsEvery, [this, now] { LoadReal(now); });
   }
 
   // A database's machine is replaced by a new one.
   void Change() {
-    changes_.After(Duration(static_cast<std::int64_t>(1e6 / ChangesPerS(options_))), [this] { Change(); });
+    changes_.ScheduleAfter(Duration(static_cast<std::int64_t>(1e6 / ChangesPerS(options_))),
+                           [this] { Change(); });
     const std::size_t at = random_() % uids_.size();
     const std::string old = uids_[at];
     uids_[at] = old.substr(0, old.find('/')) + "/" + std::to_string(++renamed_);
@@ -673,7 +674,7 @@
     if (!primary || spec_.groups[group] < 2) return;
     const TimePoint at = loop_.Now() + kAhead;
     Order("die", group, *primary, at);
-    loop_.At(at, [this, group, primary] {
+    loop_.Schedule(at, [this, group, primary] {
       if (options_.real > 0) {
         servers_[group]->Kill(*primary);
       } else {
@@ -683,7 +684,7 @@
     });
     const TimePoint back = at + kReturnAfter;
     Order("return", group, *primary, back);
-    loop_.At(back, [this, group, primary] {
+    loop_.Schedule(back, [this, group, primary] {
       if (options_.real > 0) {
         servers_[group]->Restart(*primary);
       } else {
@@ -695,7 +696,7 @@
     if (options_.real == 0) GroupOf(group).Advance(loop_.Now());
     const auto primary = GroupOf(group).primary();
     if (!primary) {
-      loop_.At(loop_.Now() + Duration(10000), [this, group] { AwaitReign(group); });
+      loop_.Schedule(loop_.Now() + Duration(10000), [this, group] { AwaitReign(group); });
       return;
     }
     Order("reign", group, *primary, loop_.Now() + kAhead);
@@ -719,7 +720,7 @@
   void AwaitMoved(TimePoint from) {
     Tell("configuration_in_force_s", SecondsSince(from));
     if (second_.watchers() == alive_.size()) return;
-    loop_.At(loop_.Now() + Duration(10000), [this, from] { AwaitMoved(from); });
+    loop_.Schedule(loop_.Now() + Duration(10000), [this, from] { AwaitMoved(from); });
   }
 
   void Print() {
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -42,16 +42,16 @@
   // NOLINTNEXTLINE(cppcoreguidelines-virtual-class-destructor): it is final
   struct Client final : net::Connection::Owner {
     Client(RunningServer& running, std::string query)
-        : connection(net::Connection::Open(running.loop, {"127.0.0.1", running.server.port()}, *this, 1 << 16,
-                                           1 << 16, nullptr)),
+        : connection(net::Connection::Connect(running.loop, {"127.0.0.1", running.server.port()}, *this,
+                                              1 << 16, 1 << 16, nullptr)),
           sent(std::move(query)) {}
-    void OnUp() override { connection->Write(sent); }
+    void OnConnected() override { connection->Write(sent); }
     void OnReadable() override {
-      text += connection->in().All();
-      connection->in().Consume(connection->in().size());
+      text += connection->input().Linearize();
+      connection->input().Consume(connection->input().size());
     }
-    void OnPeerDone() override { ended = true; }
-    void OnBroken() override { ended = true; }
+    void OnEndOfStream() override { ended = true; }
+    void OnDisconnected() override { ended = true; }
     std::shared_ptr<net::Connection> connection;
     std::string sent;
     std::string text;
--- a/tests/capacity/capacity_test.cpp
+++ b/tests/capacity/capacity_test.cpp
@@ -712,7 +712,7 @@
   CHECK(static_cast<double>(set.sessions.session_capacity) == kLedgerSessions);
   CHECK(set.replication.probe_interval == Duration(static_cast<std::int64_t>(kProbeMs * 1000)));
   net::DescriptorBudget budget(1'000);
-  CHECK(static_cast<double>(budget.all()) == 1'000 - kReserved);
+  CHECK(static_cast<double>(budget.total()) == 1'000 - kReserved);
   CHECK(set.replication.read_acquires_per_s == kAsksPerS);
   CHECK(set.replication.bytes_per_s == 0);  // rows of the directory are what is asked for without a budget
   const lease::SessionLeaseManager::Options owner;
@@ -726,8 +726,8 @@
   CHECK(static_cast<double>(query.size()) == kProbeQueryBytes);
   pg::AppendMessage(answer, 'T', std::string(2 + 5 + 18, '\0'));
   pg::AppendMessage(answer, 'D', std::string(2 + 4, '\0') + "x0=1764656571.123,x1=1");
-  pg::AppendComplete(answer, "SELECT 1");
-  pg::AppendReady(answer);
+  pg::AppendCommandComplete(answer, "SELECT 1");
+  pg::AppendReadyForQuery(answer);
   CHECK(static_cast<double>(answer.size()) == kProbeAnswerBytes);
 }
 
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -144,17 +144,17 @@
   const auto remove_ended = [&](const char* all, const std::string& targets) {
     const auto update = reader.Read(R"({"rev":1,"all":)"s + all + R"(,"targets":[)" + targets + "]}");
     REQUIRE(update.has_value());
-    return reader.RemoveEnded(*update);
+    return reader.RemoveDeleted(*update);
   };
   CHECK(remove_ended("true", entry("s-1", "Ready") + "," + entry("s-2", "Ready")).empty());
   CHECK(remove_ended("false", entry("s-3", "Ready") + "," + entry("s-1", "Terminating")).empty());
-  CHECK(reader.known_servers() == 3);
+  CHECK(reader.known_server_count() == 3);
   CHECK(remove_ended("false", entry("s-1", "Gone")) == std::vector{reader.IdOf("s-1")});
-  reader.RemoveEnded({1, false, {}, {}});
+  reader.RemoveDeleted({1, false, {}, {}});
   remove_ended("false", entry("s-1", "Gone"));
-  CHECK(reader.known_servers() == 2);
+  CHECK(reader.known_server_count() == 2);
   CHECK(remove_ended("true", entry("s-3", "Ready")).size() == 1);  // s-2 is not in the complete list
-  CHECK(reader.known_servers() == 1);
+  CHECK(reader.known_server_count() == 1);
 }
 
 }  // namespace
--- a/tests/durability/durability_test.cpp
+++ b/tests/durability/durability_test.cpp
@@ -206,8 +206,8 @@
     bool late = false;
     net::Timer limit(loop);
     net::Timer poll(loop);
-    limit.After(Duration(20'000'000), [&] { late = true; });
-    std::function<void()> again = [&] { poll.After(Duration(1000), again); };
+    limit.ScheduleAfter(Duration(20'000'000), [&] { late = true; });
+    std::function<void()> again = [&] { poll.ScheduleAfter(Duration(1000), again); };
     again();
     while (!condition() && !late) g_main_context_iteration(nullptr, TRUE);
     REQUIRE(condition());
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -19,16 +19,16 @@
   Loop loop;
   std::string order;
   Timer late(loop), early(loop), never(loop);
-  never.After(Duration(5000), [&] { order += "never "; });
-  early.After(Duration(2000), [&] {
+  never.ScheduleAfter(Duration(5000), [&] { order += "never "; });
+  early.ScheduleAfter(Duration(2000), [&] {
     order += "early ";
-    never.Clear();
+    never.Cancel();
     // Counted from one moment, however late the loop is: each pass may have missed several.
-    late.After(Duration(9000), [&] {
+    late.ScheduleAfter(Duration(9000), [&] {
       order += "late ";
       loop.Stop();
     });
-    early.After(Duration(2000), [&] { order += "again "; });
+    early.ScheduleAfter(Duration(2000), [&] { order += "again "; });
   });
   loop.Run();
   CHECK(order == "early again late ");
@@ -67,7 +67,7 @@
   loop.poller().Add(two.ends[0], EPOLLIN, second);
   for (Pair* pair : {&one, &two}) REQUIRE(write(pair->ends[1], "x", 1) == 1);
   Timer stop(loop);
-  stop.After(Duration(20000), [&] { loop.Stop(); });
+  stop.ScheduleAfter(Duration(20000), [&] { loop.Stop(); });
   loop.Run();
   CHECK(calls == 1);
   for (Pair* pair : {&one, &two}) loop.poller().Remove(pair->ends[0]);
@@ -78,8 +78,8 @@
   Loop loop;
   struct Silent final : Connection::Owner {
     void OnReadable() override {}
-    void OnPeerDone() override {}
-    void OnBroken() override {}
+    void OnEndOfStream() override {}
+    void OnDisconnected() override {}
   } silent;
   std::vector<std::shared_ptr<Connection>> connections;
   Listener listener(
@@ -97,7 +97,8 @@
   const int before = polled();
   for (int i = 0; i < 20; ++i) {
     bool full = false;
-    connections.push_back(Connection::Open(loop, {"127.0.0.1", listener.port()}, silent, 4096, 4096, &full));
+    connections.push_back(
+        Connection::Connect(loop, {"127.0.0.1", listener.port()}, silent, 4096, 4096, &full));
   }
   while (connections.size() < 40) g_main_context_iteration(nullptr, TRUE);
   CHECK(polled() <= before);
@@ -117,7 +118,7 @@
     model.erase(0, taken);
     REQUIRE(ring.size() == model.size());
   }
-  CHECK(ring.All() == model);
+  CHECK(ring.Linearize() == model);
   CHECK_FALSE(ring.Append(std::string(kRingSize, 'x')));
   ring.Consume(model.size());
   CHECK(ring.capacity() <= 16 * 1024);
@@ -126,10 +127,10 @@
 TEST_CASE("neither side can take all descriptors") {
   DescriptorBudget budget(140);  // 100 to share, 25 for each side at least
   budget.clients() = 75;
-  CHECK_FALSE(budget.ClientFits());
-  CHECK(budget.BackendFits());
+  CHECK_FALSE(budget.CanAddClient());
+  CHECK(budget.CanAddBackend());
   budget.backends() = 25;
-  CHECK_FALSE(budget.BackendFits());
+  CHECK_FALSE(budget.CanAddBackend());
 }
 
 }  // namespace lynxgrade::net
--- a/tests/pg/parsers_test.cpp
+++ b/tests/pg/parsers_test.cpp
@@ -20,8 +20,8 @@
       {"", pg::Framing::kPartial, 0},
       {"Q\0\0"s, pg::Framing::kPartial, 0},
       {"Q\0\0\0\6a"s, pg::Framing::kPartial, 0},
-      {"Q\0\0\0\6a\0X"s, pg::Framing::kWhole, 7},
-      {"S\0\0\0\4"s, pg::Framing::kWhole, 5},
+      {"Q\0\0\0\6a\0X"s, pg::Framing::kComplete, 7},
+      {"S\0\0\0\4"s, pg::Framing::kComplete, 5},
       {"Q\0\0\0\3"s, pg::Framing::kMalformed, 0},
       {"\1\0\0\0\4"s, pg::Framing::kMalformed, 0},
       {"Q\x7f\xff\xff\xff"s, pg::Framing::kTooLong, 0},
@@ -40,8 +40,8 @@
     std::string body;
     pg::StartupKind kind;
   } cases[] = {
-      {"\0\3\0\0user\0worker\0database\0catalog\0\0"s, pg::StartupKind::kStart},
-      {"\0\3\0\2user\0worker\0\0"s, pg::StartupKind::kStart},
+      {"\0\3\0\0user\0worker\0database\0catalog\0\0"s, pg::StartupKind::kStartup},
+      {"\0\3\0\2user\0worker\0\0"s, pg::StartupKind::kStartup},
       {"\0\3\0\0\0"s, pg::StartupKind::kMalformed},               // names no user
       {"\0\3\0\0user\0worker"s, pg::StartupKind::kMalformed},     // does not end
       {"\0\3\0\0user\0a\0\0more"s, pg::StartupKind::kMalformed},  // goes on after its end
@@ -54,25 +54,25 @@
   };
   for (const auto& c : cases) {
     CAPTURE(c.body);
-    CHECK(pg::ReadStartup(c.body).kind == c.kind);
+    CHECK(pg::ReadStartupMessage(c.body).kind == c.kind);
   }
 }
 
 TEST_CASE("a value, an error and a status") {
-  CHECK(pg::ReadOneValue("\0\1\0\0\0\2ab"s)->value == "ab");
-  CHECK_FALSE(pg::ReadOneValue("\0\1\xff\xff\xff\xff"s)->value.has_value());
+  CHECK(pg::ReadSingleColumnRow("\0\1\0\0\0\2ab"s)->value == "ab");
+  CHECK_FALSE(pg::ReadSingleColumnRow("\0\1\xff\xff\xff\xff"s)->value.has_value());
   for (const std::string& bad : {"\0\2\0\0\0\1a\0\0\0\1b"s, "\0\1\0\0\0\3ab"s, "\0\1"s, ""s}) {
-    CHECK_FALSE(pg::ReadOneValue(bad).has_value());
+    CHECK_FALSE(pg::ReadSingleColumnRow(bad).has_value());
   }
-  CHECK(pg::ReadError("SERROR\0C25006\0Mread only\0\0"s)->code == "25006");
+  CHECK(pg::ReadErrorFields("SERROR\0C25006\0Mread only\0\0"s)->code == "25006");
   for (const std::string& bad : {"SERROR\0\0"s, "C25006\0"s, "C25006"s, ""s}) {
-    CHECK_FALSE(pg::ReadError(bad).has_value());
+    CHECK_FALSE(pg::ReadErrorFields(bad).has_value());
   }
-  CHECK(pg::ReadStatus("log_position\0"
-                       "12\0"s)
+  CHECK(pg::ReadParameterStatus("log_position\0"
+                                "12\0"s)
             ->value == "12");
-  CHECK_FALSE(pg::ReadStatus("log_position\0"
-                             "12"s)
+  CHECK_FALSE(pg::ReadParameterStatus("log_position\0"
+                                      "12"s)
                   .has_value());
   CHECK(pg::ReadQuery("a\0"s) == "a");
   for (const std::string& bad : {""s, "a"s, "a\0b\0"s}) CHECK_FALSE(pg::ReadQuery(bad).has_value());
@@ -102,14 +102,14 @@
     const auto comment = pg::ReadComment(c.statement, wrong);
     CHECK(comment.has_value() == c.read);
     CHECK(wrong.empty() == c.read);
-    if (comment) CHECK(pg::WithBudget(c.statement, *comment, 77) == c.with_77);
+    if (comment) CHECK(pg::ReplaceTimeBudget(c.statement, *comment, 77) == c.with_77);
   }
   std::string wrong;
   const std::string write = "/* id=9,c=w,k=5c,r=1 */ INSERT INTO objects (oid, body) VALUES ('k2', '\\x9f')";
   const auto comment = pg::ReadComment(write, wrong);
-  CHECK(comment->object == "k2");
-  CHECK(comment->key == "5c");
-  CHECK(comment->retry);
+  CHECK(comment->object_id == "k2");
+  CHECK(comment->idempotency_key == "5c");
+  CHECK(comment->is_retry);
 }
 
 TEST_CASE("load reports") {
--- a/tests/proxy/deadlines_test.cpp
+++ b/tests/proxy/deadlines_test.cpp
@@ -18,7 +18,7 @@
 void Pass(SimulatedFleet& w, Duration time) {
   bool over = false;
   net::Timer timer(w.loop);
-  timer.After(time, [&] { over = true; });
+  timer.ScheduleAfter(time, [&] { over = true; });
   w.Until([&] { return over; });
 }
 
@@ -42,20 +42,20 @@
 };
 
 TEST_CASE("arrivals: each byte has the time at which it came, also after some were taken") {
-  net::Arrivals arrivals;
-  arrivals.Came(10, At(1000000));
-  arrivals.Came(5, At(1000500));  // as good as at once
-  arrivals.Came(20, At(3000000));
-  CHECK(arrivals.At(0) == At(1000000));
-  CHECK(arrivals.At(14) == At(1000000));
-  CHECK(arrivals.At(15) == At(3000000));
-  CHECK(arrivals.At(99) == At(3000000));
+  net::ArrivalTimes arrivals;
+  arrivals.RecordArrival(10, At(1000000));
+  arrivals.RecordArrival(5, At(1000500));  // as good as at once
+  arrivals.RecordArrival(20, At(3000000));
+  CHECK(arrivals.TimeAt(0) == At(1000000));
+  CHECK(arrivals.TimeAt(14) == At(1000000));
+  CHECK(arrivals.TimeAt(15) == At(3000000));
+  CHECK(arrivals.TimeAt(99) == At(3000000));
   arrivals.Consume(12);
-  CHECK(arrivals.First() == 3);
-  CHECK(arrivals.At(2) == At(1000000));
-  CHECK(arrivals.At(3) == At(3000000));
-  arrivals.Came(1, At(2000000));  // a time that falls back is none
-  CHECK(arrivals.At(23) == At(3000000));
+  CHECK(arrivals.FirstSpanBytes() == 3);
+  CHECK(arrivals.TimeAt(2) == At(1000000));
+  CHECK(arrivals.TimeAt(3) == At(3000000));
+  arrivals.RecordArrival(1, At(2000000));  // a time that falls back is none
+  CHECK(arrivals.TimeAt(23) == At(3000000));
   arrivals.Consume(1000);
   CHECK(arrivals.size() == 0);
 }
@@ -64,24 +64,24 @@
   rc::check([] {
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 40), rc::gen::inRange(0, 30000)));
-    net::Arrivals arrivals;
+    net::ArrivalTimes arrivals;
     std::vector<TimePoint> truth;
     TimePoint now = At(1000000);
     for (const auto& [size, wait] : steps) {
       now += Duration(wait);
-      arrivals.Came(static_cast<std::size_t>(size), now);
+      arrivals.RecordArrival(static_cast<std::size_t>(size), now);
       truth.insert(truth.end(), static_cast<std::size_t>(size), now);
       const std::size_t taken = truth.size() / 7;
       arrivals.Consume(taken);
       truth.erase(truth.begin(), truth.begin() + static_cast<std::ptrdiff_t>(taken));
       RC_ASSERT(arrivals.size() == truth.size());
-      for (std::size_t i = 0; i < truth.size(); ++i) RC_ASSERT(arrivals.At(i) <= truth[i]);
+      for (std::size_t i = 0; i < truth.size(); ++i) RC_ASSERT(arrivals.TimeAt(i) <= truth[i]);
     }
   });
-  net::Arrivals trickle;
-  for (int i = 0; i < 100000; ++i) trickle.Came(1, At(std::int64_t{i} * 2000));
+  net::ArrivalTimes trickle;
+  for (int i = 0; i < 100000; ++i) trickle.RecordArrival(1, At(std::int64_t{i} * 2000));
   int stretches = 0;
-  for (; trickle.size() > 0; ++stretches) trickle.Consume(trickle.First());
+  for (; trickle.size() > 0; ++stretches) trickle.Consume(trickle.FirstSpanBytes());
   CHECK(stretches <= 128);
 }
 
@@ -191,7 +191,7 @@
   net::Timer limit(w.loop);
   held.Answer();
   w.Until([&] { return client.Types().ends_with("TDCZ"); });
-  limit.After(Ms(1500), [&] { late = true; });
+  limit.ScheduleAfter(Ms(1500), [&] { late = true; });
   w.Until([&] { return client.Saw("08P01"); });
   CHECK_FALSE(late);
 }
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -224,7 +224,7 @@
   SimulatedFleet w;
   w.Serve([](Peer& p, const std::string&) {
     std::string report, row = Row("v");
-    pg::AppendStatus(report, "pressure", "util=much,,\x01");
+    pg::AppendParameterStatus(report, "pressure", "util=much,,\x01");
     p.Say(row.insert(row.size() - 6, report));
   });
   w.List();
@@ -257,7 +257,7 @@
   w.clients.push_back(std::make_unique<Peer>());
   Peer& ssl = *w.clients.back();
   bool full = false;
-  ssl.connection = Connection::Open(w.loop, {"127.0.0.1", w.front.port()}, ssl, 4096, 4096, &full);
+  ssl.connection = Connection::Connect(w.loop, {"127.0.0.1", w.front.port()}, ssl, 4096, 4096, &full);
   ssl.Say(std::string("\0\0\0\x08\x04\xd2\x16\x2f", 8));
   w.Until([&] { return ssl.bytes == "N"; });
 }
@@ -484,7 +484,7 @@
         const std::size_t call = calls++;
         if (call < failures.size()) {
           peer.Say(failures[call]);
-          if (!failures[call].empty()) peer.connection->EndSending();
+          if (!failures[call].empty()) peer.connection->ShutdownSending();
         } else {
           peer.Say(head + chunk(R"({"rev":45,"all":false,"targets":[{"uid":"s-1",)"
                                 R"("endpoint":"127.0.0.1:)" +
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -99,7 +99,7 @@
   w.List();
   std::string much;
   for (int i = 0; i < 8000; ++i) much += Query(Ask("any", "k", kLong));
-  REQUIRE(much.size() > 2 * pg::kRingLimit);
+  REQUIRE(much.size() > 2 * pg::kMaxBufferBytes);
   Bare client(w.front.port());
   w.Until([&] { return client.Saw("Z"); });
   client.Say(Query(Ask("any", "k", kLong)));
@@ -185,7 +185,7 @@
   std::function<void()> say = [&] {
     if (client.ended) return;
     client.Say("x");
-    more.After(Duration(100), say);  // so that a byte lies unread at every sweep
+    more.ScheduleAfter(Duration(100), say);  // so that a byte lies unread at every sweep
   };
   say();
   w.Until([&] { return client.ended; });
@@ -293,7 +293,7 @@
   std::vector<std::unique_ptr<net::Timer>> timers;
   DataServer& server = w.Serve([&](Peer& p, const std::string&) {  // hardly a moment between two requests
     timers.push_back(std::make_unique<net::Timer>(w.loop));
-    timers.back()->After(Duration(15000), [&p] { p.Say(Row("v")); });
+    timers.back()->ScheduleAfter(Duration(15000), [&p] { p.Say(Row("v")); });
   });
   w.List();
   Peer& client = w.Client({Ask("any", "k", kLong)});
@@ -345,7 +345,7 @@
   w.Until([&] { return w.loop.Now() - from >= Duration(600000); });
   // The loop stands still until the listener is due to close: the connection and its request come meanwhile.
   Bare queued(w.front.port(), Query(Ask("any", "v", kLong)));
-  while (w.loop.Precise() - from < Duration(705000))
+  while (w.loop.PreciseNow() - from < Duration(705000))
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
   w.Until([&] { return queued.Saw("SELECT 1") || queued.Saw("53300"); });
   w.Until([&] {
@@ -384,8 +384,8 @@
     row += static_cast<char>(large.size() >> 8);
     row += static_cast<char>(large.size() & 0xff);
     pg::AppendMessage(out, 'D', row + large);
-    pg::AppendComplete(out, "SELECT 1");
-    pg::AppendReady(out);
+    pg::AppendCommandComplete(out, "SELECT 1");
+    pg::AppendReadyForQuery(out);
     p.Say(out);
   });
   w.List();
@@ -394,7 +394,7 @@
   setsockopt(client.connection->descriptor(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   client.connection->PauseReading();
   std::string out;
-  pg::AppendStartup(out, "worker", "catalog");
+  pg::AppendStartupMessage(out, "worker", "catalog");
   for (int i = 0; i < 60; ++i) pg::AppendQuery(out, Ask("any", "k", kLong));
   client.Say(out);
   w.Until([&] { return !server.queries.empty(); });
@@ -406,7 +406,7 @@
   CHECK_FALSE(client.reset);
   // Every answer that was begun is whole.
   std::string rest = client.bytes;
-  for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kWhole;) rest.erase(0, f.size);
+  for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kComplete;) rest.erase(0, f.size);
   CHECK(rest.empty());
   CHECK(client.Types().ends_with("Z"));
 }
@@ -423,7 +423,7 @@
     return first.ended;
   });
   first.Say(Query(Ask("any")));
-  first.EndSending();
+  first.ShutdownSending();
   w.Until([&] { return w.front.sessions() == 0; });
   CHECK(server.queries.empty());
   CHECK(first.Fault() == 0);
@@ -550,9 +550,9 @@
   net::Timer more(w.loop);
   std::function<void()> say = [&] {
     std::string notice;
-    pg::AppendNotice(notice, "more to come");
+    pg::AppendNoticeResponse(notice, "more to come");
     if (endless != nullptr && !endless->ended) endless->Say(notice);
-    more.After(Duration(0), say);  // so that something is unread at every moment
+    more.ScheduleAfter(Duration(0), say);  // so that something is unread at every moment
   };
   say();
   Peer& client = w.Client({Ask("any", "k", kLong)});
@@ -599,7 +599,7 @@
   void Until(const std::function<bool()>& holds) {
     bool late = false;
     net::Timer limit(loop);
-    limit.After(10 * kSecond, [&] { late = true; });
+    limit.ScheduleAfter(10 * kSecond, [&] { late = true; });
     while (!holds() && !late) g_main_context_iteration(nullptr, TRUE);
     REQUIRE(holds());
   }
@@ -623,7 +623,7 @@
   net::Timer trickle(w.loop);
   std::function<void()> drop = [&] {
     if (!w.peers.empty() && !w.peers[0]->ended) w.peers[0]->Say(" ");
-    trickle.After(Duration(50000), drop);
+    trickle.ScheduleAfter(Duration(50000), drop);
   };
   drop();
   w.Until([&] { return w.changes.size() == 1; });
@@ -649,7 +649,7 @@
     Watched w([&](Peer& p, std::size_t call) {
       if (call > 1) return p.Say(kOpenEnded + Listing("44") + "\n");
       p.Say(kOpenEnded + (reset ? list.substr(0, list.size() - 2) : list));  // without a line's end
-      if (!reset) return p.connection->EndSending();
+      if (!reset) return p.connection->ShutdownSending();
     });
     w.Until([&] { return !w.peers.empty() && w.peers[0]->Saw("\r\n\r\n"); });
     if (reset) {
--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -59,15 +59,15 @@
             }) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
     bool full = false;
-    here = Connection::Open(loop, {"127.0.0.1", listener.port()}, *this, 4096, 4096, &full);
-    Until([&] { return there != nullptr && here->up(); }, loop);
+    here = Connection::Connect(loop, {"127.0.0.1", listener.port()}, *this, 4096, 4096, &full);
+    Until([&] { return there != nullptr && here->connected(); }, loop);
   }
   void OnReadable() override {
-    here->in().Consume(here->in().size());
+    here->input().Consume(here->input().size());
     StandStill(ms);
   }
-  void OnPeerDone() override {}
-  void OnBroken() override {}
+  void OnEndOfStream() override {}
+  void OnDisconnected() override {}
   void Begin() { there->Write("x"); }
   int ms;
   Peer far;
@@ -107,7 +107,7 @@
   const TimePoint from = a.loop.Now();
   a.Send(120);
   Until([&] { return a.server.peers.size() == 1 && a.server.peers[0]->started; }, a.loop);
-  Wait(a.loop, static_cast<int>((from + 80 * kMs - a.loop.Precise()) / kMs));
+  Wait(a.loop, static_cast<int>((from + 80 * kMs - a.loop.PreciseNow()) / kMs));
   InAPass(a.loop, [&] {
     slow.Begin();
     a.server.peers[0]->Say(Hello());
--- a/tests/replication/event_loop_steps.h
+++ b/tests/replication/event_loop_steps.h
@@ -18,23 +18,23 @@
 inline void Until(const std::function<bool()>& holds, net::Loop& loop) {
   bool late = false;
   net::Timer limit(loop), look(loop);
-  limit.After(10000 * kMs, [&] { late = true; });
-  std::function<void()> again = [&] { look.After(kMs, again); };
+  limit.ScheduleAfter(10000 * kMs, [&] { late = true; });
+  std::function<void()> again = [&] { look.ScheduleAfter(kMs, again); };
   again();
   while (!holds() && !late) g_main_context_iteration(nullptr, TRUE);
   REQUIRE(holds());
 }
 
 inline void Wait(net::Loop& loop, int ms) {
-  const TimePoint from = loop.Precise();
-  Until([&] { return loop.Precise() - from >= ms * kMs; }, loop);
+  const TimePoint from = loop.PreciseNow();
+  Until([&] { return loop.PreciseNow() - from >= ms * kMs; }, loop);
 }
 
 // Runs `call` inside one pass of the loop.
 inline void InAPass(net::Loop& loop, const std::function<void()>& call) {
   bool done = false;
   net::Timer timer(loop);
-  timer.After(Duration{0}, [&] {
+  timer.ScheduleAfter(Duration{0}, [&] {
     call();
     done = true;
   });
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -50,7 +50,7 @@
   }
   Reads() : proxy(loop, Unhurried(), 7, sends, Everywhere()) {
     // One reading: between two a gap of a microsecond may lie, which a read has to wait out at a replica.
-    const TimePoint started = loop.Precise();
+    const TimePoint started = loop.PreciseNow();
     proxy.consistency_guard().HandleStart(started, started);
     proxy.consistency_guard().SetReplicatedThrough(1, started);
     proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++asked; }});
@@ -79,13 +79,13 @@
   // In one pass: word from the other instance, which then answers a write, and a read of that session.
   InAPass(r.loop, [&] {
     StandStill(10);
-    r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.Precise());
+    r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.PreciseNow());
     StandStill(10);
     r.Read(1000);
   });
   CHECK(r.asked == 1);
   CHECK(r.sends.sent.empty());
-  r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.Precise());
+  r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.PreciseNow());
   r.proxy.Relearnt();
   CHECK(r.sends.sent.size() == 1);
 }
@@ -99,7 +99,7 @@
     r.Read(1000);
   });
   Wait(r.loop, 50);
-  r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.Precise());
+  r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.PreciseNow());
   r.proxy.Relearnt();
   REQUIRE(r.sends.sent.size() == 1);
   CHECK(r.loop.Now() + r.sends.sent[0] == from + 1000 * kMs);
@@ -217,12 +217,12 @@
     StandStill(100);
   });
   InAPass(loop, [] {});
-  CHECK(loop.Since() <= before + 20 * kMs);
-  CHECK(loop.Since() >= before);
+  CHECK(loop.EarliestArrival() <= before + 20 * kMs);
+  CHECK(loop.EarliestArrival() >= before);
   CHECK(loop.Now() >= before + 100 * kMs);
   // One that has waited for what came was there.
   Wait(loop, 20);
-  CHECK(loop.Now() - loop.Since() < 20 * kMs);
+  CHECK(loop.Now() - loop.EarliestArrival() < 20 * kMs);
 }
 
 TEST_CASE("the silence of a watch counts from the arrival of its last line, not from when it was read") {
@@ -262,7 +262,7 @@
   discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {},
                                   [](const auto&) {});
   net::Timer before(w.loop);
-  before.After(Duration{0}, [] { StandStill(300); });  // in the pass in which the call is made
+  before.ScheduleAfter(Duration{0}, [] { StandStill(300); });  // in the pass in which the call is made
   watch.Start();
   w.Until([&] { return watch.has_received_update(); });
   CHECK(agent.peers.size() == 1);
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -25,7 +25,7 @@
 template <typename T>
 T Get(Codec& codec, const std::string& text) {
   Line line = codec.Decode(text);
-  return std::get<T>(std::get<ForInstance>(line).event);
+  return std::get<T>(std::get<InstanceEvent>(line).event);
 }
 
 std::string Problem(Codec& codec, const std::string& text) {
@@ -88,9 +88,9 @@
   EXPECT_EQ(page.entries[0].started, TimePoint(Duration(6)));
   EXPECT_FALSE(page.entries[1].started);
   line = codec.Decode(R"({"op":"directory_update","who":3,"how":"Partial","epoch":4,"page":2})");
-  EXPECT_EQ(std::get<ListNews>(line).kind, ListKind::kPartial);
+  EXPECT_EQ(std::get<ListUpdate>(line).kind, ListKind::kPartial);
   line = codec.Decode(R"({"op":"directory_update","who":3,"how":"Error"})");
-  EXPECT_EQ(std::get<ListNews>(line).kind, ListKind::kError);
+  EXPECT_EQ(std::get<ListUpdate>(line).kind, ListKind::kError);
   line = codec.Decode(R"({"op":"teardown","who":3})");
   EXPECT_EQ(std::get<Stop>(line).instance, 3);
 
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -43,24 +43,24 @@
   std::shared_ptr<Connection> connection;
 
   void OnReadable() override {
-    bytes += connection->in().All();
-    connection->in().Consume(connection->in().size());
+    bytes += connection->input().Linearize();
+    connection->input().Consume(connection->input().size());
     while (server) {
       const pg::Frame frame = started ? pg::ReadFrame(bytes) : pg::ReadStartupFrame(bytes);
-      if (frame.framing != pg::Framing::kWhole) return;
+      if (frame.framing != pg::Framing::kComplete) return;
       const std::string text(frame.body);
       bytes.erase(0, frame.size);
       const bool first = !std::exchange(started, true);
       script(*this, first ? "hello" : text.substr(0, text.size() - 1));
     }
   }
-  void OnPeerDone() override { ended = true; }
-  void OnBroken() override { ended = reset = true; }
+  void OnEndOfStream() override { ended = true; }
+  void OnDisconnected() override { ended = reset = true; }
   void Say(const std::string& text) { connection->Write(text); }
   // The codes of the messages that came, as letters.
   std::string Types() const {
     std::string types, rest = bytes;
-    for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kWhole; rest.erase(0, f.size))
+    for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kComplete; rest.erase(0, f.size))
       types += f.type;
     return types;
   }
@@ -75,7 +75,7 @@
 inline std::string Hello() {
   std::string out;
   pg::AppendAuthenticationOk(out);
-  pg::AppendReady(out);
+  pg::AppendReadyForQuery(out);
   return out;
 }
 
@@ -85,17 +85,17 @@
   std::string out;
   pg::AppendMessage(out, 'T', kColumn);
   pg::AppendMessage(out, 'D', std::string("\0\1\0\0\0", 5) + static_cast<char>(value.size()) + value);
-  pg::AppendComplete(out, "SELECT 1");
-  pg::AppendStatus(out, "replication_role", role);
-  pg::AppendStatus(out, "log_position", position);
-  pg::AppendReady(out);
+  pg::AppendCommandComplete(out, "SELECT 1");
+  pg::AppendParameterStatus(out, "replication_role", role);
+  pg::AppendParameterStatus(out, "log_position", position);
+  pg::AppendReadyForQuery(out);
   return out;
 }
 
 inline std::string Error(const char* code) {
   std::string out;
-  pg::AppendError(out, "ERROR", code, "no");
-  pg::AppendReady(out);
+  pg::AppendErrorResponse(out, "ERROR", code, "no");
+  pg::AppendReadyForQuery(out);
   return out;
 }
 
@@ -196,14 +196,14 @@
     clients.push_back(std::make_unique<Peer>());
     Peer& peer = *clients.back();
     bool full = false;
-    peer.connection = Connection::Open(loop, {"127.0.0.1", port}, peer, 1 << 18, 1 << 18, &full);
+    peer.connection = Connection::Connect(loop, {"127.0.0.1", port}, peer, 1 << 18, 1 << 18, &full);
     REQUIRE(peer.connection != nullptr);
     return peer;
   }
   Peer& Client(const Texts& queries, std::uint16_t port) {
     Peer& peer = Connect(port);
     std::string out;
-    pg::AppendStartup(out, "worker", "catalog");
+    pg::AppendStartupMessage(out, "worker", "catalog");
     for (const std::string& query : queries) pg::AppendQuery(out, query);
     peer.Say(out);
     return peer;
@@ -212,8 +212,8 @@
   void Until(const std::function<bool()>& holds) {
     bool late = false;
     net::Timer limit(loop), look(loop);
-    limit.After(Duration(10000000), [&] { late = true; });
-    std::function<void()> again = [&] { look.After(Duration(1000), again); };
+    limit.ScheduleAfter(Duration(10000000), [&] { late = true; });
+    std::function<void()> again = [&] { look.ScheduleAfter(Duration(1000), again); };
     again();
     while (!holds() && !late) g_main_context_iteration(nullptr, TRUE);
     REQUIRE(holds());
@@ -256,7 +256,7 @@
  public:
   explicit Bare(std::uint16_t port, const std::string& bytes = {}) : Bare(port, kMute) {
     std::string out;
-    pg::AppendStartup(out, "worker", "catalog");
+    pg::AppendStartupMessage(out, "worker", "catalog");
     Say(out + bytes);
   }
   // One that has said nothing yet.
@@ -294,7 +294,7 @@
     getsockopt(socket_, SOL_SOCKET, SO_ERROR, &fault, &size);
     return fault;
   }
-  void EndSending() { shutdown(socket_, SHUT_WR); }
+  void ShutdownSending() { shutdown(socket_, SHUT_WR); }
   bool Saw(const std::string& text) { return Read().find(text) != std::string::npos; }
   std::string bytes;
   bool ended = false;
@@ -314,7 +314,7 @@
 // What BackendKeyData gave a client, as the body of a CancelRequest.
 inline std::string SessionKeyOf(const Peer& client) {
   std::string rest = client.bytes;
-  for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kWhole; rest.erase(0, f.size))
+  for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kComplete; rest.erase(0, f.size))
     if (f.type == 'K') return std::string(f.body);
   return {};
 }
--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -385,7 +385,7 @@
     spec.discovery = 1;  // nobody answers there
     auto read = ParsePlatformConfig(ScaleConfigOf(spec, 0, 1));
     config = std::move(read.value());
-    config.known =
+    config.known_endpoint_list =
         R"({"rev":3,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:9","az":"a","pod_group":1,)"
         R"("state":"Ready","capacity_hint":1.0}]})";
     Instance::Host host;
@@ -404,7 +404,7 @@
   }
   void Pass(Duration time) {
     net::Timer end(loop);
-    end.After(time, [this] { loop.Stop(); });
+    end.ScheduleAfter(time, [this] { loop.Stop(); });
     loop.Run();
   }
   net::Loop loop;
@@ -440,12 +440,12 @@
   REQUIRE(seam.instance->Start());
   seam.Ask(Duration(400000));
   REQUIRE(seam.backends.sent.size() == 1);
-  const std::size_t deadlines = seam.loop.timers();
+  const std::size_t deadlines = seam.loop.timer_count();
   CHECK(deadlines > 0);
   seam.instance.reset();
   seam.Pass(Duration(500000));  // past the end of the request, and of the module's next tick
   CHECK(seam.client.served + seam.client.refused + seam.client.failed == 0);
-  CHECK(seam.loop.timers() == 0);
+  CHECK(seam.loop.timer_count() == 0);
 }
 
 TEST_CASE("an instance that is taken down while it holds an answer back fails nobody afterwards") {
@@ -504,7 +504,7 @@
   }
   void Pass(Duration time) {
     net::Timer end(loop);
-    end.After(time, [this] { loop.Stop(); });
+    end.ScheduleAfter(time, [this] { loop.Stop(); });
     loop.Run();
   }
   // The limit is for what never will.
