--- a/src/net/arrivals.cpp
+++ b/src/net/arrivals.cpp
@@ -4,44 +4,44 @@
 
 namespace lynxgrade::net {
 
-void ArrivalTimes::RecordArrival(std::size_t count, TimePoint at) {
+void ArrivalTimes::RecordArrival(std::size_t count, TimePoint time) {
   if (count == 0) return;
-  newest_ = std::max(newest_, at);
+  newest_ = std::max(newest_, time);
   size_ += count;
-  if (!stretches_.empty() && newest_ - stretches_.back().at < grain_) {
-    stretches_.back().size += count;
+  if (!spans_.empty() && newest_ - spans_.back().time < resolution_) {
+    spans_.back().size += count;
     return;
   }
-  stretches_.push_back({count, newest_});
-  if (stretches_.size() <= kMostStretches) return;
-  // Two by two, with the earlier time: a request may be held for older than it is, never for younger.
-  for (std::size_t i = 0; i < stretches_.size(); i += 2) {
-    Stretch joined = stretches_[i];
-    if (i + 1 < stretches_.size()) joined.size += stretches_[i + 1].size;
-    stretches_[i / 2] = joined;
+  spans_.push_back({count, newest_});
+  if (spans_.size() <= kMaxSpans) return;
+  // Merges pairs and keeps the earlier time: a request may be taken for older than it is, never for younger.
+  for (std::size_t i = 0; i < spans_.size(); i += 2) {
+    Span merged = spans_[i];
+    if (i + 1 < spans_.size()) merged.size += spans_[i + 1].size;
+    spans_[i / 2] = merged;
   }
-  stretches_.resize((stretches_.size() + 1) / 2);
-  grain_ *= 2;
+  spans_.resize((spans_.size() + 1) / 2);
+  resolution_ *= 2;
 }
 
 void ArrivalTimes::Consume(std::size_t count) {
   count = std::min(count, size_);
   size_ -= count;
   if (size_ == 0) {
-    stretches_ = {};  // an idle connection keeps no memory for it
-    grain_ = kFinest;
+    spans_ = {};  // frees the memory: an idle connection holds none
+    resolution_ = kMinResolution;
     return;
   }
-  auto first = stretches_.begin();
+  auto first = spans_.begin();
   for (; count >= first->size; ++first) count -= first->size;
   first->size -= count;
-  stretches_.erase(stretches_.begin(), first);
+  spans_.erase(spans_.begin(), first);
 }
 
 TimePoint ArrivalTimes::TimeAt(std::size_t offset) const {
-  for (const Stretch& stretch : stretches_) {
-    if (offset < stretch.size) return stretch.at;
-    offset -= stretch.size;
+  for (const Span& span : spans_) {
+    if (offset < span.size) return span.time;
+    offset -= span.size;
   }
   return newest_;
 }
--- a/src/net/arrivals.h
+++ b/src/net/arrivals.h
@@ -1,5 +1,5 @@
-// When the bytes that a ring holds have come: stretches of bytes, each with a time. Owns that alone; no
-// clock, no I/O.
+// Arrival times of the bytes in an input buffer, kept as spans of bytes that share one time. No clock, no
+// I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,28 +11,31 @@
 
 class ArrivalTimes {
  public:
-  // `count` more bytes, none of which came before `at`. Times that fall back are taken for the last one.
-  void RecordArrival(std::size_t count, TimePoint at);
-  // The first `count` bytes are gone.
+  // Appends `count` bytes, none of which arrived before `time`. A time that is older than the newest one
+  // counts as the newest one.
+  void RecordArrival(std::size_t count, TimePoint time);
+  // Removes the first `count` bytes.
   void Consume(std::size_t count);
-  // When the byte at `offset` came, at the earliest; the newest time known where there is none.
+  // The earliest time at which the byte at `offset` may have arrived; the newest time recorded if there is no
+  // such byte.
   TimePoint TimeAt(std::size_t offset) const;
-  // How many bytes from the first on have one time.
-  std::size_t FirstSpanBytes() const { return stretches_.empty() ? 0 : stretches_.front().size; }
+  // How many bytes from the first on share one time.
+  std::size_t FirstSpanBytes() const { return spans_.empty() ? 0 : spans_.front().size; }
   std::size_t size() const { return size_; }
 
  private:
-  // A peer that trickles for an hour must not fill memory: beyond so many, neighbours are joined.
-  static constexpr std::size_t kMostStretches = 128;
-  static constexpr Duration kFinest{1000};  // what comes closer together is one stretch
+  // Bounds the memory for a peer that sends a few bytes at a time for hours: beyond it, neighbouring spans
+  // are merged.
+  static constexpr std::size_t kMaxSpans = 128;
+  static constexpr Duration kMinResolution{1000};  // bytes closer together than this share a span
 
-  struct Stretch {
+  struct Span {
     std::size_t size = 0;
-    TimePoint at{};
+    TimePoint time{};
   };
-  std::vector<Stretch> stretches_;
+  std::vector<Span> spans_;
   std::size_t size_ = 0;
-  Duration grain_ = kFinest;
+  Duration resolution_ = kMinResolution;  // doubled whenever spans are merged
   TimePoint newest_{};
 };
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -11,11 +11,11 @@
 namespace lynxgrade::net {
 namespace {
 
-constexpr int kReadsPerWake = 4;  // a busy peer must not starve the others
-constexpr Duration kLate{5000};   // what may have come longer ago than this is worth asking the kernel for
+constexpr int kMaxReadsPerEvent = 4;              // so that one busy peer does not starve the others
+constexpr Duration kMaxArrivalUncertainty{5000};  // above it the kernel is asked when the bytes arrived
 
-// How long ago the newest byte came, as the kernel has it; nothing where it does not say.
-std::optional<Duration> SinceNewest(int descriptor) {
+// How long ago the kernel received the newest byte; absent if the kernel does not report it.
+std::optional<Duration> TimeSinceLastReceive(int descriptor) {
   tcp_info info{};
   socklen_t size = sizeof info;
   if (getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return std::nullopt;
@@ -43,18 +43,18 @@
   return ObjectPtr<GSocketAddress>(g_inet_socket_address_new_from_string(address.host.c_str(), address.port));
 }
 
-ObjectPtr<GSocket> NewSocket(GSocketFamily family, bool* full) {
+ObjectPtr<GSocket> NewSocket(GSocketFamily family, bool* out_of_descriptors) {
   ErrorSlot error;
   ObjectPtr<GSocket> socket(g_socket_new(family, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error.out()));
-  // GIO names the shortage of descriptors by its own code.
-  if (socket == nullptr) *full = error.Matches(G_IO_ERROR_TOO_MANY_OPEN_FILES);
+  // GIO reports EMFILE and ENFILE by a code of its own.
+  if (socket == nullptr) *out_of_descriptors = error.Matches(G_IO_ERROR_TOO_MANY_OPEN_FILES);
   if (socket != nullptr) g_socket_set_blocking(socket.get(), FALSE);
   return socket;
 }
 
-Connection::Connection(Loop& loop, ObjectPtr<GSocket> socket, Owner& owner, std::size_t in_limit,
-                       std::size_t out_limit)
-    : loop_(loop), socket_(std::move(socket)), owner_(&owner), in_(in_limit), out_(out_limit) {
+Connection::Connection(Loop& loop, ObjectPtr<GSocket> socket, Owner& owner, std::size_t input_limit,
+                       std::size_t output_limit)
+    : loop_(loop), socket_(std::move(socket)), owner_(&owner), input_(input_limit), output_(output_limit) {
   g_socket_set_blocking(socket_.get(), FALSE);
   g_socket_set_option(socket_.get(), IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
 }
@@ -62,198 +62,206 @@
 Connection::~Connection() { Close(); }
 
 std::shared_ptr<Connection> Connection::Adopt(Loop& loop, ObjectPtr<GSocket> socket, Owner& owner,
-                                              std::size_t in_limit, std::size_t out_limit) {
-  std::shared_ptr<Connection> made(new Connection(loop, std::move(socket), owner, in_limit, out_limit));
-  made->up_ = true;
-  made->Watch();
-  return made;
+                                              std::size_t input_limit, std::size_t output_limit) {
+  std::shared_ptr<Connection> connection(
+      new Connection(loop, std::move(socket), owner, input_limit, output_limit));
+  connection->connected_ = true;
+  connection->UpdateWatch();
+  return connection;
 }
 
 std::shared_ptr<Connection> Connection::Connect(Loop& loop, const Address& address, Owner& owner,
-                                                std::size_t in_limit, std::size_t out_limit, bool* full) {
-  const ObjectPtr<GSocketAddress> target = SocketAddress(address);
-  if (target == nullptr) return nullptr;
-  ObjectPtr<GSocket> socket = NewSocket(g_socket_address_get_family(target.get()), full);
+                                                std::size_t input_limit, std::size_t output_limit,
+                                                bool* out_of_descriptors) {
+  const ObjectPtr<GSocketAddress> socket_address = SocketAddress(address);
+  if (socket_address == nullptr) return nullptr;
+  ObjectPtr<GSocket> socket =
+      NewSocket(g_socket_address_get_family(socket_address.get()), out_of_descriptors);
   if (socket == nullptr) return nullptr;
-  std::shared_ptr<Connection> made(new Connection(loop, std::move(socket), owner, in_limit, out_limit));
+  std::shared_ptr<Connection> connection(
+      new Connection(loop, std::move(socket), owner, input_limit, output_limit));
   ErrorSlot error;
-  if (!g_socket_connect(made->socket_.get(), target.get(), nullptr, error.out()) &&
+  if (!g_socket_connect(connection->socket_.get(), socket_address.get(), nullptr, error.out()) &&
       !error.Matches(G_IO_ERROR_PENDING)) {
     return nullptr;
   }
-  made->writing_ = true;  // an opening connection becomes writable when it is up or has failed
-  made->Watch();
-  return made;
+  // The socket becomes writable once the connect has succeeded or failed.
+  connection->awaiting_writable_ = true;
+  connection->UpdateWatch();
+  return connection;
 }
 
-// After the peer's end only a reset is still news; a level-triggered end would be reported for ever.
-void Connection::Watch() {
-  if (closed() || over_) return;
-  const bool reading = up_ && !peer_done_ && (broken_ || !paused_);
-  const std::uint32_t events = (reading ? EPOLLIN : 0u) | (writing_ ? EPOLLOUT : 0u);
-  if (!watched_) {
+// After the end of the stream only errors are watched for: the poller is level-triggered and would report the
+// end in every pass.
+void Connection::UpdateWatch() {
+  if (closed() || disconnect_reported_) return;
+  const bool reading = connected_ && !end_of_stream_ && (broken_ || !paused_);
+  const std::uint32_t events = (reading ? EPOLLIN : 0u) | (awaiting_writable_ ? EPOLLOUT : 0u);
+  if (!watched_events_) {
     loop_.poller().Add(descriptor(), events, *this);
-  } else if (*watched_ != events) {
+  } else if (*watched_events_ != events) {
     loop_.poller().Change(descriptor(), events);
   }
-  watched_ = events;
+  watched_events_ = events;
 }
 
-void Connection::Unwatch() {
-  if (watched_) loop_.poller().Remove(descriptor());
-  watched_.reset();
+void Connection::StopWatching() {
+  if (watched_events_) loop_.poller().Remove(descriptor());
+  watched_events_.reset();
 }
 
 void Connection::OnEvents(std::uint32_t events) {
   const std::shared_ptr<Connection> self = shared_from_this();
-  const bool over = (events & (EPOLLHUP | EPOLLERR)) != 0;
-  if (!up_) return FinishOpening();
-  // What has come is read before an end is believed; where nothing is to be read, the end is all there is.
-  if (broken_ || (over && (peer_done_ || paused_))) return Break();
-  if ((events & EPOLLOUT) != 0 && writing_) {
+  const bool hung_up = (events & (EPOLLHUP | EPOLLERR)) != 0;
+  if (!connected_) return FinishConnect();
+  // Input that arrived before a hang-up is read first, unless reading is paused or has ended.
+  if (broken_ || (hung_up && (end_of_stream_ || paused_))) return ReportDisconnect();
+  if ((events & EPOLLOUT) != 0 && awaiting_writable_) {
     Flush();
-    if (!closed() && !broken_ && out_.empty()) owner_->OnOutputFlushed();
+    if (!closed() && !broken_ && output_.empty()) owner_->OnOutputFlushed();
   }
-  if (closed() || broken_ || peer_done_ || paused_) return;
+  if (closed() || broken_ || end_of_stream_ || paused_) return;
   if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0) Read();
 }
 
-void Connection::FinishOpening() {
-  if (!g_socket_check_connect_result(socket_.get(), nullptr)) return Break();
-  up_ = true;
-  writing_ = false;
-  Watch();
-  if (!out_.empty()) Flush();  // what was written before it was up
+void Connection::FinishConnect() {
+  if (!g_socket_check_connect_result(socket_.get(), nullptr)) return ReportDisconnect();
+  connected_ = true;
+  awaiting_writable_ = false;
+  UpdateWatch();
+  if (!output_.empty()) Flush();  // bytes written before the connection was established
   owner_->OnConnected();
 }
 
 void Connection::Read() {
-  bool came = false;
+  bool received = false;
   bool broken = false;
-  for (int i = 0; i < kReadsPerWake; ++i) {
-    const RingBuffer::Span span = in_.Writable();
-    if (span.size == 0) break;  // full: the owner takes something out, or reading pauses below
+  for (int i = 0; i < kMaxReadsPerEvent; ++i) {
+    const RingBuffer::Span span = input_.WritableSpan();
+    if (span.size == 0) break;  // full: the owner consumes some of it, or reading is paused below
     ErrorSlot error;
     const gssize count = g_socket_receive(socket_.get(), span.data, span.size, nullptr, error.out());
     if (count > 0) {
-      in_.Commit(static_cast<std::size_t>(count));
-      if (keeps_arrivals_) KeepArrival(static_cast<std::size_t>(count));
-      came = true;
+      input_.Commit(static_cast<std::size_t>(count));
+      if (records_arrivals_) RecordRead(static_cast<std::size_t>(count));
+      received = true;
       if (static_cast<std::size_t>(count) < span.size) break;
       continue;
     }
     if (count == 0) {
-      peer_done_ = true;
+      end_of_stream_ = true;
     } else if (!error.Matches(G_IO_ERROR_WOULD_BLOCK)) {
       broken = true;
     }
     break;
   }
-  if (peer_done_) Watch();
-  if (came) owner_->OnReadable();
+  if (end_of_stream_) UpdateWatch();
+  if (received) owner_->OnReadable();
   if (closed()) return;
-  if (broken) return Break();
-  if (peer_done_) return owner_->OnEndOfStream();
-  // A full ring that its owner leaves as it is must not spin on a readable socket.
-  if (in_.free_space() == 0) PauseReading();
+  if (broken) return ReportDisconnect();
+  if (end_of_stream_) return owner_->OnEndOfStream();
+  // With a full buffer the readable socket would wake the loop in every pass.
+  if (input_.free_space() == 0) PauseReading();
 }
 
 bool Connection::Write(std::string_view bytes) {
-  if (closed() || broken_ || !out_.Append(bytes)) return false;
-  if (up_) Flush();
+  if (closed() || broken_ || !output_.Append(bytes)) return false;
+  if (connected_) Flush();
   return true;
 }
 
 void Connection::Flush() {
-  while (!out_.empty()) {
-    const std::string_view front = out_.Front();
+  while (!output_.empty()) {
+    const std::string_view front = output_.FrontSpan();
     ErrorSlot error;
     const gssize count = g_socket_send(socket_.get(), front.data(), front.size(), nullptr, error.out());
     if (count < 0) {
-      // The owner may be in the middle of something: it is told of a broken connection by the poller, as the
-      // kernel reports it from now on.
+      // No callback from here, as the owner may be in the middle of an operation. The kernel reports the
+      // error from now on, and the poller passes it on.
       broken_ = !error.Matches(G_IO_ERROR_WOULD_BLOCK);
-      writing_ = !broken_;
-      return Watch();
+      awaiting_writable_ = !broken_;
+      return UpdateWatch();
     }
-    out_.Consume(static_cast<std::size_t>(count));
+    output_.Consume(static_cast<std::size_t>(count));
   }
-  writing_ = false;
-  Watch();
-  if (ending_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
+  awaiting_writable_ = false;
+  UpdateWatch();
+  if (shutdown_requested_) g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
 }
 
 void Connection::ShutdownSending() {
   if (closed() || broken_) return;
-  ending_ = true;
+  shutdown_requested_ = true;
   Flush();
 }
 
-void Connection::RecordArrivalTimes(TimePoint from) {
-  keeps_arrivals_ = true;
-  looked_ = from;
+void Connection::RecordArrivalTimes(TimePoint earliest) {
+  records_arrivals_ = true;
+  unread_checked_at_ = earliest;
 }
 
 void Connection::Consume(std::size_t count) {
-  in_.Consume(count);
+  input_.Consume(count);
   arrivals_.Consume(count);
 }
 
-void Connection::KeepArrival(std::size_t count) {
-  while (count > 0 && ahead_.size() > 0) {
-    const std::size_t part = std::min(count, ahead_.FirstSpanBytes());
-    arrivals_.RecordArrival(part, ahead_.TimeAt(0));
-    ahead_.Consume(part);
+void Connection::RecordRead(std::size_t count) {
+  while (count > 0 && unread_arrivals_.size() > 0) {
+    const std::size_t part = std::min(count, unread_arrivals_.FirstSpanBytes());
+    arrivals_.RecordArrival(part, unread_arrivals_.TimeAt(0));
+    unread_arrivals_.Consume(part);
     count -= part;
   }
   if (count == 0) return;
   const TimePoint now = loop_.Now();
   TimePoint at = loop_.EarliestArrival();
-  if (looked_ != TimePoint{}) at = std::min(at, std::exchange(looked_, TimePoint{}));
-  if (now - at >= kLate) {
-    if (const auto ago = SinceNewest(descriptor())) at = std::clamp(now - *ago, at, now);
+  if (unread_checked_at_ != TimePoint{}) at = std::min(at, std::exchange(unread_checked_at_, TimePoint{}));
+  if (now - at >= kMaxArrivalUncertainty) {
+    if (const auto age = TimeSinceLastReceive(descriptor())) at = std::clamp(now - *age, at, now);
   }
   arrivals_.RecordArrival(count, at);
 }
 
 void Connection::RecordUnreadArrivals() {
-  if (!paused_ || !keeps_arrivals_ || closed()) return;
-  const gssize there = g_socket_get_available_bytes(socket_.get());
-  if (there < 0) return;  // not to be told: all of it may have come since the last look
+  if (!paused_ || !records_arrivals_ || closed()) return;
+  const gssize unread = g_socket_get_available_bytes(socket_.get());
+  if (unread < 0) return;  // unknown: all bytes may have arrived since the last check
   const TimePoint now = loop_.Now();
-  const auto count = static_cast<std::size_t>(there);
-  if (count > ahead_.size()) ahead_.RecordArrival(count - ahead_.size(), std::min(looked_, now));
-  looked_ = now;
+  const auto count = static_cast<std::size_t>(unread);
+  if (count > unread_arrivals_.size()) {
+    unread_arrivals_.RecordArrival(count - unread_arrivals_.size(), std::min(unread_checked_at_, now));
+  }
+  unread_checked_at_ = now;
 }
 
 void Connection::PauseReading() {
   if (paused_) return;
   paused_ = true;
-  looked_ = loop_.EarliestArrival();
+  unread_checked_at_ = loop_.EarliestArrival();
   RecordUnreadArrivals();
-  Watch();
+  UpdateWatch();
 }
 
 void Connection::ResumeReading() {
   if (!paused_) return;
   RecordUnreadArrivals();
   paused_ = false;
-  Watch();
+  UpdateWatch();
 }
 
 bool Connection::HasPendingInput() const {
-  return closed() || broken_ || peer_done_ || g_socket_condition_check(socket_.get(), G_IO_IN) != 0;
+  return closed() || broken_ || end_of_stream_ || g_socket_condition_check(socket_.get(), G_IO_IN) != 0;
 }
 
-void Connection::Break() {
-  broken_ = over_ = true;
-  Unwatch();
+void Connection::ReportDisconnect() {
+  broken_ = disconnect_reported_ = true;
+  StopWatching();
   owner_->OnDisconnected();
 }
 
 void Connection::Close() {
   if (socket_ == nullptr) return;
-  Unwatch();
+  StopWatching();
   g_socket_close(socket_.get(), nullptr);
   socket_.reset();
 }
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -1,4 +1,4 @@
-// One TCP connection: a GIO socket, a ring buffer for each direction, and an owner that is called back.
+// One TCP connection: a GIO socket, a buffer for each direction, and an owner that receives callbacks.
 #pragma once
 
 #include <memory>
@@ -17,99 +17,106 @@
   std::string host;
   std::uint16_t port = 0;
 };
-// Reads "10.0.0.4:6543" or "[::1]:6543".
+// Parses "10.0.0.4:6543" or "[::1]:6543"; host names are not resolved.
 std::optional<Address> ParseAddress(std::string_view text);
 ObjectPtr<GSocketAddress> SocketAddress(const Address& address);
-// A non-blocking TCP socket; nothing, with `full` set, where descriptors have run out.
-ObjectPtr<GSocket> NewSocket(GSocketFamily family, bool* full);
+// Creates a non-blocking TCP socket. Null on failure; `*out_of_descriptors` then tells whether the limit on
+// file descriptors was the cause.
+ObjectPtr<GSocket> NewSocket(GSocketFamily family, bool* out_of_descriptors);
 
-// Owned by shared_ptr; every callback holds the connection while it runs, so an owner may close and drop it
-// from inside one. After Close nothing is called any more.
+// Owned by shared_ptr; every callback holds a reference while it runs, so an owner may close and release the
+// connection from inside one. There are no callbacks after Close. To be used on the loop's thread.
 class Connection final : private Poller::Handler, public std::enable_shared_from_this<Connection> {
  public:
   class Owner {
    public:
-    virtual void OnConnected() {}       // a connection that was opened is up
-    virtual void OnReadable() = 0;      // the incoming ring has grown
-    virtual void OnOutputFlushed() {}   // the outgoing ring has run empty
-    virtual void OnEndOfStream() = 0;   // the peer sends no more; what came before has been read
-    virtual void OnDisconnected() = 0;  // refused, reset or hung up: nothing can be sent or read any more
+    virtual void OnConnected() {}       // a connection opened by Connect is established
+    virtual void OnReadable() = 0;      // bytes were added to the input buffer
+    virtual void OnOutputFlushed() {}   // the output buffer has become empty
+    virtual void OnEndOfStream() = 0;   // the peer has shut down its sending side; all bytes have been read
+    virtual void OnDisconnected() = 0;  // refused, reset or hung up: no more sending or reading
 
    protected:
     ~Owner() = default;
   };
 
-  // Takes over a socket that is connected.
+  // Takes over a connected socket. The limits are those of the buffers in bytes, here and below.
   static std::shared_ptr<Connection> Adopt(Loop& loop, ObjectPtr<GSocket> socket, Owner& owner,
-                                           std::size_t in_limit, std::size_t out_limit);
-  // Opens a connection; nothing where it fails at once, with `full` set if for want of a descriptor.
+                                           std::size_t input_limit, std::size_t output_limit);
+  // Opens a connection. Null if that fails at once; see NewSocket for `out_of_descriptors`. Later failures
+  // are reported by OnDisconnected.
   static std::shared_ptr<Connection> Connect(Loop& loop, const Address& address, Owner& owner,
-                                             std::size_t in_limit, std::size_t out_limit, bool* full);
+                                             std::size_t input_limit, std::size_t output_limit,
+                                             bool* out_of_descriptors);
   ~Connection();
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  RingBuffer& input() { return in_; }
-  // From now on it is kept when what is in the ring has come; `from`: the first of it no earlier than this.
-  void RecordArrivalTimes(TimePoint from);
-  // When the byte at `offset` of the ring has come, as far as can be told; never later than it did by more
-  // than the kernel's clock ticks.
+  RingBuffer& input() { return input_; }
+  // Starts to record the arrival times of input. None of it has arrived before `earliest`.
+  void RecordArrivalTimes(TimePoint earliest);
+  // An estimate of when the byte at `offset` of the input buffer arrived: earlier than the true time or, by
+  // a tick of the kernel's clock at most, later.
   TimePoint ArrivalTime(std::size_t offset) const { return arrivals_.TimeAt(offset); }
-  // Takes `count` bytes out of the ring.
+  // Removes the first `count` bytes from the input buffer. To be used in place of RingBuffer::Consume once
+  // arrival times are recorded.
   void Consume(std::size_t count);
-  // While reading is paused: looks how much has come meanwhile, so that it is known from when it is.
+  // While reading is paused: records when the bytes that wait in the kernel have arrived. The more often it
+  // is called, the more precise their arrival times.
   void RecordUnreadArrivals();
-  bool connected() const { return up_; }
+  bool connected() const { return connected_; }
   bool reading_paused() const { return paused_; }
   bool closed() const { return socket_ == nullptr; }
   int descriptor() const { return closed() ? -1 : g_socket_get_fd(socket_.get()); }
-  bool end_of_stream() const { return peer_done_; }
-  // Whether everything given to Write has been handed to the kernel.
-  bool all_written() const { return out_.empty(); }
-  std::size_t unsent_bytes() const { return out_.size(); }
+  bool end_of_stream() const { return end_of_stream_; }
+  // Whether the kernel has accepted all bytes passed to Write.
+  bool all_written() const { return output_.empty(); }
+  std::size_t unsent_bytes() const { return output_.size(); }
 
-  // Sends now what the kernel takes and keeps the rest. False: it does not fit, and nothing was taken.
+  // Sends what the kernel accepts at once and buffers the rest. Returns false, with nothing sent or buffered,
+  // if the bytes do not fit into the output buffer or the connection is closed or broken.
   bool Write(std::string_view bytes);
-  // Back-pressure: while paused nothing is read, so the peer's window fills.
+  // Applies back-pressure: while reading is paused, the TCP window of the peer fills.
   void PauseReading();
   void ResumeReading();
-  // Ends the sending once all is written; the peer can still be read.
+  // Shuts down the sending side once all output has been sent; input is still read.
   void ShutdownSending();
-  // Whether bytes or an end have come that were not read yet.
+  // Whether the socket has unread bytes, or the connection has ended.
   bool HasPendingInput() const;
   void Close();
 
  private:
-  Connection(Loop& loop, ObjectPtr<GSocket> socket, Owner& owner, std::size_t in_limit,
-             std::size_t out_limit);
+  Connection(Loop& loop, ObjectPtr<GSocket> socket, Owner& owner, std::size_t input_limit,
+             std::size_t output_limit);
   void OnEvents(std::uint32_t events) override;
-  // Bytes that have just been read.
-  void KeepArrival(std::size_t count);
-  // Tells the poller what this connection waits for now.
-  void Watch();
-  void Unwatch();
+  // Records the arrival time of bytes that have just been read.
+  void RecordRead(std::size_t count);
+  // Registers the events that the connection waits for at present with the poller.
+  void UpdateWatch();
+  void StopWatching();
   void Read();
   void Flush();
-  void FinishOpening();
-  void Break();
+  void FinishConnect();
+  void ReportDisconnect();
 
   Loop& loop_;
   ObjectPtr<GSocket> socket_;
   Owner* owner_;
-  RingBuffer in_;
-  RingBuffer out_;
-  bool keeps_arrivals_ = false;
-  ArrivalTimes arrivals_;  // of what is in the ring
-  ArrivalTimes ahead_;     // of what was seen in the kernel while reading was paused
-  TimePoint looked_{};     // what is not in `ahead_` has come after this; zero: as the loop says
-  std::optional<std::uint32_t> watched_;  // what the poller was told
-  bool writing_ = false;                  // room to write is waited for: to be up, or to send the rest
-  bool up_ = false;
+  RingBuffer input_;
+  RingBuffer output_;
+  bool records_arrivals_ = false;
+  ArrivalTimes arrivals_;         // of the bytes in the input buffer
+  ArrivalTimes unread_arrivals_;  // of bytes that were found in the kernel while reading was paused
+  // Bytes that are not in `unread_arrivals_` have arrived after this; zero: since the loop's EarliestArrival.
+  TimePoint unread_checked_at_{};
+  std::optional<std::uint32_t> watched_events_;  // as registered with the poller
+  bool awaiting_writable_ = false;               // to complete the connect, or to send the rest of the output
+  bool connected_ = false;
   bool paused_ = false;
-  bool peer_done_ = false;
+  bool end_of_stream_ = false;
   bool broken_ = false;
-  bool over_ = false;  // and the owner knows
-  bool ending_ = false;
+  bool disconnect_reported_ = false;
+  bool shutdown_requested_ = false;
 };
 
 }  // namespace lynxgrade::net
--- a/src/net/glib_ptr.h
+++ b/src/net/glib_ptr.h
@@ -1,4 +1,4 @@
-// RAII owners of GLib objects, errors and sources.
+// RAII types for GLib objects, errors and sources.
 #pragma once
 
 #include <gio/gio.h>
@@ -18,7 +18,7 @@
 };
 using ErrorPtr = std::unique_ptr<GError, FreeError>;
 
-// Takes the error that a GLib call left behind, if any.
+// Receives the error of a GLib call through out(), and frees it.
 class ErrorSlot {
  public:
   ~ErrorSlot() { g_clear_error(&error_); }
@@ -33,7 +33,7 @@
   GError* error_ = nullptr;
 };
 
-// A source attached to the main context; destroyed with its owner.
+// Owns a source of the main context: destroys it and releases the reference.
 class SourcePtr {
  public:
   SourcePtr() = default;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -5,18 +5,18 @@
 namespace lynxgrade::net {
 namespace {
 
-constexpr Duration kPauseWhenFull{20000};
+constexpr Duration kAcceptRetryDelay{20000};
 constexpr int kBacklog = 512;
-constexpr int kAcceptedAtOnce = 32;  // a storm of connections must not keep those that are up waiting
+constexpr int kMaxAcceptsPerEvent = 32;  // so that a burst of connections does not delay the established ones
 
 }  // namespace
 
 std::string Describe(const ListenError& error) {
   switch (error.reason) {
     case ListenError::Reason::kInvalidAddress:
-      return "not an address";
+      return "invalid address";
     case ListenError::Reason::kNoSocket:
-      return "no socket to be had";
+      return "cannot create a socket";
     case ListenError::Reason::kSystem:
       break;
   }
@@ -26,8 +26,8 @@
 tl::expected<void, ListenError> Listener::Open(const Address& address) {
   const ObjectPtr<GSocketAddress> local = SocketAddress(address);
   if (local == nullptr) return tl::unexpected(ListenError{ListenError::Reason::kInvalidAddress, {}});
-  bool full = false;
-  socket_ = NewSocket(g_socket_address_get_family(local.get()), &full);
+  bool out_of_descriptors = false;
+  socket_ = NewSocket(g_socket_address_get_family(local.get()), &out_of_descriptors);
   if (socket_ == nullptr) return tl::unexpected(ListenError{ListenError::Reason::kNoSocket, {}});
   g_socket_set_listen_backlog(socket_.get(), kBacklog);
   ErrorSlot error;
@@ -53,34 +53,35 @@
 }
 
 gboolean Listener::Ready(GSocket*, GIOCondition, gpointer self) {
-  static_cast<Listener*>(self)->Accept(kAcceptedAtOnce);
+  static_cast<Listener*>(self)->Accept(kMaxAcceptsPerEvent);
   return G_SOURCE_CONTINUE;
 }
 
-void Listener::Accept(int most) {
-  if (!left_) queued_since_ = loop_.EarliestArrival();
-  left_ = true;
-  for (int i = 0; i < most && socket_ != nullptr; ++i) {
-    if (!may_()) return PauseAWhile();
+void Listener::Accept(int max_count) {
+  if (!queue_nonempty_) queued_since_ = loop_.EarliestArrival();
+  queue_nonempty_ = true;
+  for (int i = 0; i < max_count && socket_ != nullptr; ++i) {
+    if (!may_accept_()) return PauseAccepting();
     ErrorSlot error;
     ObjectPtr<GSocket> client(g_socket_accept(socket_.get(), nullptr, error.out()));
     if (client != nullptr) {
-      accepted_(std::move(client));
+      on_accept_(std::move(client));
       continue;
     }
     if (error.Matches(G_IO_ERROR_WOULD_BLOCK)) {
-      left_ = false;
+      queue_nonempty_ = false;
       return;
     }
-    // Out of descriptors: the connection stays queued and readable, so look again later, not in a spin.
+    // Out of descriptors, for example: the connection stays queued and the socket readable, so accepting
+    // is retried after a delay rather than in a busy loop.
     spdlog::warn("accept failed: {}", error.message());
-    return PauseAWhile();
+    return PauseAccepting();
   }
 }
 
-void Listener::PauseAWhile() {
+void Listener::PauseAccepting() {
   source_.reset();
-  again_.ScheduleAfter(kPauseWhenFull, [this] {
+  resume_timer_.ScheduleAfter(kAcceptRetryDelay, [this] {
     if (socket_ != nullptr) Watch();
   });
 }
@@ -88,7 +89,7 @@
 void Listener::Close() {
   if (socket_ == nullptr) return;
   Accept(kBacklog);
-  again_.Cancel();
+  resume_timer_.Cancel();
   source_.reset();
   g_socket_close(socket_.get(), nullptr);
   socket_.reset();
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -1,4 +1,4 @@
-// Accepts connections on one address.
+// Accepts TCP connections on one address.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace lynxgrade::net {
 
-// Why an address cannot be listened on.
+// Why listening on an address has failed.
 struct ListenError {
   enum class Reason { kInvalidAddress, kNoSocket, kSystem };
   Reason reason = Reason::kSystem;
@@ -21,36 +21,39 @@
 
 class Listener {
  public:
-  // Asked before each accept; false leaves the connection in the kernel's queue for a while.
-  using MayAccept = std::function<bool()>;
-  using Accepted = std::function<void(ObjectPtr<GSocket>)>;
+  // Called before each accept; false leaves the connection in the kernel's queue for a short time.
+  using MayAcceptCallback = std::function<bool()>;
+  using AcceptCallback = std::function<void(ObjectPtr<GSocket>)>;
 
-  Listener(Loop& loop, MayAccept may, Accepted accepted)
-      : loop_(loop), may_(std::move(may)), accepted_(std::move(accepted)), again_(loop) {}
+  Listener(Loop& loop, MayAcceptCallback may_accept, AcceptCallback on_accept)
+      : loop_(loop),
+        may_accept_(std::move(may_accept)),
+        on_accept_(std::move(on_accept)),
+        resume_timer_(loop) {}
 
-  // Binds the socket and starts to accept; port 0 stands for any free one.
+  // Binds the address and starts to accept; port 0 stands for any free port.
   tl::expected<void, ListenError> Open(const Address& address);
-  // Takes in what has already been connected, then closes.
+  // Accepts the connections that wait in the kernel's queue, then closes.
   void Close();
   bool open() const { return socket_ != nullptr; }
   std::uint16_t port() const;
-  // What is being accepted has waited in the kernel's queue no longer than since then.
+  // The connection that is being accepted was queued by the kernel no earlier than this.
   TimePoint queued_since() const { return queued_since_; }
 
  private:
   static gboolean Ready(GSocket*, GIOCondition, gpointer self);
-  void Accept(int most);
+  void Accept(int max_count);
   void Watch();
-  void PauseAWhile();
+  void PauseAccepting();
 
   Loop& loop_;
-  MayAccept may_;
-  Accepted accepted_;
+  MayAcceptCallback may_accept_;
+  AcceptCallback on_accept_;
   ObjectPtr<GSocket> socket_;
   SourcePtr source_;
-  Timer again_;
+  Timer resume_timer_;
   TimePoint queued_since_{};
-  bool left_ = false;  // the queue was not empty when it was last left
+  bool queue_nonempty_ = false;  // as the last call of Accept left it
 };
 
 }  // namespace lynxgrade::net
--- a/src/net/log_limit.h
+++ b/src/net/log_limit.h
@@ -1,4 +1,4 @@
-// Rate limit for log lines that a remote peer can trigger at will.
+// Rate limit for log lines that remote peers can trigger at will.
 #pragma once
 
 #include <cstdint>
@@ -11,30 +11,31 @@
  public:
   explicit LogRateLimiter(Loop& loop) : loop_(loop) {}
 
-  // Whether one more line may be written; `left_out` is how many were not since the last one that was.
-  bool Allows(std::uint64_t& left_out) {
-    if (loop_.Now() - from_ >= kSpan) {
-      from_ = loop_.Now();
-      written_ = 0;
+  // Whether one more line may be written. If so, `suppressed` becomes the number of lines that were
+  // suppressed since the last one.
+  bool Allows(std::uint64_t& suppressed) {
+    if (loop_.Now() - window_start_ >= kWindow) {
+      window_start_ = loop_.Now();
+      lines_in_window_ = 0;
     }
-    if (written_ >= kMost) {
-      ++left_out_;
+    if (lines_in_window_ >= kMaxLinesPerWindow) {
+      ++suppressed_;
       return false;
     }
-    ++written_;
-    left_out = left_out_;
-    left_out_ = 0;
+    ++lines_in_window_;
+    suppressed = suppressed_;
+    suppressed_ = 0;
     return true;
   }
 
  private:
-  static constexpr Duration kSpan{1000000};
-  static constexpr int kMost = 10;
+  static constexpr Duration kWindow{1000000};
+  static constexpr int kMaxLinesPerWindow = 10;
 
   Loop& loop_;
-  TimePoint from_{};
-  int written_ = 0;
-  std::uint64_t left_out_ = 0;
+  TimePoint window_start_{};
+  int lines_in_window_ = 0;
+  std::uint64_t suppressed_ = 0;
 };
 
 }  // namespace lynxgrade::net
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -5,14 +5,14 @@
 namespace lynxgrade::net {
 namespace {
 
-// GLib hands its poll function no user data; there is one loop a process.
+// GLib passes no user data to its poll function; there is one loop per process.
 Loop* g_loop = nullptr;
 std::chrono::steady_clock::time_point SteadyNow() { return std::chrono::steady_clock::now(); }
 
-constexpr Duration kAtOnce{100};      // a poll that returns within this has found what was there before
-constexpr Duration kOverslept{5000};  // and one that returns so much later than asked for was held up
+constexpr Duration kImmediatePoll{100};  // a poll that returns within this has found events that were pending
+constexpr Duration kMaxWakeupDelay{5000};  // a poll that returns later than its timeout plus this was held up
 
-GSourceFuncs kPlainSource = {
+GSourceFuncs kCallbackSource = {
     nullptr, nullptr, [](GSource*, GSourceFunc call, gpointer data) { return call(data); },
     nullptr, nullptr, nullptr};
 
@@ -22,11 +22,11 @@
     : anchor_(SteadyNow()),
       unix_anchor_(std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch())),
       now_(unix_anchor_),
-      since_(unix_anchor_) {
+      earliest_arrival_(unix_anchor_) {
   g_loop = this;
   g_main_context_set_poll_func(nullptr, &Loop::Poll);
-  source_.reset(g_source_new(&kPlainSource, sizeof(GSource)));
-  g_source_set_callback(source_.get(), &Loop::Fire, this, nullptr);
+  source_.reset(g_source_new(&kCallbackSource, sizeof(GSource)));
+  g_source_set_callback(source_.get(), &Loop::OnTimersDue, this, nullptr);
   g_source_set_priority(source_.get(), G_PRIORITY_DEFAULT);
   g_source_attach(source_.get(), nullptr);
 }
@@ -51,23 +51,23 @@
   if (g_loop == nullptr) return ready;
   const TimePoint now = g_loop->PreciseNow();
   const Duration waited = now - entered;
-  if (timeout == 0 || waited < kAtOnce) {
-    g_loop->since_ = g_loop->now_;  // it was there already: it came at any time in the last pass
+  if (timeout == 0 || waited < kImmediatePoll) {
+    g_loop->earliest_arrival_ = g_loop->now_;  // the events may have arrived at any time in the last pass
   } else {
-    // Later than asked for: the process stood still, from some moment after it began to wait.
-    const bool late = timeout > 0 && waited > std::chrono::milliseconds(timeout) + kOverslept;
-    g_loop->since_ = late ? entered : now;
+    // If the poll returns too late, the process was stopped at some time after it began to wait.
+    const bool late = timeout > 0 && waited > std::chrono::milliseconds(timeout) + kMaxWakeupDelay;
+    g_loop->earliest_arrival_ = late ? entered : now;
   }
   g_loop->now_ = now;
   return ready;
 }
 
-Loop::TimerKey Loop::Schedule(TimePoint when, std::function<void()> call) {
-  const TimerKey key{when, next_++};
-  timers_.emplace(key, std::move(call));
-  // A separate step: the operands of one comparison are evaluated in any order, and begin() taken before the
-  // insertion left an earlier deadline unarmed, so that no timer ever fired.
-  if (timers_.begin()->first == key) Arm();
+Loop::TimerKey Loop::Schedule(TimePoint when, std::function<void()> callback) {
+  const TimerKey key{when, next_timer_number_++};
+  timers_.emplace(key, std::move(callback));
+  // The insertion is a statement of its own: within one comparison, begin() may be evaluated first, which
+  // left an earlier deadline unarmed, so that no timer ever fired.
+  if (timers_.begin()->first == key) ArmSource();
   return key;
 }
 
@@ -76,38 +76,38 @@
   if (it == timers_.end()) return;
   const bool first = it == timers_.begin();
   timers_.erase(it);
-  if (first) Arm();
+  if (first) ArmSource();
 }
 
-// GLib's ready times are microseconds of the same monotonic clock; its poll wakes on whole milliseconds,
-// rounded up, so a deadline is met within one of them and nothing spins before it.
-void Loop::Arm() {
+// GLib's ready times are microseconds of the same monotonic clock. Its poll timeout is in milliseconds,
+// rounded up: a timer fires up to 1 ms late, and the loop does not spin before its deadline.
+void Loop::ArmSource() {
   if (timers_.empty()) return g_source_set_ready_time(source_.get(), -1);
-  const auto since = timers_.begin()->first.first - unix_anchor_;
+  const auto since_anchor = timers_.begin()->first.first - unix_anchor_;
   const auto anchor = std::chrono::duration_cast<Duration>(anchor_.time_since_epoch());
-  g_source_set_ready_time(source_.get(), std::max<gint64>(0, (anchor + since).count()));
+  g_source_set_ready_time(source_.get(), std::max<gint64>(0, (anchor + since_anchor).count()));
 }
 
-gboolean Loop::Fire(gpointer self) {
-  static_cast<Loop*>(self)->FireDue();
+gboolean Loop::OnTimersDue(gpointer self) {
+  static_cast<Loop*>(self)->FireDueTimers();
   return G_SOURCE_CONTINUE;
 }
 
-void Loop::FireDue() {
-  // A call may add timers that are due at once: those wait for the next pass, or sockets would starve.
-  const std::uint64_t before = next_;
+void Loop::FireDueTimers() {
+  // Timers that a callback adds wait for the next pass, even if they are due: otherwise sockets might starve.
+  const std::uint64_t first_new = next_timer_number_;
   auto it = timers_.begin();
   while (it != timers_.end() && it->first.first <= now_) {
-    if (it->first.second >= before) {
+    if (it->first.second >= first_new) {
       ++it;
       continue;
     }
-    const auto call = std::move(it->second);
+    const auto callback = std::move(it->second);
     timers_.erase(it);
-    call();
+    callback();
     it = timers_.begin();
   }
-  Arm();
+  ArmSource();
 }
 
 }  // namespace lynxgrade::net
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,4 +1,4 @@
-// The event loop: one thread, one clock reading per pass, and a single GLib source for all timers.
+// The event loop: one thread, one clock reading per pass, and one GLib source for all timers.
 #pragma once
 
 #include <chrono>
@@ -14,8 +14,9 @@
 
 namespace lynxgrade::net {
 
-// Runs GLib's default main context. The clock is monotonic, anchored once to Unix time when the loop is
-// made: a Time is a count of microseconds since 1970 that never falls.
+// Runs GLib's default main context; there is one loop per process, and it is to be used on one thread. Its
+// clock is monotonic and set to Unix time when the loop is created: a TimePoint counts microseconds since
+// 1970 and never decreases.
 class Loop {
  public:
   Loop();
@@ -23,42 +24,43 @@
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  // The time at which this pass over the sources began: the same for all that one pass brings.
+  // When the current pass over the sources began: the same time for all events of one pass.
   TimePoint Now() const { return now_; }
-  // The clock as it stands at this moment; never behind Now().
+  // The current time of the clock; never before Now().
   TimePoint PreciseNow() const;
-  // What this pass brings has come no earlier than this: what comes during a long pass waits for the next
-  // one, and what comes to a process that stands still waits until it goes on.
-  TimePoint EarliestArrival() const { return since_; }
+  // The events of the current pass have arrived no earlier than this. They may have arrived before Now():
+  // during the previous pass, or while the process was stopped.
+  TimePoint EarliestArrival() const { return earliest_arrival_; }
 
   Poller& poller() { return poller_; }
 
   void Run();
   void Stop() { running_ = false; }
 
-  using TimerKey = std::pair<TimePoint, std::uint64_t>;
-  TimerKey Schedule(TimePoint when, std::function<void()> call);
+  using TimerKey = std::pair<TimePoint, std::uint64_t>;  // deadline and number
+  // Calls `callback` once, in the first pass that begins at `when` or later.
+  TimerKey Schedule(TimePoint when, std::function<void()> callback);
   void Cancel(const TimerKey& key);
   std::size_t timer_count() const { return timers_.size(); }
 
  private:
   static gint Poll(GPollFD* fds, guint count, gint timeout);
-  static gboolean Fire(gpointer self);
-  void FireDue();
-  void Arm();
+  static gboolean OnTimersDue(gpointer self);
+  void FireDueTimers();
+  void ArmSource();
 
   Poller poller_;
   std::chrono::steady_clock::time_point anchor_;
   TimePoint unix_anchor_;
   TimePoint now_;
-  TimePoint since_;
+  TimePoint earliest_arrival_;
   bool running_ = false;
-  std::uint64_t next_ = 0;
+  std::uint64_t next_timer_number_ = 0;
   std::map<TimerKey, std::function<void()>> timers_;
   SourcePtr source_;
 };
 
-// A one-shot timer, cancelled on destruction. Setting it again replaces the previous deadline.
+// A one-shot timer, cancelled by its destructor. Scheduling it again replaces the previous deadline.
 class Timer {
  public:
   explicit Timer(Loop& loop) : loop_(&loop) {}
@@ -66,17 +68,17 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  void ScheduleAt(TimePoint when, std::function<void()> call) {
+  void ScheduleAt(TimePoint when, std::function<void()> callback) {
     Cancel();
     armed_ = true;
-    // The loop holds the call while it runs: it may set this timer anew, or destroy it.
-    key_ = loop_->Schedule(when, [this, call = std::move(call)] {
+    // The loop owns the callback while it runs, so the callback may reschedule or destroy this timer.
+    key_ = loop_->Schedule(when, [this, callback = std::move(callback)] {
       armed_ = false;
-      call();
+      callback();
     });
   }
-  void ScheduleAfter(Duration delay, std::function<void()> call) {
-    ScheduleAt(loop_->Now() + delay, std::move(call));
+  void ScheduleAfter(Duration delay, std::function<void()> callback) {
+    ScheduleAt(loop_->Now() + delay, std::move(callback));
   }
   void Cancel() {
     if (armed_) loop_->Cancel(key_);
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -10,28 +10,30 @@
 namespace lynxgrade::net {
 namespace {
 
-constexpr int kBatch = 64;  // the kernel turns its list of what is ready, so that nobody is left out
+constexpr int kMaxEventsPerWait = 64;  // the kernel rotates its ready list, so no descriptor starves
 
 }  // namespace
 
-Poller::Poller() : set_(epoll_create1(EPOLL_CLOEXEC)) {
-  if (set_ < 0) throw std::system_error(errno, std::generic_category(), "no epoll set to be had");
-  source_.reset(g_unix_fd_source_new(set_, G_IO_IN));
-  GUnixFDSourceFunc ready = &Poller::Ready;
-  g_source_set_callback(source_.get(), G_SOURCE_FUNC(ready), this, nullptr);
+Poller::Poller() : epoll_descriptor_(epoll_create1(EPOLL_CLOEXEC)) {
+  if (epoll_descriptor_ < 0) {
+    throw std::system_error(errno, std::generic_category(), "cannot create an epoll instance");
+  }
+  source_.reset(g_unix_fd_source_new(epoll_descriptor_, G_IO_IN));
+  GUnixFDSourceFunc on_ready = &Poller::OnReady;
+  g_source_set_callback(source_.get(), G_SOURCE_FUNC(on_ready), this, nullptr);
   g_source_attach(source_.get(), nullptr);
 }
 
 Poller::~Poller() {
   source_.reset();
-  close(set_);
+  close(epoll_descriptor_);
 }
 
 void Poller::Add(int descriptor, std::uint32_t events, Handler& handler) {
-  const auto at = static_cast<std::size_t>(descriptor);
-  if (at >= watched_.size()) watched_.resize(at + 1);
-  watched_[at].handler = &handler;
-  ++watched_[at].turn;
+  const auto index = static_cast<std::size_t>(descriptor);
+  if (index >= watched_.size()) watched_.resize(index + 1);
+  watched_[index].handler = &handler;
+  ++watched_[index].generation;
   Control(EPOLL_CTL_ADD, descriptor, events);
 }
 
@@ -45,23 +47,23 @@
 void Poller::Control(int operation, int descriptor, std::uint32_t events) {
   epoll_event event{};
   event.events = events;
-  event.data.u64 = std::uint64_t{watched_[static_cast<std::size_t>(descriptor)].turn} << 32 |
+  event.data.u64 = std::uint64_t{watched_[static_cast<std::size_t>(descriptor)].generation} << 32 |
                    static_cast<std::uint32_t>(descriptor);
-  epoll_ctl(set_, operation, descriptor, &event);
+  epoll_ctl(epoll_descriptor_, operation, descriptor, &event);
 }
 
-gboolean Poller::Ready(gint, GIOCondition, gpointer self) {
+gboolean Poller::OnReady(gint, GIOCondition, gpointer self) {
   static_cast<Poller*>(self)->Dispatch();
   return G_SOURCE_CONTINUE;
 }
 
 void Poller::Dispatch() {
-  std::array<epoll_event, kBatch> events;
-  const int count = epoll_wait(set_, events.data(), kBatch, 0);
+  std::array<epoll_event, kMaxEventsPerWait> events;
+  const int count = epoll_wait(epoll_descriptor_, events.data(), kMaxEventsPerWait, 0);
   for (int i = 0; i < count; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
     const Watched& watched = watched_[static_cast<std::uint32_t>(event.data.u64)];
-    if (watched.turn != event.data.u64 >> 32 || watched.handler == nullptr) continue;
+    if (watched.generation != event.data.u64 >> 32 || watched.handler == nullptr) continue;
     watched.handler->OnEvents(event.events);
   }
 }
--- a/src/net/poller.h
+++ b/src/net/poller.h
@@ -1,4 +1,4 @@
-// A single source of the event loop for all connections, backed by an epoll set.
+// One source of the event loop for all connections, backed by epoll.
 #pragma once
 
 #include <sys/epoll.h>
@@ -11,12 +11,12 @@
 namespace lynxgrade::net {
 
 // GLib polls each of its own sources in every pass, at a cost proportional to the number of open connections;
-// epoll costs only for those that are ready.
+// the cost of epoll depends on the ready ones only. Level-triggered.
 class Poller {
  public:
   class Handler {
    public:
-    // Called while it is watched; it may end the watch, or that of any other, from inside.
+    // Called when a watched descriptor is ready. May remove this descriptor or any other.
     virtual void OnEvents(std::uint32_t events) = 0;
 
    protected:
@@ -28,24 +28,26 @@
   Poller(const Poller&) = delete;
   Poller& operator=(const Poller&) = delete;
 
-  // Starts to watch a descriptor; errors and hang-ups are told whatever `events` asks for.
+  // Starts to watch a descriptor for `events`; errors and hang-ups are always reported. `handler` must
+  // outlive the watch.
   void Add(int descriptor, std::uint32_t events, Handler& handler);
   void Change(int descriptor, std::uint32_t events);
-  // To be called before the descriptor is closed.
+  // Must be called before the descriptor is closed.
   void Remove(int descriptor);
 
  private:
-  // By descriptor. The turn tells a descriptor's present owner from one closed earlier in the same batch.
+  // By descriptor. The generation tells the present watch of a descriptor from one that was removed earlier
+  // in the same batch of events.
   struct Watched {
     Handler* handler = nullptr;
-    std::uint32_t turn = 0;
+    std::uint32_t generation = 0;
   };
 
-  static gboolean Ready(gint, GIOCondition, gpointer self);
+  static gboolean OnReady(gint, GIOCondition, gpointer self);
   void Dispatch();
   void Control(int operation, int descriptor, std::uint32_t events);
 
-  int set_;
+  int epoll_descriptor_;
   std::vector<Watched> watched_;
   SourcePtr source_;
 };
--- a/src/net/ring_buffer.cpp
+++ b/src/net/ring_buffer.cpp
@@ -6,8 +6,8 @@
 namespace lynxgrade::net {
 namespace {
 
-constexpr std::size_t kFirst = 2048;
-constexpr std::size_t kKept = 16384;  // a larger block is freed once it is empty
+constexpr std::size_t kInitialCapacity = 2048;
+constexpr std::size_t kMaxIdleCapacity = 16384;  // a larger block is freed once it is empty
 
 }  // namespace
 
@@ -23,7 +23,7 @@
   return true;
 }
 
-RingBuffer::Span RingBuffer::Writable() {
+RingBuffer::Span RingBuffer::WritableSpan() {
   if (size_ == capacity_) {
     if (capacity_ >= limit_) return {};
     Grow(size_ + 1);
@@ -33,7 +33,7 @@
   return {data_.get() + tail, end - tail};
 }
 
-std::string_view RingBuffer::Front() const {
+std::string_view RingBuffer::FrontSpan() const {
   return {data_.get() + head_, std::min(size_, capacity_ - head_)};
 }
 
@@ -53,28 +53,28 @@
     return;
   }
   head_ = 0;
-  if (capacity_ > kKept) {
+  if (capacity_ > kMaxIdleCapacity) {
     data_.reset();
     capacity_ = 0;
   }
 }
 
-void RingBuffer::Grow(std::size_t least) {
-  std::size_t wanted = std::max(kFirst, capacity_ * 2);
-  while (wanted < least) wanted *= 2;
-  wanted = std::min(wanted, limit_);
-  auto grown = std::make_unique<char[]>(wanted);
-  CopyOut(grown.get());
+void RingBuffer::Grow(std::size_t min_capacity) {
+  std::size_t capacity = std::max(kInitialCapacity, capacity_ * 2);
+  while (capacity < min_capacity) capacity *= 2;
+  capacity = std::min(capacity, limit_);
+  auto grown = std::make_unique<char[]>(capacity);
+  CopyTo(grown.get());
   data_ = std::move(grown);
-  capacity_ = wanted;
+  capacity_ = capacity;
   head_ = 0;
 }
 
-void RingBuffer::CopyOut(char* to) const {
+void RingBuffer::CopyTo(char* target) const {
   if (size_ == 0) return;
   const std::size_t first = std::min(size_, capacity_ - head_);
-  std::memcpy(to, data_.get() + head_, first);
-  std::memcpy(to + first, data_.get(), size_ - first);
+  std::memcpy(target, data_.get() + head_, first);
+  std::memcpy(target + first, data_.get(), size_ - first);
 }
 
 }  // namespace lynxgrade::net
--- a/src/net/ring_buffer.h
+++ b/src/net/ring_buffer.h
@@ -1,4 +1,4 @@
-// A growable ring buffer of bytes; a connection has one for each direction.
+// A growable ring buffer of bytes.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,8 @@
 
 namespace lynxgrade::net {
 
-// Starts without memory, doubles its capacity up to a limit, and frees a large block once it is empty.
+// Allocates nothing until the first byte, doubles its capacity up to `limit` bytes, and frees a large block
+// once it is empty.
 class RingBuffer {
  public:
   explicit RingBuffer(std::size_t limit) : limit_(limit) {}
@@ -17,27 +18,27 @@
   std::size_t free_space() const { return limit_ - size_; }
   std::size_t capacity() const { return capacity_; }
 
-  // Takes all of `bytes`, or nothing where they do not fit under the limit.
+  // Appends all of `bytes`, or returns false and appends nothing if they would exceed the limit.
   bool Append(std::string_view bytes);
 
-  // The free stretch after the content, of at least one byte unless the limit is reached. What has been
-  // written there is taken in by Commit.
+  // The contiguous free space after the content, of at least one byte unless the limit is reached. Commit
+  // adds the first `count` bytes written there to the content.
   struct Span {
     char* data = nullptr;
     std::size_t size = 0;
   };
-  Span Writable();
+  Span WritableSpan();
   void Commit(std::size_t count) { size_ += count; }
 
-  // The first stretch of the content, without moving anything.
-  std::string_view Front() const;
-  // The whole content in one piece; moves bytes only where the content wraps.
+  // The first contiguous part of the content. Moves no bytes.
+  std::string_view FrontSpan() const;
+  // The whole content as one contiguous view. Moves bytes if the content wraps around.
   std::string_view Linearize();
   void Consume(std::size_t count);
 
  private:
-  void Grow(std::size_t least);
-  void CopyOut(char* to) const;
+  void Grow(std::size_t min_capacity);
+  void CopyTo(char* target) const;
 
   std::size_t limit_;
   std::unique_ptr<char[]> data_;
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -1,4 +1,4 @@
-// The loop, the ring buffer and the descriptor budget.
+// The event loop, the poller, the ring buffer and the descriptor budget.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -15,7 +15,7 @@
 
 namespace lynxgrade::net {
 
-TEST_CASE("timers fire in the order of their deadlines, and a dropped one does not") {
+TEST_CASE("timers fire in the order of their deadlines, and a cancelled one does not") {
   Loop loop;
   std::string order;
   Timer late(loop), early(loop), never(loop);
@@ -23,7 +23,7 @@
   early.ScheduleAfter(Duration(2000), [&] {
     order += "early ";
     never.Cancel();
-    // Counted from one moment, however late the loop is: each pass may have missed several.
+    // Both deadlines count from the same Now(), so the order holds even if a late pass finds both due.
     late.ScheduleAfter(Duration(9000), [&] {
       order += "late ";
       loop.Stop();
@@ -34,98 +34,99 @@
   CHECK(order == "early again late ");
 }
 
-// A pair of connected sockets; what is sent on one end can be read at the other.
-struct Pair {
-  Pair() { REQUIRE(socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0); }
-  Pair(const Pair&) = delete;
-  Pair& operator=(const Pair&) = delete;
-  ~Pair() {
+// A pair of connected sockets.
+struct SocketPair {
+  SocketPair() { REQUIRE(socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0); }
+  SocketPair(const SocketPair&) = delete;
+  SocketPair& operator=(const SocketPair&) = delete;
+  ~SocketPair() {
     for (int end : ends) close(end);
   }
   int ends[2];
 };
 
-struct Woken final : Poller::Handler {
-  std::function<void()> call;
-  void OnEvents(std::uint32_t) override { call(); }
+struct CallbackHandler final : Poller::Handler {
+  std::function<void()> callback;
+  void OnEvents(std::uint32_t) override { callback(); }
 };
 
-TEST_CASE("what is no longer watched is not told, though its event came in the same batch") {
+TEST_CASE("a removed descriptor gets no event, even one from the same batch") {
   Loop loop;
-  Pair one, two;
-  Woken first, second;
+  SocketPair first_pair, second_pair;
+  CallbackHandler first, second;
   int calls = 0;
-  const auto only = [&] {
+  const auto rewatch_both = [&] {
     ++calls;
-    loop.poller().Remove(one.ends[0]);
-    loop.poller().Remove(two.ends[0]);
-    loop.poller().Add(one.ends[0], 0, first);  // the number is in use again, for something else
-    loop.poller().Add(two.ends[0], 0, second);
+    loop.poller().Remove(first_pair.ends[0]);
+    loop.poller().Remove(second_pair.ends[0]);
+    loop.poller().Add(first_pair.ends[0], 0, first);  // the descriptor number is reused
+    loop.poller().Add(second_pair.ends[0], 0, second);
   };
-  first.call = second.call = only;
-  loop.poller().Add(one.ends[0], EPOLLIN, first);
-  loop.poller().Add(two.ends[0], EPOLLIN, second);
-  for (Pair* pair : {&one, &two}) REQUIRE(write(pair->ends[1], "x", 1) == 1);
+  first.callback = second.callback = rewatch_both;
+  loop.poller().Add(first_pair.ends[0], EPOLLIN, first);
+  loop.poller().Add(second_pair.ends[0], EPOLLIN, second);
+  for (SocketPair* pair : {&first_pair, &second_pair}) REQUIRE(write(pair->ends[1], "x", 1) == 1);
   Timer stop(loop);
   stop.ScheduleAfter(Duration(20000), [&] { loop.Stop(); });
   loop.Run();
   CHECK(calls == 1);
-  for (Pair* pair : {&one, &two}) loop.poller().Remove(pair->ends[0]);
+  for (SocketPair* pair : {&first_pair, &second_pair}) loop.poller().Remove(pair->ends[0]);
 }
 
-// Hundreds of silent connections made each turn of the loop so slow that data servers seemed to be.
-TEST_CASE("connections that are silent cost a turn of the loop nothing") {
+// When each pass of the loop polled every connection, hundreds of idle ones made it so slow that data servers
+// appeared to be slow.
+TEST_CASE("idle connections are not polled in each pass of the loop") {
   Loop loop;
-  struct Silent final : Connection::Owner {
+  struct IdleOwner final : Connection::Owner {
     void OnReadable() override {}
     void OnEndOfStream() override {}
     void OnDisconnected() override {}
-  } silent;
+  } owner;
   std::vector<std::shared_ptr<Connection>> connections;
   Listener listener(
       loop, [] { return true; },
       [&](ObjectPtr<GSocket> socket) {
-        connections.push_back(Connection::Adopt(loop, std::move(socket), silent, 4096, 4096));
+        connections.push_back(Connection::Adopt(loop, std::move(socket), owner, 4096, 4096));
       });
   REQUIRE(listener.Open({"127.0.0.1", 0}));
-  const auto polled = [] {
+  const auto count_polled_descriptors = [] {
     gint timeout = 0, priority = 0;
     GMainContext* context = g_main_context_default();
     g_main_context_prepare(context, &priority);
     return g_main_context_query(context, priority, &timeout, nullptr, 0);
   };
-  const int before = polled();
+  const int before = count_polled_descriptors();
   for (int i = 0; i < 20; ++i) {
-    bool full = false;
+    bool out_of_descriptors = false;
     connections.push_back(
-        Connection::Connect(loop, {"127.0.0.1", listener.port()}, silent, 4096, 4096, &full));
+        Connection::Connect(loop, {"127.0.0.1", listener.port()}, owner, 4096, 4096, &out_of_descriptors));
   }
   while (connections.size() < 40) g_main_context_iteration(nullptr, TRUE);
-  CHECK(polled() <= before);
+  CHECK(count_polled_descriptors() <= before);
 }
 
-TEST_CASE("a ring keeps its bytes in order while it wraps and grows") {
-  constexpr std::size_t kRingSize = std::size_t{64} * 1024;
-  RingBuffer ring(kRingSize);
+TEST_CASE("a ring buffer keeps its bytes in order while it wraps and grows") {
+  constexpr std::size_t kMaxRingBytes = std::size_t{64} * 1024;
+  RingBuffer ring(kMaxRingBytes);
   std::string model;
   for (int i = 0; i < 400; ++i) {
     const std::string piece(static_cast<std::size_t>(i * 7 % 501), static_cast<char>('a' + i % 26));
-    const bool fits = model.size() + piece.size() <= kRingSize;
+    const bool fits = model.size() + piece.size() <= kMaxRingBytes;
     CHECK(ring.Append(piece) == fits);
     if (fits) model += piece;
-    const std::size_t taken = std::min<std::size_t>(model.size(), static_cast<std::size_t>(i * 5 % 311));
-    ring.Consume(taken);
-    model.erase(0, taken);
+    const std::size_t consumed = std::min<std::size_t>(model.size(), static_cast<std::size_t>(i * 5 % 311));
+    ring.Consume(consumed);
+    model.erase(0, consumed);
     REQUIRE(ring.size() == model.size());
   }
   CHECK(ring.Linearize() == model);
-  CHECK_FALSE(ring.Append(std::string(kRingSize, 'x')));
+  CHECK_FALSE(ring.Append(std::string(kMaxRingBytes, 'x')));
   ring.Consume(model.size());
   CHECK(ring.capacity() <= 16 * 1024);
 }
 
-TEST_CASE("neither side can take all descriptors") {
-  DescriptorBudget budget(140);  // 100 to share, 25 for each side at least
+TEST_CASE("neither clients nor backends can take all descriptors") {
+  DescriptorBudget budget(140);  // 100 to share, at least 25 of them for each side
   budget.clients() = 75;
   CHECK_FALSE(budget.CanAddClient());
   CHECK(budget.CanAddBackend());
