--- a/src/pg/message.cpp
+++ b/src/pg/message.cpp
@@ -5,31 +5,31 @@
 namespace lynxgrade::pg {
 namespace {
 
-constexpr std::size_t kHead = 5;             // type and length
-constexpr std::size_t kStartupHead = 4;      // length alone
-constexpr std::size_t kMostStartup = 10000;  // as PostgreSQL itself limits it
-constexpr std::size_t kColumnRest = 18;      // of a column's description, behind its name
-constexpr std::uint32_t kCancelCode = 80877102;
-constexpr std::uint32_t kSslCode = 80877103;
-constexpr std::uint32_t kGssCode = 80877104;
-
-std::uint32_t U32(std::string_view bytes) {
+constexpr std::size_t kHeaderBytes = 5;          // type and length
+constexpr std::size_t kStartupHeaderBytes = 4;   // length only
+constexpr std::size_t kMaxStartupBytes = 10000;  // the limit of PostgreSQL itself
+constexpr std::size_t kColumnFieldsBytes = 18;   // of a column in a RowDescription, after its name
+constexpr std::uint32_t kCancelRequestCode = 80877102;
+constexpr std::uint32_t kSslRequestCode = 80877103;
+constexpr std::uint32_t kGssEncRequestCode = 80877104;
+
+std::uint32_t ReadUint32(std::string_view bytes) {
   std::uint32_t value = 0;
   for (std::size_t i = 0; i < 4; ++i) value = value << 8 | static_cast<unsigned char>(bytes[i]);
   return value;
 }
 
-std::uint32_t U16(std::string_view bytes) {
+std::uint32_t ReadUint16(std::string_view bytes) {
   return static_cast<std::uint32_t>(static_cast<unsigned char>(bytes[0]) << 8 |
                                     static_cast<unsigned char>(bytes[1]));
 }
 
-void PutU32(std::string& out, std::uint32_t value) {
+void AppendUint32(std::string& out, std::uint32_t value) {
   for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(value >> shift & 0xff);
 }
 
-// Takes a zero-terminated string off the front.
-std::optional<std::string_view> TakeText(std::string_view& bytes) {
+// Removes a zero-terminated string from the front of `bytes` and returns it; absent if it is not terminated.
+std::optional<std::string_view> ExtractString(std::string_view& bytes) {
   const std::size_t end = bytes.find('\0');
   if (end == std::string_view::npos) return std::nullopt;
   const std::string_view text = bytes.substr(0, end);
@@ -37,19 +37,19 @@
   return text;
 }
 
-void AppendFields(std::string& out, char type, std::string_view severity, std::string_view code,
-                  std::string_view message, std::string_view detail) {
+void AppendErrorFields(std::string& out, char type, std::string_view severity, std::string_view code,
+                       std::string_view message, std::string_view detail) {
   std::string body;
-  const auto field = [&body](char name, std::string_view value) {
+  const auto append_field = [&body](char name, std::string_view value) {
     body += name;
     body += value;
     body += '\0';
   };
-  field('S', severity);
-  field('V', severity);
-  field('C', code);
-  field('M', message);
-  if (!detail.empty()) field('D', detail);
+  append_field('S', severity);
+  append_field('V', severity);
+  append_field('C', code);
+  append_field('M', message);
+  if (!detail.empty()) append_field('D', detail);
   body += '\0';
   AppendMessage(out, type, body);
 }
@@ -60,14 +60,15 @@
   Frame frame;
   if (bytes.empty()) return frame;
   frame.type = bytes[0];
-  const bool letter = (frame.type >= 'a' && frame.type <= 'z') || (frame.type >= 'A' && frame.type <= 'Z') ||
-                      (frame.type >= '1' && frame.type <= '3');
-  if (!letter) {
+  const bool valid_type = (frame.type >= 'a' && frame.type <= 'z') ||
+                          (frame.type >= 'A' && frame.type <= 'Z') ||
+                          (frame.type >= '1' && frame.type <= '3');
+  if (!valid_type) {
     frame.framing = Framing::kMalformed;
     return frame;
   }
-  if (bytes.size() < kHead) return frame;
-  const std::size_t length = U32(bytes.substr(1));
+  if (bytes.size() < kHeaderBytes) return frame;
+  const std::size_t length = ReadUint32(bytes.substr(1));
   if (length < 4) {
     frame.framing = Framing::kMalformed;
   } else if (length > kMaxMessageBytes) {
@@ -75,23 +76,23 @@
   } else if (bytes.size() >= length + 1) {
     frame.framing = Framing::kComplete;
     frame.size = length + 1;
-    frame.body = bytes.substr(kHead, length - 4);
+    frame.body = bytes.substr(kHeaderBytes, length - 4);
   }
   return frame;
 }
 
 Frame ReadStartupFrame(std::string_view bytes) {
   Frame frame;
-  if (bytes.size() < kStartupHead) return frame;
-  const std::size_t length = U32(bytes);
+  if (bytes.size() < kStartupHeaderBytes) return frame;
+  const std::size_t length = ReadUint32(bytes);
   if (length < 8) {
     frame.framing = Framing::kMalformed;
-  } else if (length > kMostStartup) {
+  } else if (length > kMaxStartupBytes) {
     frame.framing = Framing::kTooLong;
   } else if (bytes.size() >= length) {
     frame.framing = Framing::kComplete;
     frame.size = length;
-    frame.body = bytes.substr(kStartupHead, length - kStartupHead);
+    frame.body = bytes.substr(kStartupHeaderBytes, length - kStartupHeaderBytes);
   }
   return frame;
 }
@@ -99,15 +100,15 @@
 Startup ReadStartupMessage(std::string_view body) {
   Startup startup;
   if (body.size() < 4) return startup;
-  const std::uint32_t code = U32(body);
+  const std::uint32_t code = ReadUint32(body);
   body.remove_prefix(4);
-  if (code == kSslCode || code == kGssCode || code == kCancelCode) {
-    if (code == kSslCode && body.empty()) startup.kind = StartupKind::kSsl;
-    if (code == kGssCode && body.empty()) startup.kind = StartupKind::kGssEncryption;
-    if (code == kCancelCode && body.size() == 8) {
+  if (code == kSslRequestCode || code == kGssEncRequestCode || code == kCancelRequestCode) {
+    if (code == kSslRequestCode && body.empty()) startup.kind = StartupKind::kSsl;
+    if (code == kGssEncRequestCode && body.empty()) startup.kind = StartupKind::kGssEncryption;
+    if (code == kCancelRequestCode && body.size() == 8) {
       startup.kind = StartupKind::kCancel;
-      startup.process_id = U32(body);
-      startup.secret_key = U32(body.substr(4));
+      startup.process_id = ReadUint32(body);
+      startup.secret_key = ReadUint32(body.substr(4));
     }
     return startup;
   }
@@ -117,10 +118,10 @@
   }
   startup.minor_version = static_cast<std::uint16_t>(code & 0xffff);
   while (true) {
-    const auto name = TakeText(body);
+    const auto name = ExtractString(body);
     if (!name) return startup;
     if (name->empty()) break;
-    const auto value = TakeText(body);
+    const auto value = ExtractString(body);
     if (!value) return startup;
     if (*name == "user") startup.user = *value;
     if (*name == "database") startup.database = *value;
@@ -140,10 +141,10 @@
     const char name = body[0];
     body.remove_prefix(1);
     if (name == '\0') return body.empty() && !fields.code.empty() ? std::optional(fields) : std::nullopt;
-    const auto value = TakeText(body);
+    const auto value = ExtractString(body);
     if (!value) return std::nullopt;
     if (name == 'S' && fields.severity.empty()) fields.severity = *value;
-    if (name == 'V') fields.severity = *value;  // the one that is never translated
+    if (name == 'V') fields.severity = *value;  // not localized, unlike 'S'
     if (name == 'C') fields.code = *value;
     if (name == 'M') fields.message = *value;
   }
@@ -151,16 +152,16 @@
 }
 
 std::optional<ParameterStatus> ReadParameterStatus(std::string_view body) {
-  const auto name = TakeText(body);
+  const auto name = ExtractString(body);
   if (!name) return std::nullopt;
-  const auto value = TakeText(body);
+  const auto value = ExtractString(body);
   if (!value || !body.empty()) return std::nullopt;
   return ParameterStatus{*name, *value};
 }
 
 std::optional<SingleColumnRow> ReadSingleColumnRow(std::string_view body) {
-  if (body.size() < 6 || U16(body) != 1) return std::nullopt;
-  const std::uint32_t length = U32(body.substr(2));
+  if (body.size() < 6 || ReadUint16(body) != 1) return std::nullopt;
+  const std::uint32_t length = ReadUint32(body.substr(2));
   const std::string_view value = body.substr(6);
   if (length == 0xffffffff) return value.empty() ? std::optional(SingleColumnRow{}) : std::nullopt;
   if (value.size() != length) return std::nullopt;
@@ -168,38 +169,38 @@
 }
 
 bool DescribesOneColumn(std::string_view body) {
-  if (body.size() < 2 || U16(body) != 1) return false;
+  if (body.size() < 2 || ReadUint16(body) != 1) return false;
   body.remove_prefix(2);
-  return TakeText(body) && body.size() == kColumnRest;
+  return ExtractString(body) && body.size() == kColumnFieldsBytes;
 }
 
 std::optional<std::string_view> ReadCommandTag(std::string_view body) {
-  const auto tag = TakeText(body);
+  const auto tag = ExtractString(body);
   return tag && !tag->empty() && body.empty() ? tag : std::nullopt;
 }
 
 void AppendMessage(std::string& out, char type, std::string_view body) {
   out += type;
-  PutU32(out, static_cast<std::uint32_t>(body.size() + 4));
+  AppendUint32(out, static_cast<std::uint32_t>(body.size() + 4));
   out += body;
 }
 
 void AppendStartupMessage(std::string& out, std::string_view user, std::string_view database) {
   std::string body;
-  PutU32(body, 3u << 16);
+  AppendUint32(body, 3u << 16);
   for (const std::string_view text :
        {std::string_view("user"), user, std::string_view("database"), database}) {
     body += text;
     body += '\0';
   }
   body += '\0';
-  PutU32(out, static_cast<std::uint32_t>(body.size() + 4));
+  AppendUint32(out, static_cast<std::uint32_t>(body.size() + 4));
   out += body;
 }
 
 void AppendQuery(std::string& out, std::string_view text) {
   out += 'Q';
-  PutU32(out, static_cast<std::uint32_t>(text.size() + 5));
+  AppendUint32(out, static_cast<std::uint32_t>(text.size() + 5));
   out += text;
   out += '\0';
 }
@@ -214,17 +215,17 @@
   AppendMessage(out, 'S', body);
 }
 
-void AppendBackendKeyData(std::string& out, std::uint32_t process, std::uint32_t secret) {
+void AppendBackendKeyData(std::string& out, std::uint32_t process_id, std::uint32_t secret_key) {
   std::string body;
-  PutU32(body, process);
-  PutU32(body, secret);
+  AppendUint32(body, process_id);
+  AppendUint32(body, secret_key);
   AppendMessage(out, 'K', body);
 }
 
-void AppendNegotiateProtocolVersion(std::string& out, std::uint32_t newest) {
+void AppendNegotiateProtocolVersion(std::string& out, std::uint32_t newest_version) {
   std::string body;
-  PutU32(body, newest);
-  PutU32(body, 0);
+  AppendUint32(body, newest_version);
+  AppendUint32(body, 0);  // number of unrecognized options
   AppendMessage(out, 'v', body);
 }
 
@@ -239,11 +240,11 @@
 
 void AppendErrorResponse(std::string& out, std::string_view severity, std::string_view code,
                          std::string_view message, std::string_view detail) {
-  AppendFields(out, 'E', severity, code, message, detail);
+  AppendErrorFields(out, 'E', severity, code, message, detail);
 }
 
 void AppendNoticeResponse(std::string& out, std::string_view message) {
-  AppendFields(out, 'N', "NOTICE", "00000", message, {});
+  AppendErrorFields(out, 'N', "NOTICE", "00000", message, {});
 }
 
 }  // namespace lynxgrade::pg
--- a/src/pg/message.h
+++ b/src/pg/message.h
@@ -1,5 +1,6 @@
-// PostgreSQL's wire protocol, version 3: framing and the few messages that the pooler reads and writes.
-// Pure bytes: no sockets, no clock.
+// PostgreSQL's wire protocol, version 3: framing and the messages that the pooler reads and writes. Works on
+// bytes only: no sockets, no clock. A reader returns nothing for a malformed body, and its views point into
+// that body.
 #pragma once
 
 #include <cstdint>
@@ -9,18 +10,22 @@
 
 namespace lynxgrade::pg {
 
-// A value has 64 KiB at most; as hex in a statement that is twice as much, with room for the rest.
+// A value has up to 64 KiB, which takes 128 KiB as hex in a statement; the rest is for the other parts of the
+// message.
 inline constexpr std::size_t kMaxMessageBytes = std::size_t{192} * 1024;
+// Of a connection's buffer in each direction.
 inline constexpr std::size_t kMaxBufferBytes = std::size_t{256} * 1024;
 
+// kTooLong: the length field exceeds the limit. The bytes after a malformed or too long header cannot be
+// framed.
 enum class Framing { kPartial, kComplete, kMalformed, kTooLong };
 
-// One message at the front of some bytes. `size` is what it takes up, with its head.
+// The first message in a sequence of bytes.
 struct Frame {
   Framing framing = Framing::kPartial;
-  char type = 0;  // 0 for the startup family, which has none
-  std::string_view body;
-  std::size_t size = 0;
+  char type = 0;          // 0 for a startup packet, which has no type byte
+  std::string_view body;  // kComplete
+  std::size_t size = 0;   // of the complete message, with its header
 };
 Frame ReadFrame(std::string_view bytes);
 Frame ReadStartupFrame(std::string_view bytes);
@@ -28,18 +33,19 @@
 enum class StartupKind { kStartup, kSsl, kGssEncryption, kCancel, kUnsupported, kMalformed };
 struct Startup {
   StartupKind kind = StartupKind::kMalformed;
-  std::uint16_t minor_version = 0;
+  std::uint16_t minor_version = 0;  // kStartup
   std::string user;
   std::string database;
-  std::uint32_t process_id = 0;  // kCancel: the key of the connection whose request is to end
+  // kCancel: the two identify the connection whose request is to be cancelled.
+  std::uint32_t process_id = 0;
   std::uint32_t secret_key = 0;
 };
 Startup ReadStartupMessage(std::string_view body);
 
-// A Query's text, without its closing zero byte; nothing where that is missing or not the last byte.
+// The text of a Query, without the terminating zero byte.
 std::optional<std::string_view> ReadQuery(std::string_view body);
 
-// An ErrorResponse's or NoticeResponse's fields that matter here.
+// The fields of an ErrorResponse or NoticeResponse that the pooler uses.
 struct ErrorFields {
   std::string severity;
   std::string code;
@@ -53,7 +59,7 @@
 };
 std::optional<ParameterStatus> ReadParameterStatus(std::string_view body);
 
-// The value of a DataRow that has exactly one column; the inner one is absent for NULL.
+// A DataRow with exactly one column; its value is absent for NULL.
 struct SingleColumnRow {
   std::optional<std::string_view> value;
 };
@@ -62,21 +68,22 @@
 // Whether a RowDescription is well formed and has exactly one column.
 bool DescribesOneColumn(std::string_view body);
 
-// A CommandComplete's tag.
+// The command tag of a CommandComplete.
 std::optional<std::string_view> ReadCommandTag(std::string_view body);
 
-// Writers append a whole message.
+// Each of the following appends one complete message to `out`.
 void AppendMessage(std::string& out, char type, std::string_view body);
 void AppendStartupMessage(std::string& out, std::string_view user, std::string_view database);
 void AppendQuery(std::string& out, std::string_view text);
 void AppendAuthenticationOk(std::string& out);
 void AppendParameterStatus(std::string& out, std::string_view name, std::string_view value);
-void AppendBackendKeyData(std::string& out, std::uint32_t process, std::uint32_t secret);
-void AppendNegotiateProtocolVersion(std::string& out, std::uint32_t newest);
+void AppendBackendKeyData(std::string& out, std::uint32_t process_id, std::uint32_t secret_key);
+void AppendNegotiateProtocolVersion(std::string& out, std::uint32_t newest_version);
+// Outside a transaction block.
 void AppendReadyForQuery(std::string& out);
 void AppendEmptyQueryResponse(std::string& out);
 void AppendCommandComplete(std::string& out, std::string_view tag);
-// `detail` becomes the field D where it is not empty.
+// An empty `detail` is left out.
 void AppendErrorResponse(std::string& out, std::string_view severity, std::string_view code,
                          std::string_view message, std::string_view detail = {});
 void AppendNoticeResponse(std::string& out, std::string_view message);
--- a/src/pg/statement.cpp
+++ b/src/pg/statement.cpp
@@ -12,8 +12,8 @@
   return text.substr(from, text.find_last_not_of(" \t\r\n") - from + 1);
 }
 
-// Takes the text up to a comma off the front.
-std::string_view TakeItem(std::string_view& list) {
+// Removes the first item of a comma-separated list and returns it without surrounding white space.
+std::string_view ExtractItem(std::string_view& list) {
   const std::size_t comma = list.find(',');
   const std::string_view item = list.substr(0, comma);
   list = comma == std::string_view::npos ? std::string_view() : list.substr(comma + 1);
@@ -29,24 +29,24 @@
   return value;
 }
 
-std::optional<Comment> ReadComment(std::string_view statement, std::string& wrong) {
+std::optional<Comment> ReadComment(std::string_view statement, std::string& error) {
   const std::size_t from = statement.find_first_not_of(" \t\r\n");
   if (from == std::string_view::npos || statement.substr(from, 2) != "/*") {
-    wrong = "the statement has no comment before it";
+    error = "the statement has no comment before it";
     return std::nullopt;
   }
   const std::size_t end = statement.find("*/", from + 2);
   if (end == std::string_view::npos) {
-    wrong = "the comment does not end";
+    error = "the comment does not end";
     return std::nullopt;
   }
   Comment comment;
   std::string_view list = statement.substr(from + 2, end - from - 2);
   while (!list.empty()) {
-    const std::string_view item = TakeItem(list);
+    const std::string_view item = ExtractItem(list);
     const std::size_t equals = item.find('=');
     if (equals == std::string_view::npos || equals == 0) {
-      wrong = "the comment holds something other than name=value";
+      error = "the comment holds something other than name=value";
       return std::nullopt;
     }
     const std::string_view name = Trimmed(item.substr(0, equals));
@@ -59,7 +59,7 @@
     if (name == "d" || name == "cluster" || name == "after") {
       const auto number = ParseInteger(value);
       if (!number || *number < 0) {
-        wrong = "the value of " + std::string(name) + " is not a whole number";
+        error = "the value of " + std::string(name) + " is not a whole number";
         return std::nullopt;
       }
       if (name != "d") {
@@ -90,7 +90,7 @@
 std::optional<std::map<std::string, double>> ReadLoadReport(std::string_view text) {
   std::map<std::string, double> fields;
   while (!text.empty()) {
-    const std::string_view item = TakeItem(text);
+    const std::string_view item = ExtractItem(text);
     const std::size_t equals = item.find('=');
     if (equals == std::string_view::npos || equals == 0) return std::nullopt;
     const std::string_view number = item.substr(equals + 1);
--- a/tests/pg/parsers_test.cpp
+++ b/tests/pg/parsers_test.cpp
@@ -1,4 +1,4 @@
-// Tables of cases for the parsers of PostgreSQL messages, the statement's comment and load reports.
+// Tables of cases for the parsers of PostgreSQL messages, statement comments and load reports.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -11,7 +11,7 @@
 namespace lynxgrade {
 using namespace std::string_literals;
 
-TEST_CASE("frames") {
+TEST_CASE("message framing") {
   const struct {
     std::string bytes;
     pg::Framing framing;
@@ -42,9 +42,9 @@
   } cases[] = {
       {"\0\3\0\0user\0worker\0database\0catalog\0\0"s, pg::StartupKind::kStartup},
       {"\0\3\0\2user\0worker\0\0"s, pg::StartupKind::kStartup},
-      {"\0\3\0\0\0"s, pg::StartupKind::kMalformed},               // names no user
-      {"\0\3\0\0user\0worker"s, pg::StartupKind::kMalformed},     // does not end
-      {"\0\3\0\0user\0a\0\0more"s, pg::StartupKind::kMalformed},  // goes on after its end
+      {"\0\3\0\0\0"s, pg::StartupKind::kMalformed},               // no user
+      {"\0\3\0\0user\0worker"s, pg::StartupKind::kMalformed},     // not terminated
+      {"\0\3\0\0user\0a\0\0more"s, pg::StartupKind::kMalformed},  // bytes after the terminator
       {"\0\2\0\0"s, pg::StartupKind::kUnsupported},
       {"\x04\xd2\x16\x2f"s, pg::StartupKind::kSsl},
       {"\x04\xd2\x16\x30"s, pg::StartupKind::kGssEncryption},
@@ -58,7 +58,7 @@
   }
 }
 
-TEST_CASE("a value, an error and a status") {
+TEST_CASE("bodies of DataRow, ErrorResponse, ParameterStatus and Query") {
   CHECK(pg::ReadSingleColumnRow("\0\1\0\0\0\2ab"s)->value == "ab");
   CHECK_FALSE(pg::ReadSingleColumnRow("\0\1\xff\xff\xff\xff"s)->value.has_value());
   for (const std::string& bad : {"\0\2\0\0\0\1a\0\0\0\1b"s, "\0\1\0\0\0\3ab"s, "\0\1"s, ""s}) {
@@ -81,8 +81,8 @@
 TEST_CASE("the comment before a statement") {
   const struct {
     std::string statement;
-    bool read;
-    std::string with_77;  // what it is with 77 ms left
+    bool valid;
+    std::string with_77_ms;  // the statement with its time budget replaced
   } cases[] = {
       {"/* id=9b,c=own,t=acme,d=480,cluster=2 */ SELECT body FROM objects WHERE oid = 'k1'", true,
        "/* id=9b,c=own,t=acme,d=77,cluster=2 */ SELECT body FROM objects WHERE oid = 'k1'"},
@@ -98,15 +98,15 @@
   };
   for (const auto& c : cases) {
     CAPTURE(c.statement);
-    std::string wrong;
-    const auto comment = pg::ReadComment(c.statement, wrong);
-    CHECK(comment.has_value() == c.read);
-    CHECK(wrong.empty() == c.read);
-    if (comment) CHECK(pg::ReplaceTimeBudget(c.statement, *comment, 77) == c.with_77);
+    std::string error;
+    const auto comment = pg::ReadComment(c.statement, error);
+    CHECK(comment.has_value() == c.valid);
+    CHECK(error.empty() == c.valid);
+    if (comment) CHECK(pg::ReplaceTimeBudget(c.statement, *comment, 77) == c.with_77_ms);
   }
-  std::string wrong;
+  std::string error;
   const std::string write = "/* id=9,c=w,k=5c,r=1 */ INSERT INTO objects (oid, body) VALUES ('k2', '\\x9f')";
-  const auto comment = pg::ReadComment(write, wrong);
+  const auto comment = pg::ReadComment(write, error);
   CHECK(comment->object_id == "k2");
   CHECK(comment->idempotency_key == "5c");
   CHECK(comment->is_retry);
@@ -123,20 +123,20 @@
   }
 }
 
-TEST_CASE("what an answer means to the module") {
-  const std::string d = "\0\1d\0"s + std::string(18, '\0');
+TEST_CASE("responses of data servers: the outcome of the attempt") {
+  const std::string description = "\0\1d\0"s + std::string(18, '\0');
   const struct {
     std::vector<std::pair<char, std::string>> messages;
     bool written;
     Outcome outcome;
   } cases[] = {
-      {{{'T', d}, {'D', "\0\1\0\0\0\1a"s}, {'C', "SELECT 1\0"s}}, true, Outcome::kOk},
+      {{{'T', description}, {'D', "\0\1\0\0\0\1a"s}, {'C', "SELECT 1\0"s}}, true, Outcome::kOk},
       {{{'E', "C25006\0\0"s}}, true, Outcome::kMisrouted},
       {{{'E', "C72000\0\0"s}}, true, Outcome::kMisrouted},
       {{{'E', "CXX000\0\0"s}}, true, Outcome::kError},
       {{{'E', "C53300\0\0"s}}, true, Outcome::kOverloaded},
       {{{'E', "C42601\0\0"s}}, true, Outcome::kNotRun},
-      {{{'T', d}, {'D', "\0\1\0\0\0\1a"s}}, true, Outcome::kConnectionLost},
+      {{{'T', description}, {'D', "\0\1\0\0\0\1a"s}}, true, Outcome::kConnectionLost},
       {{}, true, Outcome::kConnectionLost},
       {{}, false, Outcome::kUnreachable},
   };
@@ -146,20 +146,20 @@
       REQUIRE(response.ReadMessage(type, body) == upstream::ResponseReader::Step::kMore);
     CHECK(response.OutcomeAtEnd(c.written) == c.outcome);
   }
-  // In an order that no data server has, or not as a value that a client could take.
+  // Messages in an invalid order, or rows that are not exactly one value.
   const std::string row = "\0\1\0\0\0\1a"s, null = "\0\1\xff\xff\xff\xff"s;
   for (const auto& messages : std::vector<std::vector<std::pair<char, std::string>>>{
            {{'D', row}},
            {{'C', "SELECT 1\0"s}},
-           {{'T', d}, {'C', "SELECT 1\0"s}},
-           {{'T', d}, {'T', d}},
+           {{'T', description}, {'C', "SELECT 1\0"s}},
+           {{'T', description}, {'T', description}},
            {{'T', "\0\2"s}},
-           {{'T', d + "x"}},
-           {{'T', d}, {'D', null}},
-           {{'T', d}, {'D', row}, {'D', row}},
-           {{'T', d}, {'D', row}, {'C', "SELECT 1"}},
-           {{'T', d}, {'D', row}, {'C', "SELECT 1\0"s}, {'E', "CXX000\0\0"s}},
-           {{'E', "CXX000\0\0"s}, {'T', d}},
+           {{'T', description + "x"}},
+           {{'T', description}, {'D', null}},
+           {{'T', description}, {'D', row}, {'D', row}},
+           {{'T', description}, {'D', row}, {'C', "SELECT 1"}},
+           {{'T', description}, {'D', row}, {'C', "SELECT 1\0"s}, {'E', "CXX000\0\0"s}},
+           {{'E', "CXX000\0\0"s}, {'T', description}},
            {{'Z', "T"}}}) {
     upstream::ResponseReader response;
     for (std::size_t i = 0; i + 1 < messages.size(); ++i)
