--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -1,5 +1,6 @@
-// lynxgrade_adapter: reads batches of events from standard input, passes each to the balancer of its instance
-// and writes one reply per batch. As in the pooler, a session consistency guard surrounds each balancer.
+// lynxgrade_adapter: connects balancers to the simulator. Reads batches of events from standard input, passes
+// each event to the balancer of its instance and writes one reply per batch. As in the pooler, each balancer
+// has a session consistency guard, which sees its events before it and its actions after it.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -15,61 +16,64 @@
 namespace lynxgrade::simulator {
 namespace {
 
-class Host {
+// Holds the balancers of all started instances.
+class AdapterHost {
  public:
-  // Handles one input line; returns true if the reply of a batch is complete. Throws WireError.
+  // Handles one input line. Returns true if it ends a batch, whose reply is then complete. Throws WireError.
   bool HandleLine(const std::string& text) {
     Line line = codec_.Decode(text);
-    if (auto* start = std::get_if<BatchStart>(&line)) {
-      if (open_) throw WireError("a batch opens inside another");
-      open_ = true;
-      now_ = start->now;
-      serial_ = start->serial;
+    if (auto* batch = std::get_if<BatchStart>(&line)) {
+      if (batch_open_) throw WireError("a batch opens inside another");
+      batch_open_ = true;
+      now_ = batch->now;
+      serial_ = batch->serial;
       return false;
     }
-    if (!open_) throw WireError("an event outside a batch");
+    if (!batch_open_) throw WireError("an event outside a batch");
     if (std::holds_alternative<BatchEnd>(line)) {
-      open_ = false;
-      Codec::EncodeEnd(serial_, reply_);
+      batch_open_ = false;
+      Codec::EncodeBatchEnd(serial_, reply_);
       return true;
     }
     if (auto* page = std::get_if<ListPage>(&line)) {
       pages_[page->page] = std::move(page->entries);
-    } else if (auto* begin = std::get_if<Start>(&line)) {
-      consistency::SessionConsistencyGuard consistency_guard(begin->settings, consistency::Options{});
-      instances_.insert_or_assign(begin->instance, Hosted{std::move(consistency_guard),
-                                                          Balancer(std::move(begin->settings), begin->seed)});
-    } else if (auto* stop = std::get_if<Stop>(&line)) {
+    } else if (auto* start = std::get_if<StartInstance>(&line)) {
+      consistency::SessionConsistencyGuard consistency_guard(start->settings, consistency::Options{});
+      instances_.insert_or_assign(
+          start->instance,
+          HostedInstance{std::move(consistency_guard), Balancer(std::move(start->settings), start->seed)});
+    } else if (auto* stop = std::get_if<StopInstance>(&line)) {
       instances_.erase(stop->instance);
-    } else if (auto* news = std::get_if<ListUpdate>(&line)) {
-      ListEvent event{news->kind, {}};
-      if (news->kind != ListKind::kError) {
-        const auto entries = pages_.find(news->page);
+    } else if (auto* update = std::get_if<ListUpdate>(&line)) {
+      ListEvent event{update->kind, {}};
+      if (update->kind != ListKind::kError) {
+        const auto entries = pages_.find(update->page);
         if (entries == pages_.end()) {
           throw WireError("event 'directory_update': field 'page' names a list not seen");
         }
         event.entries = entries->second;
       }
-      HandleEvent(news->instance, Event(std::move(event)));
-    } else if (auto* given = std::get_if<InstanceEvent>(&line)) {
-      HandleEvent(given->instance, std::move(given->event));
+      HandleEvent(update->instance, Event(std::move(event)));
+    } else if (auto* instance_event = std::get_if<InstanceEvent>(&line)) {
+      HandleEvent(instance_event->instance, std::move(instance_event->event));
     }
     return false;
   }
 
-  std::string TakeReply() { return std::exchange(reply_, {}); }
+  std::string ExtractReply() { return std::exchange(reply_, {}); }
+  // Of the open batch.
   std::optional<std::int64_t> serial() const {
-    return open_ ? std::optional<std::int64_t>(serial_) : std::nullopt;
+    return batch_open_ ? std::optional<std::int64_t>(serial_) : std::nullopt;
   }
 
  private:
-  struct Hosted {
+  struct HostedInstance {
     consistency::SessionConsistencyGuard consistency_guard;
     Balancer balancer;
   };
 
-  void HandleEvent(Instance who, Event event) {
-    const auto it = instances_.find(who);
+  void HandleEvent(InstanceId instance, Event event) {
+    const auto it = instances_.find(instance);
     if (it == instances_.end()) {
       throw WireError("field 'who' names an instance that has not started");
     }
@@ -79,24 +83,24 @@
       it->second.balancer.Handle(now_, event, actions_);
       it->second.consistency_guard.HandleActions(actions_);
     } catch (const std::exception& error) {
-      Codec::EncodeInternalError(who, error.what(), reply_);
+      Codec::EncodeInternalError(instance, error.what(), reply_);
       return;
     }
-    for (const Action& action : actions_) Codec::EncodeAction(who, action, reply_);
+    for (const Action& action : actions_) Codec::EncodeAction(instance, action, reply_);
   }
 
   Codec codec_;
-  std::map<Instance, Hosted> instances_;
+  std::map<InstanceId, HostedInstance> instances_;
   std::map<int, std::vector<ListEntry>> pages_;
   Actions actions_;
   std::string reply_;
   TimePoint now_;
   std::int64_t serial_ = 0;
-  bool open_ = false;
+  bool batch_open_ = false;
 };
 
 int Run() {
-  Host host;
+  AdapterHost host;
   std::string line;
   while (std::getline(std::cin, line)) {
     if (line.empty()) continue;
@@ -109,7 +113,7 @@
                 << error.what() << std::endl;
       return 1;
     }
-    std::cout << host.TakeReply() << std::flush;
+    std::cout << host.ExtractReply() << std::flush;
   }
   return 0;
 }
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -12,241 +12,259 @@
 
 using Json = nlohmann::json;
 
-[[noreturn]] void Wrong(const char* field, const char* what) {
-  throw WireError(std::string("field '") + field + "' " + what);
+constexpr double kMaxExactInteger = 9e15;  // below 2^53, so a double represents each integer exactly
+
+[[noreturn]] void ThrowFieldError(const char* field, const char* problem) {
+  throw WireError(std::string("field '") + field + "' " + problem);
 }
 
-const Json* Find(const Json& object, const char* field) {
+// Null if the field is absent or null.
+const Json* FindField(const Json& object, const char* field) {
   const auto it = object.find(field);
   return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
-const Json& Need(const Json& object, const char* field) {
-  const Json* value = Find(object, field);
-  if (value == nullptr) Wrong(field, "is missing");
+const Json& RequireField(const Json& object, const char* field) {
+  const Json* value = FindField(object, field);
+  if (value == nullptr) ThrowFieldError(field, "is missing");
   return *value;
 }
 
-std::int64_t AsInt(const Json& value, const char* field) {
+std::int64_t ToInteger(const Json& value, const char* field) {
   if (value.is_number_unsigned()) {
     const auto number = value.get<std::uint64_t>();
     if (number > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max())) {
-      Wrong(field, "is out of range");
+      ThrowFieldError(field, "is out of range");
     }
     return static_cast<std::int64_t>(number);
   }
   if (value.is_number_integer()) return value.get<std::int64_t>();
   if (value.is_number_float()) {
     const double number = value.get<double>();
-    if (std::abs(number) < 9e15 && number == std::floor(number)) {
+    if (std::abs(number) < kMaxExactInteger && number == std::floor(number)) {
       return static_cast<std::int64_t>(number);
     }
   }
-  Wrong(field, "is not a whole number");
+  ThrowFieldError(field, "is not a whole number");
 }
 
-std::int64_t Int(const Json& object, const char* field) { return AsInt(Need(object, field), field); }
+std::int64_t ReadInteger(const Json& object, const char* field) {
+  return ToInteger(RequireField(object, field), field);
+}
 
-std::int64_t IntOr(const Json& object, const char* field, std::int64_t otherwise) {
-  const Json* value = Find(object, field);
-  return value == nullptr ? otherwise : AsInt(*value, field);
+std::int64_t ReadIntegerOr(const Json& object, const char* field, std::int64_t fallback) {
+  const Json* value = FindField(object, field);
+  return value == nullptr ? fallback : ToInteger(*value, field);
 }
 
-std::uint32_t Small(const Json& object, const char* field) {
-  const std::int64_t number = Int(object, field);
+std::uint32_t ReadUint32(const Json& object, const char* field) {
+  const std::int64_t number = ReadInteger(object, field);
   if (number < 0 || number > std::numeric_limits<std::uint32_t>::max()) {
-    Wrong(field, "is out of range");
+    ThrowFieldError(field, "is out of range");
   }
   return static_cast<std::uint32_t>(number);
 }
 
-std::uint32_t SmallOr(const Json& object, const char* field, std::uint32_t otherwise) {
-  return Find(object, field) == nullptr ? otherwise : Small(object, field);
+std::uint32_t ReadUint32Or(const Json& object, const char* field, std::uint32_t fallback) {
+  return FindField(object, field) == nullptr ? fallback : ReadUint32(object, field);
 }
 
-double AsNumber(const Json& value, const char* field) {
-  if (!value.is_number()) Wrong(field, "is not a number");
+double ToDouble(const Json& value, const char* field) {
+  if (!value.is_number()) ThrowFieldError(field, "is not a number");
   return value.get<double>();
 }
 
-double NumberOr(const Json& object, const char* field, double otherwise) {
-  const Json* value = Find(object, field);
-  return value == nullptr ? otherwise : AsNumber(*value, field);
+double ReadDoubleOr(const Json& object, const char* field, double fallback) {
+  const Json* value = FindField(object, field);
+  return value == nullptr ? fallback : ToDouble(*value, field);
 }
 
-bool BoolOr(const Json& object, const char* field, bool otherwise) {
-  const Json* value = Find(object, field);
-  if (value == nullptr) return otherwise;
-  if (!value->is_boolean()) Wrong(field, "is not true or false");
+bool ReadBoolOr(const Json& object, const char* field, bool fallback) {
+  const Json* value = FindField(object, field);
+  if (value == nullptr) return fallback;
+  if (!value->is_boolean()) ThrowFieldError(field, "is not true or false");
   return value->get<bool>();
 }
 
-std::string Text(const Json& object, const char* field) {
-  const Json& value = Need(object, field);
-  if (!value.is_string()) Wrong(field, "is not a string");
+std::string ReadString(const Json& object, const char* field) {
+  const Json& value = RequireField(object, field);
+  if (!value.is_string()) ThrowFieldError(field, "is not a string");
   return value.get<std::string>();
 }
 
-std::string TextOr(const Json& object, const char* field, const char* otherwise) {
-  return Find(object, field) == nullptr ? otherwise : Text(object, field);
+std::string ReadStringOr(const Json& object, const char* field, const char* fallback) {
+  return FindField(object, field) == nullptr ? fallback : ReadString(object, field);
 }
 
-const Json& Array(const Json& object, const char* field) {
-  const Json& value = Need(object, field);
-  if (!value.is_array()) Wrong(field, "is not an array");
+const Json& ReadArray(const Json& object, const char* field) {
+  const Json& value = RequireField(object, field);
+  if (!value.is_array()) ThrowFieldError(field, "is not an array");
   return value;
 }
 
-const Json& ObjectOr(const Json& object, const char* field) {
+const Json& ReadObjectOrEmpty(const Json& object, const char* field) {
   static const Json kEmptyObject = Json::object();
-  const Json* value = Find(object, field);
+  const Json* value = FindField(object, field);
   if (value == nullptr) return kEmptyObject;
-  if (!value->is_object()) Wrong(field, "is not an object");
+  if (!value->is_object()) ThrowFieldError(field, "is not an object");
   return *value;
 }
 
-Duration DurationOf(const Json& object, const char* field) { return Duration(Int(object, field)); }
+Duration ReadDuration(const Json& object, const char* field) { return Duration(ReadInteger(object, field)); }
 
-Duration DurationOr(const Json& object, const char* field, Duration otherwise) {
-  return Duration(IntOr(object, field, otherwise.count()));
+Duration ReadDurationOr(const Json& object, const char* field, Duration fallback) {
+  return Duration(ReadIntegerOr(object, field, fallback.count()));
 }
 
 template <typename Value>
-using Words = std::vector<std::pair<const char*, Value>>;
+using NameTable = std::vector<std::pair<const char*, Value>>;
 
 template <typename Value>
-Value Word(const std::string& text, const Words<Value>& words, const char* field) {
-  for (const auto& [word, value] : words) {
-    if (text == word) return value;
+Value ParseName(const std::string& text, const NameTable<Value>& names, const char* field) {
+  for (const auto& [name, value] : names) {
+    if (text == name) return value;
   }
-  Wrong(field, "holds an unknown word");
-}
-
-const Words<Outcome> kOutcomes = {{"success", Outcome::kOk},
-                                  {"failure", Outcome::kError},
-                                  {"overloaded", Outcome::kOverloaded},
-                                  {"timed_out", Outcome::kTimeout},
-                                  {"unreachable", Outcome::kUnreachable},
-                                  {"broken", Outcome::kConnectionLost},
-                                  {"withdrawn", Outcome::kCancelled},
-                                  {"void", Outcome::kNotRun},
-                                  {"absent", Outcome::kMisrouted}};
-const Words<ListKind> kListKinds = {{"Partial", ListKind::kPartial},
-                                    {"Complete", ListKind::kComplete},
-                                    {"Persisted", ListKind::kPersisted},
-                                    {"Error", ListKind::kError}};
-const Words<Lifecycle> kLifecycles = {
+  ThrowFieldError(field, "holds an unknown word");
+}
+
+const NameTable<Outcome> kOutcomes = {{"success", Outcome::kOk},
+                                      {"failure", Outcome::kError},
+                                      {"overloaded", Outcome::kOverloaded},
+                                      {"timed_out", Outcome::kTimeout},
+                                      {"unreachable", Outcome::kUnreachable},
+                                      {"broken", Outcome::kConnectionLost},
+                                      {"withdrawn", Outcome::kCancelled},
+                                      {"void", Outcome::kNotRun},
+                                      {"absent", Outcome::kMisrouted}};
+const NameTable<ListKind> kListKinds = {{"Partial", ListKind::kPartial},
+                                        {"Complete", ListKind::kComplete},
+                                        {"Persisted", ListKind::kPersisted},
+                                        {"Error", ListKind::kError}};
+const NameTable<Lifecycle> kLifecycles = {
     {"SERVING", Lifecycle::kServing}, {"DRAINING", Lifecycle::kDraining}, {"DELETED", Lifecycle::kDeleted}};
-const Words<Idempotency> kIdempotencies = {{"idempotent", Idempotency::kIdempotent},
-                                           {"deduplicated", Idempotency::kIdempotencyKey},
-                                           {"at_most_once", Idempotency::kNotIdempotent}};
-const Words<AccessKind> kAccessKinds = {{"mutate", AccessKind::kWrite},
-                                        {"strong", AccessKind::kStrongRead},
-                                        {"causal", AccessKind::kSessionRead},
-                                        {"lag_bound", AccessKind::kBoundedRead},
-                                        {"eventual", AccessKind::kEventualRead}};
-const Words<PositionCheck> kPositionChecks = {
+const NameTable<Idempotency> kIdempotencies = {{"idempotent", Idempotency::kIdempotent},
+                                               {"deduplicated", Idempotency::kIdempotencyKey},
+                                               {"at_most_once", Idempotency::kNotIdempotent}};
+const NameTable<AccessKind> kAccessKinds = {{"mutate", AccessKind::kWrite},
+                                            {"strong", AccessKind::kStrongRead},
+                                            {"causal", AccessKind::kSessionRead},
+                                            {"lag_bound", AccessKind::kBoundedRead},
+                                            {"eventual", AccessKind::kEventualRead}};
+const NameTable<PositionCheck> kPositionChecks = {
     {"off", PositionCheck::kNone}, {"bounce", PositionCheck::kReject}, {"await", PositionCheck::kWait}};
-const Words<ListedRole> kListedRoles = {
+const NameTable<ListedRole> kListedRoles = {
     {"static", ListedRole::kInitial}, {"trailing", ListedRole::kDelayed}, {"off", ListedRole::kNone}};
-const Words<LoadReporting> kLoadReportings = {{"off", LoadReporting::kNone},
-                                              {"inline", LoadReporting::kWithResponses},
-                                              {"on_probe", LoadReporting::kOnHealthCheck}};
-const Words<bool> kDiscovery = {{"push", false}, {"ask", true}};
-const Words<bool> kMarks = {{"brought", true}, {"kept", false}};
-enum class Scope { kAll, kGroup, kZone };
-const Words<Scope> kScopes = {{"all", Scope::kAll}, {"cell", Scope::kGroup}, {"zone", Scope::kZone}};
-
-RequestClass DecodeClass(const Json& json) {
-  RequestClass cls;
-  cls.latency_objective = DurationOf(json, "objective_us");
-  cls.deadline = DurationOf(json, "deadline_us");
-  cls.idempotency = Word(Text(json, "effect"), kIdempotencies, "effect");
-  const Scope scope = Word(TextOr(json, "key_scope", "all"), kScopes, "key_scope");
-  cls.deduplicated_everywhere = scope == Scope::kAll;
-  cls.deduplicated_in_zone = scope == Scope::kZone;
-  cls.idempotency_window = DurationOr(json, "repeat_window_us", Duration{0});
-  cls.priority_weight = NumberOr(json, "worth", 1);
-  cls.late_response_value = NumberOr(json, "late_value", 0);
-  return cls;
-}
-
-void DecodeClasses(const Json& facts, const Json& extra, Settings& settings) {
-  for (const Json& json : Array(facts, "classes")) settings.classes.push_back(DecodeClass(json));
-  if (Find(extra, "class_read") == nullptr) return;
-  const Json& reads = Array(extra, "class_read");
+const NameTable<LoadReporting> kLoadReportings = {{"off", LoadReporting::kNone},
+                                                  {"inline", LoadReporting::kWithResponses},
+                                                  {"on_probe", LoadReporting::kOnHealthCheck}};
+const NameTable<bool> kPollEndpointList = {{"push", false}, {"ask", true}};
+const NameTable<bool> kClientsCarryWatermarks = {{"brought", true}, {"kept", false}};
+enum class KeyScope { kAll, kGroup, kZone };
+const NameTable<KeyScope> kKeyScopes = {
+    {"all", KeyScope::kAll}, {"cell", KeyScope::kGroup}, {"zone", KeyScope::kZone}};
+
+RequestClass DecodeRequestClass(const Json& json) {
+  RequestClass request_class;
+  request_class.latency_objective = ReadDuration(json, "objective_us");
+  request_class.deadline = ReadDuration(json, "deadline_us");
+  request_class.idempotency = ParseName(ReadString(json, "effect"), kIdempotencies, "effect");
+  const KeyScope scope = ParseName(ReadStringOr(json, "key_scope", "all"), kKeyScopes, "key_scope");
+  request_class.deduplicated_everywhere = scope == KeyScope::kAll;
+  request_class.deduplicated_in_zone = scope == KeyScope::kZone;
+  request_class.idempotency_window = ReadDurationOr(json, "repeat_window_us", Duration{0});
+  request_class.priority_weight = ReadDoubleOr(json, "worth", 1);
+  request_class.late_response_value = ReadDoubleOr(json, "late_value", 0);
+  return request_class;
+}
+
+void DecodeRequestClasses(const Json& settings_json, const Json& extra, Settings& settings) {
+  for (const Json& json : ReadArray(settings_json, "classes")) {
+    settings.classes.push_back(DecodeRequestClass(json));
+  }
+  if (FindField(extra, "class_read") == nullptr) return;
+  const Json& access_kinds = ReadArray(extra, "class_read");
   static const Json kEmptyArray = Json::array();
-  const Json& bounds =
-      Find(extra, "oldest_data_us") == nullptr ? kEmptyArray : Array(extra, "oldest_data_us");
-  for (std::size_t i = 0; i < settings.classes.size() && i < reads.size(); ++i) {
-    if (!reads[i].is_string()) Wrong("class_read", "holds something other than strings");
-    settings.classes[i].kind = Word(reads[i].get<std::string>(), kAccessKinds, "class_read");
-    if (i < bounds.size()) settings.classes[i].staleness_bound = Duration(AsInt(bounds[i], "oldest_data_us"));
+  const Json& staleness_bounds =
+      FindField(extra, "oldest_data_us") == nullptr ? kEmptyArray : ReadArray(extra, "oldest_data_us");
+  for (std::size_t i = 0; i < settings.classes.size() && i < access_kinds.size(); ++i) {
+    if (!access_kinds[i].is_string()) ThrowFieldError("class_read", "holds something other than strings");
+    settings.classes[i].kind = ParseName(access_kinds[i].get<std::string>(), kAccessKinds, "class_read");
+    if (i < staleness_bounds.size()) {
+      settings.classes[i].staleness_bound = Duration(ToInteger(staleness_bounds[i], "oldest_data_us"));
+    }
   }
 }
 
 }  // namespace
 
-Settings DecodeSettings(const Json& facts) {
-  Settings s;
-  const Json& extra = ObjectOr(facts, "extra");
-  const Json& limits = ObjectOr(facts, "limits");
-  const Json& rules = ObjectOr(facts, "rules");
-  const Json& tariffs = ObjectOr(facts, "tariffs");
-  DecodeClasses(facts, extra, s);
-  if (Find(facts, "customers") != nullptr) {
-    for (const Json& json : Array(facts, "customers")) {
-      s.tenants.push_back({NumberOr(json, "quota_per_s", 0), NumberOr(json, "share", 0)});
+Settings DecodeSettings(const Json& settings_json) {
+  Settings settings;
+  const Json& extra = ReadObjectOrEmpty(settings_json, "extra");
+  const Json& limits = ReadObjectOrEmpty(settings_json, "limits");
+  const Json& rules = ReadObjectOrEmpty(settings_json, "rules");
+  const Json& tariffs = ReadObjectOrEmpty(settings_json, "tariffs");
+  DecodeRequestClasses(settings_json, extra, settings);
+  if (FindField(settings_json, "customers") != nullptr) {
+    for (const Json& json : ReadArray(settings_json, "customers")) {
+      settings.tenants.push_back({ReadDoubleOr(json, "quota_per_s", 0), ReadDoubleOr(json, "share", 0)});
     }
   }
-  s.self = SmallOr(facts, "me", 0);
-  s.peers_total = SmallOr(facts, "peers_total", 0);
-  s.zone = SmallOr(facts, "zone", 0);
-  s.tick = DurationOr(facts, "tick_us", s.tick);
-  s.poll_endpoint_list = Word(TextOr(facts, "discovery", "push"), kDiscovery, "discovery");
-  s.over_share_priority_weight = NumberOr(facts, "over_share_worth", 1);
-  s.load_reporting = Word(TextOr(ObjectOr(facts, "load_report"), "how", "off"), kLoadReportings, "how");
-  s.listed_role = Word(TextOr(extra, "list_role", "off"), kListedRoles, "list_role");
-  s.position_check = Word(TextOr(extra, "server_checks", "off"), kPositionChecks, "server_checks");
-  s.clients_carry_watermarks = Word(TextOr(extra, "session_marks", "brought"), kMarks, "session_marks");
-  s.replica_wait_limit = DurationOr(extra, "patience_us", Duration{0});
-  s.responses_report_position = BoolOr(extra, "tells_position", false);
-  s.may_cancel = BoolOr(limits, "may_cancel", false);
-  s.may_health_check = BoolOr(limits, "may_probe", false);
-  s.may_hedge = BoolOr(limits, "may_duplicate", false);
-  s.clients_honor_retry_after = BoolOr(limits, "retry_after", false);
-  s.max_retry_after = DurationOr(limits, "max_retry_after_us", Duration{0});
-  s.max_attempts = SmallOr(limits, "max_attempts", 1);
-  s.connect_timeout = DurationOr(limits, "connect_timeout_us", s.connect_timeout);
-  s.response_slack = DurationOr(rules, "answer_slack_us", Duration{0});
-  s.drain_grace = DurationOr(rules, "drain_grace_us", Duration{0});
-  s.unlisted_stay_usable = BoolOr(rules, "dropped_stay_open", false);
-  if (Find(rules, "ask_within_us") != nullptr) s.max_poll_interval = DurationOf(rules, "ask_within_us");
-  s.initial_capacity = NumberOr(rules, "start_capacity", 1);
-  s.slow_start_duration = DurationOr(rules, "cold_us", Duration{0});
-  s.overload_factor = NumberOr(rules, "overload_factor", 1);
-  s.overload_duration = DurationOr(rules, "fall_us", Duration{0});
-  s.health_check_price = NumberOr(tariffs, "probe", 0);
-  s.cross_zone_price = NumberOr(tariffs, "cross_zone", 0);
-  s.wasted_work_price = NumberOr(tariffs, "waste", 0);
-  s.late_failure_price = NumberOr(tariffs, "late_fail", 0);
-  return s;
-}
-
-std::vector<std::string> DecodeReportColumns(const Json& facts) {
+  settings.self = ReadUint32Or(settings_json, "me", 0);
+  settings.peers_total = ReadUint32Or(settings_json, "peers_total", 0);
+  settings.zone = ReadUint32Or(settings_json, "zone", 0);
+  settings.tick = ReadDurationOr(settings_json, "tick_us", settings.tick);
+  settings.poll_endpoint_list =
+      ParseName(ReadStringOr(settings_json, "discovery", "push"), kPollEndpointList, "discovery");
+  settings.over_share_priority_weight = ReadDoubleOr(settings_json, "over_share_worth", 1);
+  settings.load_reporting = ParseName(
+      ReadStringOr(ReadObjectOrEmpty(settings_json, "load_report"), "how", "off"), kLoadReportings, "how");
+  settings.listed_role = ParseName(ReadStringOr(extra, "list_role", "off"), kListedRoles, "list_role");
+  settings.position_check =
+      ParseName(ReadStringOr(extra, "server_checks", "off"), kPositionChecks, "server_checks");
+  settings.clients_carry_watermarks =
+      ParseName(ReadStringOr(extra, "session_marks", "brought"), kClientsCarryWatermarks, "session_marks");
+  settings.replica_wait_limit = ReadDurationOr(extra, "patience_us", Duration{0});
+  settings.responses_report_position = ReadBoolOr(extra, "tells_position", false);
+  settings.may_cancel = ReadBoolOr(limits, "may_cancel", false);
+  settings.may_health_check = ReadBoolOr(limits, "may_probe", false);
+  settings.may_hedge = ReadBoolOr(limits, "may_duplicate", false);
+  settings.clients_honor_retry_after = ReadBoolOr(limits, "retry_after", false);
+  settings.max_retry_after = ReadDurationOr(limits, "max_retry_after_us", Duration{0});
+  settings.max_attempts = ReadUint32Or(limits, "max_attempts", 1);
+  settings.connect_timeout = ReadDurationOr(limits, "connect_timeout_us", settings.connect_timeout);
+  settings.response_slack = ReadDurationOr(rules, "answer_slack_us", Duration{0});
+  settings.drain_grace = ReadDurationOr(rules, "drain_grace_us", Duration{0});
+  settings.unlisted_stay_usable = ReadBoolOr(rules, "dropped_stay_open", false);
+  if (FindField(rules, "ask_within_us") != nullptr) {
+    settings.max_poll_interval = ReadDuration(rules, "ask_within_us");
+  }
+  settings.initial_capacity = ReadDoubleOr(rules, "start_capacity", 1);
+  settings.slow_start_duration = ReadDurationOr(rules, "cold_us", Duration{0});
+  settings.overload_factor = ReadDoubleOr(rules, "overload_factor", 1);
+  settings.overload_duration = ReadDurationOr(rules, "fall_us", Duration{0});
+  settings.health_check_price = ReadDoubleOr(tariffs, "probe", 0);
+  settings.cross_zone_price = ReadDoubleOr(tariffs, "cross_zone", 0);
+  settings.wasted_work_price = ReadDoubleOr(tariffs, "waste", 0);
+  settings.late_failure_price = ReadDoubleOr(tariffs, "late_fail", 0);
+  return settings;
+}
+
+std::vector<std::string> DecodeLoadReportColumns(const Json& settings_json) {
   std::vector<std::string> columns;
-  const Json& report = ObjectOr(facts, "load_report");
-  if (Find(report, "columns") == nullptr) return columns;
-  for (const Json& column : Array(report, "columns")) {
-    if (!column.is_string()) Wrong("columns", "holds something other than strings");
+  const Json& report = ReadObjectOrEmpty(settings_json, "load_report");
+  if (FindField(report, "columns") == nullptr) return columns;
+  for (const Json& column : ReadArray(report, "columns")) {
+    if (!column.is_string()) ThrowFieldError("columns", "holds something other than strings");
     columns.push_back(column.get<std::string>());
   }
   return columns;
 }
 
-void StoreReportValue(LoadReport& report, const std::string& column, double value, Duration zero) {
+void StoreLoadReportValue(LoadReport& report, const std::string& column, double value,
+                          Duration position_origin) {
   if (column == "x0") {
-    report.position = TimePoint(zero + Duration(static_cast<std::int64_t>(std::floor(value * 1e6))));
+    report.position =
+        TimePoint(position_origin + Duration(static_cast<std::int64_t>(std::floor(value * 1e6))));
   } else if (column == "x1") {
     report.primary = value >= 0.5;
   } else if (column == "q") {
@@ -260,151 +278,160 @@
 
 namespace {
 
-std::vector<ListEntry> DecodeEntries(const Json& json) {
+std::vector<ListEntry> DecodeListEntries(const Json& json) {
   std::vector<ListEntry> entries;
-  for (const Json& item : Array(json, "records")) {
-    if (!item.is_object()) Wrong("records", "holds something other than objects");
+  for (const Json& item : ReadArray(json, "records")) {
+    if (!item.is_object()) ThrowFieldError("records", "holds something other than objects");
     ListEntry entry;
-    entry.server = ServerId(Small(item, "member"));
-    entry.group = GroupId(IntOr(item, "set", 0));
-    entry.zone = SmallOr(item, "az", 0);
-    entry.lifecycle = Word(Text(item, "lifecycle"), kLifecycles, "lifecycle");
-    entry.primary = NumberOr(item, "writer", 0) > 0;
-    entry.weight = NumberOr(item, "heft", 1);
-    const std::int64_t started = IntOr(item, "came_up_us", 0);
+    entry.server = ServerId(ReadUint32(item, "member"));
+    entry.group = GroupId(ReadIntegerOr(item, "set", 0));
+    entry.zone = ReadUint32Or(item, "az", 0);
+    entry.lifecycle = ParseName(ReadString(item, "lifecycle"), kLifecycles, "lifecycle");
+    entry.primary = ReadDoubleOr(item, "writer", 0) > 0;
+    entry.weight = ReadDoubleOr(item, "heft", 1);
+    const std::int64_t started = ReadIntegerOr(item, "came_up_us", 0);
     if (started != 0) entry.started = TimePoint(Duration(started));
     entries.push_back(entry);
   }
   return entries;
 }
 
+constexpr std::int64_t kRetryBit = 2;  // in "state_bits"
+
 RequestEvent DecodeRequest(const Json& json) {
   RequestEvent event;
-  event.id = RequestId(Small(json, "req"));
-  event.group = GroupId(Int(json, "partition_no"));
-  event.request_class = Small(json, "tier_class");
-  event.tenant = SmallOr(json, "team", 0);
-  event.session = TextOr(json, "client_key", "");
-  event.is_retry = (IntOr(json, "state_bits", 0) & 2) != 0;
-  event.time_left = DurationOf(json, "time_left_us");
-  if (const Json* ms = Find(json, "wrote_ms_ago")) {
-    const double number = AsNumber(*ms, "wrote_ms_ago");
-    if (number > 0) event.time_since_write = Duration(static_cast<std::int64_t>(number * 1000));
+  event.id = RequestId(ReadUint32(json, "req"));
+  event.group = GroupId(ReadInteger(json, "partition_no"));
+  event.request_class = ReadUint32(json, "tier_class");
+  event.tenant = ReadUint32Or(json, "team", 0);
+  event.session = ReadStringOr(json, "client_key", "");
+  event.is_retry = (ReadIntegerOr(json, "state_bits", 0) & kRetryBit) != 0;
+  event.time_left = ReadDuration(json, "time_left_us");
+  if (const Json* value = FindField(json, "wrote_ms_ago")) {
+    const double milliseconds = ToDouble(*value, "wrote_ms_ago");
+    if (milliseconds > 0) event.time_since_write = Duration(static_cast<std::int64_t>(milliseconds * 1000));
   }
   return event;
 }
 
-std::optional<LoadReport> DecodeReport(const Json& json, Duration zero,
-                                       const std::vector<std::string>& columns) {
-  const Json* row = Find(json, "health_info");
+std::optional<LoadReport> DecodeLoadReport(const Json& json, Duration position_origin,
+                                           const std::vector<std::string>& columns) {
+  const Json* row = FindField(json, "health_info");
   if (row == nullptr) return std::nullopt;
-  if (!row->is_array()) Wrong("health_info", "is not an array");
+  if (!row->is_array()) ThrowFieldError("health_info", "is not an array");
   LoadReport report;
   for (std::size_t i = 0; i < row->size() && i < columns.size(); ++i) {
     if ((*row)[i].is_null()) continue;
-    StoreReportValue(report, columns[i], AsNumber((*row)[i], "health_info"), zero);
+    StoreLoadReportValue(report, columns[i], ToDouble((*row)[i], "health_info"), position_origin);
   }
   return report;
 }
 
-ResponseMetadata DecodeNote(const Json& json, Duration zero) {
-  ResponseMetadata note;
-  const std::int64_t stand = IntOr(json, "stand", 0);
-  if (stand < 0 || stand > (std::int64_t{1} << 53)) Wrong("stand", "is out of range");
-  if (stand % 4 == 1) note.primary = true;
-  if (stand % 4 == 2) note.primary = false;
-  if (stand / 4 > 0) note.position = TimePoint(zero + Duration(stand / 4 * 1000));
-  return note;
+constexpr std::int64_t kMaxStand = std::int64_t{1} << 53;  // doubles represent integers exactly up to here
+
+// "stand" is four times the log position in milliseconds plus the role: 1 for a primary, 2 for a replica, 0
+// if the role is not reported. A position of 0 means that none is reported.
+ResponseMetadata DecodeResponseMetadata(const Json& json, Duration position_origin) {
+  ResponseMetadata metadata;
+  const std::int64_t stand = ReadIntegerOr(json, "stand", 0);
+  if (stand < 0 || stand > kMaxStand) ThrowFieldError("stand", "is out of range");
+  if (stand % 4 == 1) metadata.primary = true;
+  if (stand % 4 == 2) metadata.primary = false;
+  if (stand / 4 > 0) metadata.position = TimePoint(position_origin + Duration(stand / 4 * 1000));
+  return metadata;
 }
 
-AttemptEndedEvent DecodeAttemptEnd(const Json& json, Duration zero, const std::vector<std::string>& columns) {
+AttemptEndedEvent DecodeAttemptEnd(const Json& json, Duration position_origin,
+                                   const std::vector<std::string>& columns) {
   AttemptEndedEvent event;
-  event.id = RequestId(Small(json, "req"));
-  event.attempt = Small(json, "shot");
-  event.server = ServerId(Small(json, "member"));
-  event.outcome = Word(Text(json, "code"), kOutcomes, "code");
-  event.elapsed = DurationOr(json, "time_taken_us", Duration{0});
-  event.request_done = BoolOr(json, "complete", false);
-  event.metadata = DecodeNote(json, zero);
-  event.report = DecodeReport(json, zero, columns);
+  event.id = RequestId(ReadUint32(json, "req"));
+  event.attempt = ReadUint32(json, "shot");
+  event.server = ServerId(ReadUint32(json, "member"));
+  event.outcome = ParseName(ReadString(json, "code"), kOutcomes, "code");
+  event.elapsed = ReadDurationOr(json, "time_taken_us", Duration{0});
+  event.request_done = ReadBoolOr(json, "complete", false);
+  event.metadata = DecodeResponseMetadata(json, position_origin);
+  event.report = DecodeLoadReport(json, position_origin, columns);
   return event;
 }
 
-// An unknown result code leaves the default outcome, a plain error.
-HealthCheckEvent DecodeHealthCheck(const Json& json, Duration zero, const std::vector<std::string>& columns) {
+// An unknown result code leaves the default outcome, Outcome::kError.
+HealthCheckEvent DecodeHealthCheck(const Json& json, Duration position_origin,
+                                   const std::vector<std::string>& columns) {
   HealthCheckEvent event;
-  event.server = ServerId(Small(json, "member"));
-  const std::string code = Text(json, "code");
-  for (const auto& [word, outcome] : kOutcomes) {
-    if (code == word) event.outcome = outcome;
+  event.server = ServerId(ReadUint32(json, "member"));
+  const std::string code = ReadString(json, "code");
+  for (const auto& [name, outcome] : kOutcomes) {
+    if (code == name) event.outcome = outcome;
   }
-  event.elapsed = DurationOr(json, "time_taken_us", Duration{0});
-  event.report = DecodeReport(json, zero, columns);
+  event.elapsed = ReadDurationOr(json, "time_taken_us", Duration{0});
+  event.report = DecodeLoadReport(json, position_origin, columns);
   return event;
 }
 
 }  // namespace
 
-Codec::Dialect& Codec::DialectOf(Instance instance) {
-  const auto it = std::lower_bound(dialects_.begin(), dialects_.end(), instance,
-                                   [](const auto& item, Instance key) { return item.first < key; });
-  if (it != dialects_.end() && it->first == instance) return it->second;
-  return dialects_.insert(it, {instance, Dialect{}})->second;
-}
-
-Start Codec::DecodeStart(const Json& json, Instance instance) {
-  const Json& seed = Need(json, "random_seed");
-  if (!seed.is_number_integer()) Wrong("random_seed", "is not a whole number");
-  Need(json, "facts");
-  const Json& facts = ObjectOr(json, "facts");
-  Start start{instance, seed.get<std::uint64_t>(), DecodeSettings(facts), Duration{0}, {}};
-  start.zero = DurationOr(ObjectOr(facts, "extra"), "zero_us", Duration{0});
-  start.report_columns = DecodeReportColumns(facts);
-  DialectOf(instance) = Dialect{start.zero, start.report_columns};
+Codec::ReportFormat& Codec::ReportFormatOf(InstanceId instance) {
+  const auto it = std::lower_bound(report_formats_.begin(), report_formats_.end(), instance,
+                                   [](const auto& item, InstanceId key) { return item.first < key; });
+  if (it != report_formats_.end() && it->first == instance) return it->second;
+  return report_formats_.insert(it, {instance, ReportFormat{}})->second;
+}
+
+StartInstance Codec::DecodeStartInstance(const Json& json, InstanceId instance) {
+  const Json& seed = RequireField(json, "random_seed");
+  if (!seed.is_number_integer()) ThrowFieldError("random_seed", "is not a whole number");
+  RequireField(json, "facts");
+  const Json& facts = ReadObjectOrEmpty(json, "facts");
+  StartInstance start{instance, seed.get<std::uint64_t>(), DecodeSettings(facts), Duration{0}, {}};
+  start.position_origin = ReadDurationOr(ReadObjectOrEmpty(facts, "extra"), "zero_us", Duration{0});
+  start.report_columns = DecodeLoadReportColumns(facts);
+  ReportFormatOf(instance) = ReportFormat{start.position_origin, start.report_columns};
   return start;
 }
 
-// Decodes an event of the balancer; its kind is given by `op`.
-Event Codec::DecodeEvent(const std::string& op, const Json& json, const Dialect& dialect) {
+// Decodes an event of the balancer; `op` names its kind.
+Event Codec::DecodeEvent(const std::string& op, const Json& json, const ReportFormat& report_format) {
   if (op == "incoming") return DecodeRequest(json);
-  if (op == "completed") return DecodeAttemptEnd(json, dialect.zero, dialect.columns);
-  if (op == "pong") return DecodeHealthCheck(json, dialect.zero, dialect.columns);
+  if (op == "completed") return DecodeAttemptEnd(json, report_format.position_origin, report_format.columns);
+  if (op == "pong") return DecodeHealthCheck(json, report_format.position_origin, report_format.columns);
   if (op == "fired") {
-    const Json& ctx = Need(json, "ctx");
-    if (!ctx.is_number_integer()) Wrong("ctx", "is not a whole number");
+    const Json& ctx = RequireField(json, "ctx");
+    if (!ctx.is_number_integer()) ThrowFieldError("ctx", "is not a whole number");
     return TimerEvent{TimerId(ctx.get<std::uint64_t>())};
   }
-  if (op == "gone") return ClientDisconnectedEvent{RequestId(Small(json, "req"))};
-  if (op == "memo") return PeerEvent{Small(json, "by"), Text(json, "msg")};
+  if (op == "gone") return ClientDisconnectedEvent{RequestId(ReadUint32(json, "req"))};
+  if (op == "memo") return PeerEvent{ReadUint32(json, "by"), ReadString(json, "msg")};
   if (op == "head_received") {
-    return ResponseStartedEvent{RequestId(Small(json, "req")), Small(json, "shot"),
-                                ServerId(Small(json, "member")),
-                                DurationOr(json, "time_taken_us", Duration{0})};
+    return ResponseStartedEvent{RequestId(ReadUint32(json, "req")), ReadUint32(json, "shot"),
+                                ServerId(ReadUint32(json, "member")),
+                                ReadDurationOr(json, "time_taken_us", Duration{0})};
   }
   throw WireError("unknown event");
 }
 
-Line Codec::DecodeForInstance(const std::string& op, const Json& json, Instance instance) {
-  if (op == "spawn") return DecodeStart(json, instance);
-  if (op == "teardown") return Stop{instance};
+Line Codec::DecodeInstanceLine(const std::string& op, const Json& json, InstanceId instance) {
+  if (op == "spawn") return DecodeStartInstance(json, instance);
+  if (op == "teardown") return StopInstance{instance};
   if (op == "directory_update") {
-    const ListKind kind = Word(Text(json, "how"), kListKinds, "how");
+    const ListKind kind = ParseName(ReadString(json, "how"), kListKinds, "how");
     const bool failed = kind == ListKind::kError;
-    return ListUpdate{instance, kind, failed ? -1 : static_cast<int>(Small(json, "page"))};
+    return ListUpdate{instance, kind, failed ? -1 : static_cast<int>(ReadUint32(json, "page"))};
   }
-  return InstanceEvent{instance, DecodeEvent(op, json, DialectOf(instance))};
+  return InstanceEvent{instance, DecodeEvent(op, json, ReportFormatOf(instance))};
 }
 
 Line Codec::Decode(std::string_view text) {
   Json json = Json::parse(text, nullptr, false);
   if (json.is_discarded()) throw WireError("malformed JSON");
   if (!json.is_object()) throw WireError("not a JSON object");
-  const std::string op = Text(json, "op");
-  if (op == "tick") return BatchStart{TimePoint(DurationOf(json, "sim_time_us")), Int(json, "serial")};
+  const std::string op = ReadString(json, "op");
+  if (op == "tick")
+    return BatchStart{TimePoint(ReadDuration(json, "sim_time_us")), ReadInteger(json, "serial")};
   if (op == "eob") return BatchEnd{};
-  if (op == "table") return ListPage{static_cast<int>(Small(json, "page")), DecodeEntries(json)};
+  if (op == "table") return ListPage{static_cast<int>(ReadUint32(json, "page")), DecodeListEntries(json)};
   try {
-    return DecodeForInstance(op, json, static_cast<Instance>(Small(json, "who")));
+    return DecodeInstanceLine(op, json, static_cast<InstanceId>(ReadUint32(json, "who")));
   } catch (const WireError& error) {
     throw WireError("event '" + op.substr(0, 40) + "': " + error.what());
   }
@@ -412,21 +439,23 @@
 
 namespace {
 
-void Number(std::string& out, const char* field, std::int64_t value) {
+// This and AppendString append a field to an object that has one already.
+void AppendInteger(std::string& out, const char* field, std::int64_t value) {
   out += ",\"";
   out += field;
   out += "\":";
   out += std::to_string(value);
 }
 
-void Open(std::string& out, const char* op, Instance instance) {
+// Starts a JSON object with the name of the operation and the instance.
+void BeginLine(std::string& out, const char* op, InstanceId instance) {
   out += R"({"op":")";
   out += op;
   out += '"';
-  Number(out, "who", instance);
+  AppendInteger(out, "who", instance);
 }
 
-void Quoted(std::string& out, const char* field, std::string_view text) {
+void AppendString(std::string& out, const char* field, std::string_view text) {
   out += ",\"";
   out += field;
   out += "\":";
@@ -434,83 +463,84 @@
 }
 
 template <typename Id>
-std::int64_t Raw(Id id) {
+std::int64_t ToInt64(Id id) {
   return static_cast<std::int64_t>(id);
 }
 
-struct Encoder {
-  Instance instance;
+// Appends the line of an action, without its end.
+struct ActionEncoder {
+  InstanceId instance;
   std::string& out;
 
-  void operator()(const StartAttempt& a) const {
-    Open(out, "pass_on", instance);
-    Number(out, "req", Raw(a.id));
-    Number(out, "member", Raw(a.server));
-    if (a.timeout.count() > 0) Number(out, "limit_us", a.timeout.count());
+  void operator()(const StartAttempt& action) const {
+    BeginLine(out, "pass_on", instance);
+    AppendInteger(out, "req", ToInt64(action.id));
+    AppendInteger(out, "member", ToInt64(action.server));
+    if (action.timeout.count() > 0) AppendInteger(out, "limit_us", action.timeout.count());
   }
-  void operator()(const Reject& a) const {
-    Open(out, "refuse", instance);
-    Number(out, "req", Raw(a.id));
-    if (a.retry_after.count() > 0) Number(out, "hold_off_us", a.retry_after.count());
+  void operator()(const Reject& action) const {
+    BeginLine(out, "refuse", instance);
+    AppendInteger(out, "req", ToInt64(action.id));
+    if (action.retry_after.count() > 0) AppendInteger(out, "hold_off_us", action.retry_after.count());
   }
-  void operator()(const Fail& a) const {
-    Open(out, "report_failure", instance);
-    Number(out, "req", Raw(a.id));
+  void operator()(const Fail& action) const {
+    BeginLine(out, "report_failure", instance);
+    AppendInteger(out, "req", ToInt64(action.id));
   }
-  void operator()(const Cancel& a) const {
-    Open(out, "retract", instance);
-    Number(out, "req", Raw(a.id));
-    Number(out, "shot", a.attempt);
+  void operator()(const Cancel& action) const {
+    BeginLine(out, "retract", instance);
+    AppendInteger(out, "req", ToInt64(action.id));
+    AppendInteger(out, "shot", action.attempt);
   }
-  void operator()(const SetTimer& a) const {
-    Open(out, "notify_me", instance);
-    Number(out, "sleep_for_us", a.delay.count());
-    Number(out, "ctx", Raw(a.id));
+  void operator()(const SetTimer& action) const {
+    BeginLine(out, "notify_me", instance);
+    AppendInteger(out, "sleep_for_us", action.delay.count());
+    AppendInteger(out, "ctx", ToInt64(action.id));
   }
-  void operator()(const StartHealthCheck& a) const {
-    Open(out, "inspect", instance);
-    Number(out, "member", Raw(a.server));
+  void operator()(const StartHealthCheck& action) const {
+    BeginLine(out, "inspect", instance);
+    AppendInteger(out, "member", ToInt64(action.server));
   }
-  void operator()(const WatchEndpointList& a) const {
-    Open(out, "subscribe", instance);
-    out += a.enabled ? ",\"on\":true" : ",\"on\":false";
+  void operator()(const WatchEndpointList& action) const {
+    BeginLine(out, "subscribe", instance);
+    out += action.enabled ? ",\"on\":true" : ",\"on\":false";
   }
-  void operator()(const FetchEndpointList&) const { Open(out, "read_list", instance); }
-  void operator()(const SendToPeers& a) const {
-    Open(out, "broadcast_to", instance);
-    if (a.peer) {
-      Number(out, "addressee", *a.peer);
+  void operator()(const FetchEndpointList&) const { BeginLine(out, "read_list", instance); }
+  void operator()(const SendToPeers& action) const {
+    BeginLine(out, "broadcast_to", instance);
+    if (action.peer) {
+      AppendInteger(out, "addressee", *action.peer);
     } else {
-      Quoted(out, "addressee", "*");
+      AppendString(out, "addressee", "*");
     }
-    Quoted(out, "msg", a.message);
+    AppendString(out, "msg", action.message);
   }
-  void operator()(const CloseIdleConnections& a) const {
-    Open(out, "close_idle", instance);
-    Number(out, "member", Raw(a.server));
+  void operator()(const CloseIdleConnections& action) const {
+    BeginLine(out, "close_idle", instance);
+    AppendInteger(out, "member", ToInt64(action.server));
   }
-  void operator()(const Log& a) const {
-    Open(out, "debug", instance);
-    Quoted(out, "what", a.text);
+  void operator()(const Log& action) const {
+    BeginLine(out, "debug", instance);
+    AppendString(out, "what", action.text);
   }
 };
 
 }  // namespace
 
-void Codec::EncodeAction(Instance instance, const Action& action, std::string& out) {
-  std::visit(Encoder{instance, out}, action);
+void Codec::EncodeAction(InstanceId instance, const Action& action, std::string& out) {
+  std::visit(ActionEncoder{instance, out}, action);
   out += "}\n";
 }
 
-void Codec::EncodeInternalError(Instance instance, std::string_view what, std::string& out) {
-  Open(out, "internal_error", instance);
-  Quoted(out, "what", what);
+void Codec::EncodeInternalError(InstanceId instance, std::string_view message, std::string& out) {
+  BeginLine(out, "internal_error", instance);
+  AppendString(out, "what", message);
   out += "}\n";
 }
 
-void Codec::EncodeEnd(std::int64_t serial, std::string& out) {
+void Codec::EncodeBatchEnd(std::int64_t serial, std::string& out) {
   out += R"({"op":"ok")";
-  Number(out, "serial", serial);
+  AppendInteger(out, "serial", serial);
   out += "}\n";
 }
 
--- a/src/simulator/codec.h
+++ b/src/simulator/codec.h
@@ -1,5 +1,5 @@
-// Codec between the simulator's JSON lines and the events and actions of routing/balancer.h. All words of the
-// wire format are in codec.cpp.
+// Codec between the simulator's JSON lines and the events and actions of routing/balancer.h. The names of the
+// wire format are in codec.cpp only.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,9 @@
 
 namespace lynxgrade::simulator {
 
-using Instance = std::int64_t;
+using InstanceId = std::int64_t;
 
-// An invalid input line; what() is a single line.
+// Thrown for an invalid input line. what() is a single line.
 class WireError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -31,55 +31,57 @@
   int page = 0;
   std::vector<ListEntry> entries;
 };
-struct Start {
-  Instance instance = 0;
+struct StartInstance {
+  InstanceId instance = 0;
   std::uint64_t seed = 0;
   Settings settings;
-  Duration zero{0};  // origin of the positions
+  Duration position_origin{0};  // of log positions, which the simulator counts from here
   std::vector<std::string> report_columns;
 };
-struct Stop {
-  Instance instance = 0;
+struct StopInstance {
+  InstanceId instance = 0;
 };
-// An update of the endpoint list. It names the page; the host adds the page's entries.
+// An update of the endpoint list. It refers to a ListPage by number.
 struct ListUpdate {
-  Instance instance = 0;
+  InstanceId instance = 0;
   ListKind kind = ListKind::kComplete;
   int page = 0;
 };
-// An event for the balancer of one instance. Its load report was decoded with the columns of the instance's
-// Start.
+// An event for the balancer of one instance. Its load report has been decoded with the columns of the
+// instance's StartInstance.
 struct InstanceEvent {
-  Instance instance = 0;
+  InstanceId instance = 0;
   Event event;
 };
 
-using Line = std::variant<BatchStart, BatchEnd, ListPage, Start, Stop, ListUpdate, InstanceEvent>;
+using Line =
+    std::variant<BatchStart, BatchEnd, ListPage, StartInstance, StopInstance, ListUpdate, InstanceEvent>;
 
-// Decodes input lines and encodes replies. Keeps the report columns and position origin of each started
-// instance.
+// Decodes input lines and encodes replies. Stores the load report columns and the position origin of each
+// started instance.
 class Codec {
  public:
   // Throws WireError for a line that is not a valid message.
   Line Decode(std::string_view text);
 
   // Encoders append one line, with its line break, to `out`.
-  static void EncodeAction(Instance instance, const Action& action, std::string& out);
-  static void EncodeInternalError(Instance instance, std::string_view what, std::string& out);
-  static void EncodeEnd(std::int64_t serial, std::string& out);
+  static void EncodeAction(InstanceId instance, const Action& action, std::string& out);
+  static void EncodeInternalError(InstanceId instance, std::string_view message, std::string& out);
+  static void EncodeBatchEnd(std::int64_t serial, std::string& out);
 
  private:
-  struct Dialect {
-    Duration zero{0};
+  struct ReportFormat {
+    Duration position_origin{0};
     std::vector<std::string> columns;
   };
-  std::vector<std::pair<Instance, Dialect>> dialects_;
+  std::vector<std::pair<InstanceId, ReportFormat>> report_formats_;
 
-  Start DecodeStart(const nlohmann::json& json, Instance instance);
-  static Event DecodeEvent(const std::string& op, const nlohmann::json& json, const Dialect& dialect);
-  Line DecodeForInstance(const std::string& op, const nlohmann::json& json, Instance instance);
-  // Creates the dialect of an instance that has none yet.
-  Dialect& DialectOf(Instance instance);
+  StartInstance DecodeStartInstance(const nlohmann::json& json, InstanceId instance);
+  static Event DecodeEvent(const std::string& op, const nlohmann::json& json,
+                           const ReportFormat& report_format);
+  Line DecodeInstanceLine(const std::string& op, const nlohmann::json& json, InstanceId instance);
+  // Inserts a default format for an instance that has none yet.
+  ReportFormat& ReportFormatOf(InstanceId instance);
 };
 
 }  // namespace lynxgrade::simulator
--- a/src/simulator/settings_json.h
+++ b/src/simulator/settings_json.h
@@ -1,4 +1,5 @@
-// Decoding of routing settings and load reports from JSON, shared by the simulator's adapter and the pooler.
+// Decoding of routing settings, shared by the simulator's adapter and the pooler, and of load reports from
+// JSON.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -9,12 +10,13 @@
 
 namespace lynxgrade::simulator {
 
-// Throws WireError if a value is missing or has the wrong type.
-Settings DecodeSettings(const nlohmann::json& facts);
-std::vector<std::string> DecodeReportColumns(const nlohmann::json& facts);
+// These throw WireError if a required value is missing or a value has the wrong type.
+Settings DecodeSettings(const nlohmann::json& settings_json);
+std::vector<std::string> DecodeLoadReportColumns(const nlohmann::json& settings_json);
 
 // Stores the value of a named column in the report; unknown columns are ignored. Positions are relative to
-// `zero`.
-void StoreReportValue(LoadReport& report, const std::string& column, double value, Duration zero);
+// `position_origin`.
+void StoreLoadReportValue(LoadReport& report, const std::string& column, double value,
+                          Duration position_origin);
 
 }  // namespace lynxgrade::simulator
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -1,4 +1,4 @@
-// The codec both ways, and the executable on a small session.
+// The codec in both directions, and the executable with a small session.
 #include "simulator/codec.h"
 
 #include <gtest/gtest.h>
@@ -23,12 +23,12 @@
     R"("rules":{"ask_within_us":10,"drain_grace_us":20},"tariffs":{"probe":0.01}}})";
 
 template <typename T>
-T Get(Codec& codec, const std::string& text) {
+T DecodeEvent(Codec& codec, const std::string& text) {
   Line line = codec.Decode(text);
   return std::get<T>(std::get<InstanceEvent>(line).event);
 }
 
-std::string Problem(Codec& codec, const std::string& text) {
+std::string DecodeError(Codec& codec, const std::string& text) {
   try {
     codec.Decode(text);
   } catch (const WireError& error) {
@@ -49,7 +49,7 @@
 TEST(Decode, Spawn) {
   Codec codec;
   Line line = codec.Decode(kSpawn);
-  const Start& start = std::get<Start>(line);
+  const StartInstance& start = std::get<StartInstance>(line);
   EXPECT_EQ(start.instance, 3);
   EXPECT_EQ(start.seed, 18446744073709551615ull);
   const Settings& s = start.settings;
@@ -67,11 +67,11 @@
   EXPECT_TRUE(s.tenants.empty());
 }
 
-TEST(Decode, ANumberOfPoolersThatIsNotToldIsNotOne) {
+TEST(Decode, AnAbsentNumberOfPoolersIsZero) {
   std::string text = kSpawn;
   text.replace(text.find(R"("peers_total":3,)"), 16, "");
   Codec codec;
-  EXPECT_EQ(std::get<Start>(codec.Decode(text)).settings.peers_total, 0u);
+  EXPECT_EQ(std::get<StartInstance>(codec.Decode(text)).settings.peers_total, 0u);
 }
 
 TEST(Decode, EveryOtherEvent) {
@@ -92,15 +92,15 @@
   line = codec.Decode(R"({"op":"directory_update","who":3,"how":"Error"})");
   EXPECT_EQ(std::get<ListUpdate>(line).kind, ListKind::kError);
   line = codec.Decode(R"({"op":"teardown","who":3})");
-  EXPECT_EQ(std::get<Stop>(line).instance, 3);
+  EXPECT_EQ(std::get<StopInstance>(line).instance, 3);
 
-  const auto request = Get<RequestEvent>(
+  const auto request = DecodeEvent<RequestEvent>(
       codec, R"({"op":"incoming","who":3,"req":7,"partition_no":9,"state_bits":6,"client_key":"ab","team":1,)"
              R"("wrote_ms_ago":1.5,"time_left_us":100,"tier_class":0})");
   EXPECT_EQ(request.id, RequestId(7));
   EXPECT_TRUE(request.is_retry);
   EXPECT_EQ(request.time_since_write, Duration(1500));
-  const auto outcome = Get<AttemptEndedEvent>(
+  const auto outcome = DecodeEvent<AttemptEndedEvent>(
       codec, R"({"op":"completed","who":3,"req":7,"shot":1,"member":5,"code":"absent","time_taken_us":9,)"
              R"("stand":25486,"health_info":[2.5,1,4]})");
   EXPECT_EQ(outcome.outcome, Outcome::kMisrouted);
@@ -110,12 +110,14 @@
   EXPECT_EQ(outcome.report->position, LogPosition(Duration(3500000)));
   EXPECT_EQ(outcome.report->primary, true);
   EXPECT_EQ(outcome.report->queued, 4.0);
-  EXPECT_EQ(Get<HealthCheckEvent>(codec, R"({"op":"pong","who":3,"member":5,"code":"success"})").outcome,
-            Outcome::kOk);
-  EXPECT_EQ(Get<TimerEvent>(codec, R"({"op":"fired","who":3,"ctx":77})").id, TimerId(77));
-  EXPECT_EQ(Get<ClientDisconnectedEvent>(codec, R"({"op":"gone","who":3,"req":8})").id, RequestId(8));
-  EXPECT_EQ(Get<PeerEvent>(codec, R"({"op":"memo","who":3,"by":1,"msg":"x"})").message, "x");
-  EXPECT_EQ(Get<ResponseStartedEvent>(codec, R"({"op":"head_received","who":3,"req":8,"shot":0,"member":5})")
+  EXPECT_EQ(
+      DecodeEvent<HealthCheckEvent>(codec, R"({"op":"pong","who":3,"member":5,"code":"success"})").outcome,
+      Outcome::kOk);
+  EXPECT_EQ(DecodeEvent<TimerEvent>(codec, R"({"op":"fired","who":3,"ctx":77})").id, TimerId(77));
+  EXPECT_EQ(DecodeEvent<ClientDisconnectedEvent>(codec, R"({"op":"gone","who":3,"req":8})").id, RequestId(8));
+  EXPECT_EQ(DecodeEvent<PeerEvent>(codec, R"({"op":"memo","who":3,"by":1,"msg":"x"})").message, "x");
+  EXPECT_EQ(DecodeEvent<ResponseStartedEvent>(codec,
+                                              R"({"op":"head_received","who":3,"req":8,"shot":0,"member":5})")
                 .attempt,
             0u);
 }
@@ -134,19 +136,20 @@
   for (const auto& [code, outcome] : codes) {
     const std::string text =
         std::string(R"({"op":"completed","who":1,"req":1,"shot":0,"member":1,"code":")") + code + "\"}";
-    EXPECT_EQ(Get<AttemptEndedEvent>(codec, text).outcome, outcome);
+    EXPECT_EQ(DecodeEvent<AttemptEndedEvent>(codec, text).outcome, outcome);
   }
 }
 
-TEST(Decode, SaysWhatIsWrong) {
+TEST(Decode, ErrorsNameTheProblem) {
   Codec codec;
-  EXPECT_NE(Problem(codec, "{oops").find("malformed JSON"), std::string::npos);
-  EXPECT_NE(Problem(codec, R"({"op":"dance","who":1})").find("'dance': unknown event"), std::string::npos);
-  EXPECT_NE(Problem(codec, R"({"op":"gone","who":1})").find("'gone': field 'req' is missing"),
+  EXPECT_NE(DecodeError(codec, "{oops").find("malformed JSON"), std::string::npos);
+  EXPECT_NE(DecodeError(codec, R"({"op":"dance","who":1})").find("'dance': unknown event"),
             std::string::npos);
-  EXPECT_NE(Problem(codec, R"({"op":"gone","who":1,"req":"x"})").find("'req' is not"), std::string::npos);
-  EXPECT_NE(Problem(codec, R"({"op":"gone","req":1})").find("'who' is missing"), std::string::npos);
-  EXPECT_NE(Problem(codec, R"({"op":"tick","serial":1})").find("'sim_time_us'"), std::string::npos);
+  EXPECT_NE(DecodeError(codec, R"({"op":"gone","who":1})").find("'gone': field 'req' is missing"),
+            std::string::npos);
+  EXPECT_NE(DecodeError(codec, R"({"op":"gone","who":1,"req":"x"})").find("'req' is not"), std::string::npos);
+  EXPECT_NE(DecodeError(codec, R"({"op":"gone","req":1})").find("'who' is missing"), std::string::npos);
+  EXPECT_NE(DecodeError(codec, R"({"op":"tick","serial":1})").find("'sim_time_us'"), std::string::npos);
 }
 
 TEST(Encode, EveryAction) {
@@ -175,27 +178,27 @@
 }
 
 // Runs the executable on a session and returns its exit code, output and errors.
-struct Ran {
-  int code = 0;
-  std::string out, err;
+struct RunResult {
+  int exit_code = 0;
+  std::string output, errors;
 };
 
-Ran Host(const std::string& input) {
+RunResult RunAdapter(const std::string& input) {
   const std::string base = testing::TempDir() + "adapter_" + std::to_string(getpid());
   std::ofstream(base + ".in") << input;
   const std::string command = std::string(ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
-  Ran ran;
-  ran.code = WEXITSTATUS(std::system(command.c_str()));
-  const auto read = [&](const char* end) {
-    std::ifstream file(base + end);
+  RunResult result;
+  result.exit_code = WEXITSTATUS(std::system(command.c_str()));
+  const auto read_file = [&](const char* extension) {
+    std::ifstream file(base + extension);
     return std::string(std::istreambuf_iterator<char>(file), {});
   };
-  ran.out = read(".out");
-  ran.err = read(".err");
-  return ran;
+  result.output = read_file(".out");
+  result.errors = read_file(".err");
+  return result;
 }
 
-TEST(Executable, PlaysASmallSession) {
+TEST(Executable, HandlesASmallSession) {
   const std::string session =
       std::string(R"({"op":"tick","sim_time_us":5000000,"serial":1})") + "\n" + kSpawn + "\n" +
       R"({"op":"table","page":0,"records":[{"member":5,"set":9,"lifecycle":"SERVING","writer":1}]})"
@@ -217,21 +220,22 @@
       "\n"
       R"({"op":"eob"})"
       "\n";
-  const Ran ran = Host(session);
-  EXPECT_EQ(ran.code, 0) << ran.err;
-  EXPECT_NE(ran.out.find("\"op\":\"pass_on\",\"who\":3,\"req\":7,\"member\":5"), std::string::npos)
-      << ran.out;
-  EXPECT_NE(ran.out.find("{\"op\":\"ok\",\"serial\":1}\n"), std::string::npos);
-  EXPECT_NE(ran.out.find("{\"op\":\"ok\",\"serial\":2}\n"), std::string::npos);
+  const RunResult result = RunAdapter(session);
+  EXPECT_EQ(result.exit_code, 0) << result.errors;
+  EXPECT_NE(result.output.find("\"op\":\"pass_on\",\"who\":3,\"req\":7,\"member\":5"), std::string::npos)
+      << result.output;
+  EXPECT_NE(result.output.find("{\"op\":\"ok\",\"serial\":1}\n"), std::string::npos);
+  EXPECT_NE(result.output.find("{\"op\":\"ok\",\"serial\":2}\n"), std::string::npos);
 }
 
-TEST(Executable, NamesBatchEventAndFieldAndStops) {
-  const Ran ran = Host("{\"op\":\"tick\",\"sim_time_us\":1,\"serial\":8}\n{\"op\":\"gone\",\"who\":1}\n");
-  EXPECT_NE(ran.code, 0);
-  EXPECT_TRUE(ran.out.empty());
-  EXPECT_NE(ran.err.find("batch 8"), std::string::npos) << ran.err;
-  EXPECT_NE(ran.err.find("'gone'"), std::string::npos);
-  EXPECT_NE(ran.err.find("'req'"), std::string::npos);
+TEST(Executable, StopsWithAnErrorThatNamesBatchEventAndField) {
+  const RunResult result =
+      RunAdapter("{\"op\":\"tick\",\"sim_time_us\":1,\"serial\":8}\n{\"op\":\"gone\",\"who\":1}\n");
+  EXPECT_NE(result.exit_code, 0);
+  EXPECT_TRUE(result.output.empty());
+  EXPECT_NE(result.errors.find("batch 8"), std::string::npos) << result.errors;
+  EXPECT_NE(result.errors.find("'gone'"), std::string::npos);
+  EXPECT_NE(result.errors.find("'req'"), std::string::npos);
 }
 
 }  // namespace
