--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kBufferBytes = 64u << 10;  // of the connection, in each direction
-constexpr int kOk = 200;
+constexpr int kHttpOk = 200;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
       deadline_timer_(loop),
       retry_timer_(loop),
       retry_policy_(service.shared, service.instances, service.drain_grace),
-      last_sign_of_life_(loop.Now()) {}
+      last_activity_(loop.Now()) {}
 
 DiscoveryWatch::~DiscoveryWatch() {
   if (connection_ != nullptr) connection_->Close();
@@ -34,36 +34,37 @@
 void DiscoveryWatch::Start() { ScheduleFirstRequest(); }
 
 void DiscoveryWatch::ScheduleFirstRequest() {
-  Duration wait{0};
-  // Half of the grace at most: the other half is for the response, or a retry.
-  if (service_.shared) wait = retry_policy_.FirstWait(DrawUniform(), service_.drain_grace / 2);
-  retry_timer_.ScheduleAfter(wait, [this] { SendRequest(); });
+  Duration delay{0};
+  // At most half of the grace: the other half is for the response or a retry.
+  if (service_.shared) delay = retry_policy_.FirstWait(DrawUniform(), service_.drain_grace / 2);
+  retry_timer_.ScheduleAfter(delay, [this] { SendRequest(); });
 }
 
 void DiscoveryWatch::SendRequest() {
   body_ = {};
   response_.emplace();
-  bool full = false;
-  connection_ = net::Connection::Connect(loop_, address_, *this, kBufferBytes, kBufferBytes, &full);
-  if (connection_ == nullptr) return Retry("no connection to be had");
-  // One deadline from connecting to the head of the response. It counts from this moment, as the present pass
-  // of the loop may have begun long ago.
+  bool out_of_descriptors = false;
+  connection_ =
+      net::Connection::Connect(loop_, address_, *this, kBufferBytes, kBufferBytes, &out_of_descriptors);
+  if (connection_ == nullptr) return Retry("cannot open a connection");
+  // One deadline for the connect and the head of the response. It counts from the precise time, as the
+  // present pass of the loop may have begun long ago.
   deadline_timer_.ScheduleAt(loop_.PreciseNow() + retry_policy_.call(),
-                             [this] { Retry("no answer in time"); });
+                             [this] { Retry("no response before the deadline"); });
 }
 
 void DiscoveryWatch::MoveTo(const net::Address& address) {
   if (address.host == address_.host && address.port == address_.port) return;
   address_ = address;
   if (connection_ != nullptr) connection_->Close();
-  retry_policy_.RecordSuccess();  // the failures were those of the former address
-  last_sign_of_life_ = loop_.Now();
+  retry_policy_.RecordSuccess();  // forgets the failures of the former address
+  last_activity_ = loop_.Now();
   deadline_timer_.Cancel();
   ScheduleFirstRequest();
 }
 
-void DiscoveryWatch::ExpectSignOfLifeWithin(Duration timeout) {
-  deadline_timer_.ScheduleAfter(timeout, [this] { Retry("silent for too long"); });
+void DiscoveryWatch::ExpectActivityWithin(Duration timeout) {
+  deadline_timer_.ScheduleAfter(timeout, [this] { Retry("no data before the heartbeat timeout"); });
 }
 
 void DiscoveryWatch::OnConnected() {
@@ -81,14 +82,14 @@
   connection_->ResumeReading();
   if (state == State::kMalformed) return Retry(response_->error());
   if (state == State::kHead) return;
-  if (response_->status() != kOk) return Retry("an answer other than 200");
-  if (head_pending) ExpectSignOfLifeWithin(retry_policy_.silence());
+  if (response_->status() != kHttpOk) return Retry("HTTP status other than 200");
+  if (head_pending) ExpectActivityWithin(retry_policy_.silence());
   body_.Append(response_->ExtractBody());
   if (state == State::kComplete) return HandleBodyEnd();
   HandleItems();
 }
 
-// Handles the items that have been received completely.
+// Handles all complete items.
 DiscoveryWatch::WatchState DiscoveryWatch::HandleItems() {
   while (const auto item = body_.NextItem()) {
     if (HandleItem(*item) == WatchState::kClosed) return WatchState::kClosed;
@@ -96,13 +97,14 @@
   return WatchState::kOpen;
 }
 
-// Only a complete value and an empty line are signs of life: a value that never ends is none.
+// Only a complete value and an empty line count as activity, so that a value that never ends leads to a
+// timeout.
 DiscoveryWatch::WatchState DiscoveryWatch::HandleItem(const WatchBodyParser::Item& item) {
   switch (item.kind) {
     case WatchBodyParser::ItemKind::kTruncated:
-      return HandleMalformedItem("a list that was cut");
+      return HandleMalformedItem("truncated endpoint list");
     case WatchBodyParser::ItemKind::kEmptyLine:
-      HandleSignOfLife();
+      RecordActivity();
       return WatchState::kOpen;
     case WatchBodyParser::ItemKind::kValue:
       break;
@@ -114,18 +116,18 @@
 
 DiscoveryWatch::WatchState DiscoveryWatch::HandleUpdate(const EndpointListUpdate& update) {
   if (update.rejected_entry) {
-    spdlog::warn("discovery: entry left out; cause=\"{}\"", Describe(*update.rejected_entry));
+    spdlog::warn("discovery: endpoint skipped; cause=\"{}\"", Describe(*update.rejected_entry));
   }
-  HandleSignOfLife();
+  RecordActivity();
   has_received_update_ = true;
   revision_ = update.revision;
   const std::shared_ptr<net::Connection> connection = connection_;
   on_update_(update);
-  const bool moved = connection != connection_ || connection->closed();
-  return moved ? WatchState::kClosed : WatchState::kOpen;
+  const bool closed = connection != connection_ || connection->closed();
+  return closed ? WatchState::kClosed : WatchState::kOpen;
 }
 
-// The next request asks for what the item would have said: a later update would not repeat it.
+// Retries from the last revision, because later updates do not repeat the content of this one.
 DiscoveryWatch::WatchState DiscoveryWatch::HandleMalformedItem(const std::string& cause) {
   const auto level = retry_policy_.failures() > 0 ? spdlog::level::debug : spdlog::level::warn;
   spdlog::log(level, "discovery: update rejected; cause=\"{}\"", cause);
@@ -133,40 +135,40 @@
   return WatchState::kClosed;
 }
 
-void DiscoveryWatch::HandleSignOfLife() {
+void DiscoveryWatch::RecordActivity() {
   retry_policy_.RecordSuccess();
-  // It may have arrived while this loop was busy or the process was stopped: updates may be missing from then
-  // on.
-  last_sign_of_life_ = std::max(last_sign_of_life_, loop_.EarliestArrival());
-  ExpectSignOfLifeWithin(retry_policy_.silence());
+  // The data may have arrived while the loop was busy or the process was stopped; updates may be missing from
+  // that time on.
+  last_activity_ = std::max(last_activity_, loop_.EarliestArrival());
+  ExpectActivityWithin(retry_policy_.silence());
 }
 
 void DiscoveryWatch::HandleBodyEnd() {
   body_.Finish();
-  if (HandleItems() == WatchState::kOpen) Retry("the watch has ended");
+  if (HandleItems() == WatchState::kOpen) Retry("response ended");
 }
 
 void DiscoveryWatch::OnEndOfStream() {
   const bool complete = response_->HandleConnectionEnd() == HttpResponseParser::State::kComplete;
-  if (complete && response_->status() == kOk) return HandleBodyEnd();
-  Retry("the connection was closed");
+  if (complete && response_->status() == kHttpOk) return HandleBodyEnd();
+  Retry("connection closed by the service");
 }
 
-void DiscoveryWatch::OnDisconnected() { Retry("the connection broke"); }
+void DiscoveryWatch::OnDisconnected() { Retry("connection lost"); }
 
 double DiscoveryWatch::DrawUniform() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
 void DiscoveryWatch::Retry(std::string_view cause) {
   if (connection_ != nullptr) connection_->Close();
   deadline_timer_.Cancel();
-  const Duration wait = retry_policy_.NextWait(DrawUniform(), loop_.Now() - last_sign_of_life_);
+  const Duration delay = retry_policy_.NextWait(DrawUniform(), loop_.Now() - last_activity_);
   if (retry_policy_.failures() == 1) {
     spdlog::info("discovery: watch interrupted, reopening; cause=\"{}\" revision={}", cause, revision_);
   } else {
     spdlog::debug("discovery: watch interrupted, reopening; cause=\"{}\" failures={}", cause,
                   retry_policy_.failures());
   }
-  retry_timer_.ScheduleAfter(wait, [this] { SendRequest(); });
+  retry_timer_.ScheduleAfter(delay, [this] { SendRequest(); });
 }
 
 }  // namespace lynxgrade::discovery
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,4 +1,4 @@
-// Keeps one watch request open to discovery and passes on each update of the endpoint list.
+// Keeps one watch request open to the discovery service and reports each update of the endpoint list.
 #pragma once
 
 #include <functional>
@@ -17,36 +17,36 @@
 
 namespace lynxgrade::discovery {
 
-// What answers the watch requests.
+// The service that answers the watch requests.
 struct DiscoveryService {
-  // One service that all instances call, which simultaneous calls would overload; otherwise an agent of this
-  // instance's own.
+  // One service for all instances, which simultaneous requests could overload. Otherwise it is an agent that
+  // serves this instance only.
   bool shared = false;
   std::uint32_t instances = 1;
-  Duration drain_grace{};  // how long after an update the former list may still be followed
+  Duration drain_grace{};  // how long after an update the previous list may still be used
 };
 
-// A failed or silent watch is reopened after a backoff, from the revision that was reached, so that no update
-// is missed. To be used on the main loop's thread.
+// A watch that fails or times out is reopened after a backoff, from the last revision received, so that no
+// update is missed. To be used on the main loop's thread.
 // NOLINTNEXTLINE(cppcoreguidelines-virtual-class-destructor): it is final
 class DiscoveryWatch final : private net::Connection::Owner {
  public:
   // May call MoveTo.
   using UpdateCallback = std::function<void(const EndpointListUpdate&)>;
 
-  // `loop` and `reader` must outlive it. `revision` is the newest one that is known, `seed` that of the
-  // random waits.
+  // `loop` and `reader` must outlive this object. `revision` is the newest one that is known; `seed`
+  // initializes the random backoff.
   DiscoveryWatch(net::Loop& loop, net::Address address, EndpointListReader& reader, std::int64_t revision,
                  std::uint64_t seed, DiscoveryService service, UpdateCallback on_update);
   ~DiscoveryWatch();
   DiscoveryWatch(const DiscoveryWatch&) = delete;
   DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-  // Opens the watch: at once to an own agent, whose updates are binding as soon as it has them; after a
-  // random wait to a shared service, as all instances may have started together.
+  // Opens the watch: at once if the agent serves this instance only, as an update is binding as soon as the
+  // agent has it; after a random delay if the service is shared, as all instances may have started at once.
   void Start();
-  // Reopens the watch at another address. If its service does not know the revision that was reached, it
-  // sends its complete list, which replaces the former one.
+  // Reopens the watch at another address. If the service there does not know the last revision received, it
+  // sends its complete list, which replaces the previous one.
   void MoveTo(const net::Address& address);
   // Whether any update has been received.
   bool has_received_update() const { return has_received_update_; }
@@ -66,13 +66,13 @@
   WatchState HandleItem(const WatchBodyParser::Item& item);
   WatchState HandleUpdate(const EndpointListUpdate& update);
   WatchState HandleMalformedItem(const std::string& cause);
-  void HandleSignOfLife();
+  void RecordActivity();
   void HandleBodyEnd();
   void ScheduleFirstRequest();
   void SendRequest();
   // Closes the watch and schedules the next request.
   void Retry(std::string_view cause);
-  void ExpectSignOfLifeWithin(Duration timeout);
+  void ExpectActivityWithin(Duration timeout);
   double DrawUniform();
 
   net::Loop& loop_;
@@ -88,7 +88,7 @@
   net::Timer deadline_timer_;
   net::Timer retry_timer_;
   fleet::DiscoveryRetryPolicy retry_policy_;
-  TimePoint last_sign_of_life_;  // or the start
+  TimePoint last_activity_;  // initially the time of construction or of MoveTo
   bool has_received_update_ = false;
 };
 
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -9,11 +9,11 @@
 
 using Json = nlohmann::json;
 
-constexpr std::int64_t kMaxUnixMs = std::int64_t{1} << 50;  // later times overflow in microseconds
+constexpr std::int64_t kMaxUnixMs = std::int64_t{1} << 50;  // later times would overflow in microseconds
 constexpr std::uint32_t kFnvOffsetBasis = 2166136261u;
 constexpr std::uint32_t kFnvPrime = 16777619u;
 
-// The field, or null where it is absent or null.
+// Null if the field is absent or null.
 const Json* FindField(const Json& object, const char* name) {
   const auto it = object.find(name);
   return it == object.end() || it->is_null() ? nullptr : &*it;
@@ -25,8 +25,8 @@
   return value->get<std::int64_t>();
 }
 
-// Empty where the field is absent or no text.
-std::string ReadText(const Json& object, const char* name) {
+// Empty if the field is absent or not a string.
+std::string ReadString(const Json& object, const char* name) {
   const Json* value = FindField(object, name);
   return value != nullptr && value->is_string() ? value->get<std::string>() : std::string();
 }
@@ -44,11 +44,11 @@
   return hash;
 }
 
-// What is optional in an entry: absent or malformed fields keep their defaults.
+// Absent or malformed optional fields keep their defaults.
 void ReadOptionalFields(const Json& json, ListEntry& entry) {
   const Json* weight = FindField(json, "capacity_hint");
   if (weight != nullptr && weight->is_number()) entry.weight = weight->get<double>();
-  entry.primary = ReadText(json, "replication") == "primary";
+  entry.primary = ReadString(json, "replication") == "primary";
   const std::int64_t started_ms = ReadInteger(json, "boot_ms").value_or(0);
   if (started_ms > 0 && started_ms <= kMaxUnixMs) {
     entry.started = TimePoint(std::chrono::milliseconds(started_ms));
@@ -68,11 +68,11 @@
     case EntryError::Reason::kNoGroupOrAddress:
       return "entry " + error.uid + " has no group or no address";
   }
-  return "an entry cannot be read";
+  return "an entry is malformed";
 }
 
 std::string Describe(EndpointListError error) {
-  return error == EndpointListError::kMalformedJson ? "malformed JSON" : "not a list of data servers";
+  return error == EndpointListError::kMalformedJson ? "malformed JSON" : "not an endpoint list";
 }
 
 ServerId EndpointListReader::IdOf(const std::string& uid) {
@@ -87,23 +87,23 @@
 
 std::vector<ServerId> EndpointListReader::RemoveDeleted(const EndpointListUpdate& update) {
   std::set<ServerId> remaining;
-  std::set<ServerId> ended;
+  std::set<ServerId> removed;
   for (const Endpoint& endpoint : update.endpoints) {
     const bool deleted = endpoint.entry.lifecycle == Lifecycle::kDeleted;
-    (deleted ? ended : remaining).insert(endpoint.entry.server);
+    (deleted ? removed : remaining).insert(endpoint.entry.server);
   }
   if (update.complete) {
     for (const auto& [server, uid] : uids_) {
-      if (!remaining.contains(server)) ended.insert(server);
+      if (!remaining.contains(server)) removed.insert(server);
     }
   }
-  for (const ServerId server : ended) {
+  for (const ServerId server : removed) {
     const auto it = uids_.find(server);
     if (it == uids_.end()) continue;
     ids_.erase(it->second);
     uids_.erase(it);
   }
-  return {ended.begin(), ended.end()};
+  return {removed.begin(), removed.end()};
 }
 
 ZoneIndex EndpointListReader::ZoneOf(const std::string& name) {
@@ -116,18 +116,18 @@
 tl::expected<Endpoint, EntryError> EndpointListReader::ReadEndpoint(const Json& json) {
   if (!json.is_object()) return tl::unexpected(EntryError{EntryError::Reason::kNotAnObject, {}});
   Endpoint endpoint;
-  endpoint.uid = ReadText(json, "uid");
+  endpoint.uid = ReadString(json, "uid");
   if (endpoint.uid.empty()) return tl::unexpected(EntryError{EntryError::Reason::kNoUid, {}});
-  const std::optional<Lifecycle> lifecycle = ParseLifecycle(ReadText(json, "state"));
+  const std::optional<Lifecycle> lifecycle = ParseLifecycle(ReadString(json, "state"));
   if (!lifecycle) return tl::unexpected(EntryError{EntryError::Reason::kUnknownState, endpoint.uid});
   const auto group = ReadInteger(json, "pod_group");
-  endpoint.address = net::ParseAddress(ReadText(json, "endpoint"));
+  endpoint.address = net::ParseAddress(ReadString(json, "endpoint"));
   if (lifecycle != Lifecycle::kDeleted && (!group || !endpoint.address)) {
     return tl::unexpected(EntryError{EntryError::Reason::kNoGroupOrAddress, endpoint.uid});
   }
   endpoint.entry.lifecycle = *lifecycle;
   endpoint.entry.group = GroupId(group.value_or(0));
-  endpoint.entry.zone = ZoneOf(ReadText(json, "az"));
+  endpoint.entry.zone = ZoneOf(ReadString(json, "az"));
   ReadOptionalFields(json, endpoint.entry);
   endpoint.entry.server = IdOf(endpoint.uid);
   return endpoint;
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -1,4 +1,4 @@
-// The endpoint list, that is the list of data servers, as discovery describes it.
+// The endpoint list: the data servers that the discovery service reports.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
   std::optional<net::Address> address;  // may be absent for a deleted server
 };
 
-// Why one entry of a list cannot be read.
+// Why an entry of the list cannot be parsed.
 struct EntryError {
   enum class Reason { kNotAnObject, kNoUid, kUnknownState, kNoGroupOrAddress };
   Reason reason = Reason::kNotAnObject;
@@ -32,27 +32,27 @@
 
 struct EndpointListUpdate {
   std::int64_t revision = 0;
-  bool complete = false;  // it names every server; otherwise only those that have changed
+  bool complete = false;  // lists every server; otherwise only those that have changed
   std::vector<Endpoint> endpoints;
-  std::optional<EntryError> rejected_entry;  // the last entry that was left out as it cannot be read
+  std::optional<EntryError> rejected_entry;  // the last entry that was skipped because it is malformed
 };
 
-// Why a text is no list.
+// Why a text is not an endpoint list.
 enum class EndpointListError { kMalformedJson, kNotAnEndpointList };
 // A phrase without a full stop.
 std::string Describe(EndpointListError error);
 
-// Converts discovery's JSON to the terms of the decision module. The id of a server is a hash of its uid, so
-// that every pooler gives it the same one: the module orders servers by id.
+// Converts the JSON of the discovery service to the types of the balancer. The id of a server is a hash of
+// its uid, so that all poolers assign the same id: the balancer orders servers by id.
 class EndpointListReader {
  public:
-  // `zones` are the platform's names of zones by index; names that are not among them are added.
+  // `zones` are the platform's zone names by index; unknown names are appended.
   explicit EndpointListReader(std::vector<std::string> zones) : zones_(std::move(zones)) {}
 
   tl::expected<EndpointListUpdate, EndpointListError> Read(std::string_view text);
 
   ServerId IdOf(const std::string& uid);
-  // Removes the servers that the update has ended, either deleted or missing from a complete list, and
+  // Removes the servers that the update marks as deleted or that are missing from a complete list, and
   // returns their ids. To be called after the update has been applied.
   std::vector<ServerId> RemoveDeleted(const EndpointListUpdate& update);
   std::size_t known_server_count() const { return ids_.size(); }
--- a/src/discovery/http_response_parser.cpp
+++ b/src/discovery/http_response_parser.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxLineBytes = 8192;
 constexpr std::size_t kMaxHeaders = 100;
-constexpr std::size_t kMaxBodyBytes = std::size_t{1} << 40;  // of a stated length, and of one chunk
+constexpr std::size_t kMaxBodyBytes = std::size_t{1} << 40;  // as Content-Length, and of one chunk
 constexpr std::size_t kStatusOffset = 9;                     // after "HTTP/1.1 "
 constexpr std::size_t kStatusDigits = 3;
 constexpr int kMinStatus = 100;
@@ -59,7 +59,7 @@
   if (state_ == State::kBody && framing_ == Framing::kUntilEnd) {
     state_ = State::kComplete;
   } else {
-    Fail("the connection ended inside the answer");
+    Fail("connection ended inside the response");
   }
   return state_;
 }
@@ -72,10 +72,10 @@
   return Progress::kBlocked;
 }
 
-std::optional<std::string> HttpResponseParser::NextLine() {
+std::optional<std::string> HttpResponseParser::ExtractLine() {
   const std::size_t end = pending_.find('\n');
   if (std::min(end, pending_.size()) > kMaxLineBytes) {
-    Fail("a line is too long");
+    Fail("line longer than 8192 bytes");
     return std::nullopt;
   }
   if (end == std::string::npos) return std::nullopt;
@@ -85,7 +85,7 @@
 }
 
 HttpResponseParser::Progress HttpResponseParser::ParseHead() {
-  const auto line = NextLine();
+  const auto line = ExtractLine();
   if (!line) return Progress::kBlocked;
   if (status_ == 0) return ParseStatusLine(*line);
   if (!line->empty()) return ParseHeader(*line);
@@ -117,16 +117,16 @@
 HttpResponseParser::Progress HttpResponseParser::ParseHeader(std::string_view line) {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos || colon == 0 || ++header_count_ > kMaxHeaders) {
-    return Fail("a malformed header");
+    return Fail("malformed header, or more than 100 headers");
   }
   const std::string name = LowerCase(line.substr(0, colon));
   const std::string value = LowerCase(Trimmed(line.substr(colon + 1)));
   if (name == "transfer-encoding") {
-    if (value != "chunked") return Fail("an unknown transfer encoding");
+    if (value != "chunked") return Fail("unknown transfer encoding");
     framing_ = Framing::kChunkSize;
   } else if (name == "content-length" && framing_ != Framing::kChunkSize) {
     const auto length = ParseSize(value, kDecimal);
-    if (!length) return Fail("a malformed content length");
+    if (!length) return Fail("malformed Content-Length");
     remaining_ = *length;
     framing_ = Framing::kContentLength;
   }
@@ -139,7 +139,7 @@
     return Progress::kBlocked;
   }
   if (framing_ == Framing::kContentLength || framing_ == Framing::kChunkData) return CopyCountedBytes();
-  const auto line = NextLine();
+  const auto line = ExtractLine();
   if (!line) return Progress::kBlocked;
   if (framing_ == Framing::kChunkSize) return ParseChunkSize(*line);
   if (framing_ == Framing::kChunkEnd) return ParseChunkEnd(*line);
@@ -164,14 +164,14 @@
 
 HttpResponseParser::Progress HttpResponseParser::ParseChunkSize(std::string_view line) {
   const auto size = ParseSize(Trimmed(line.substr(0, line.find(';'))), kHexadecimal);
-  if (!size) return Fail("a malformed chunk size");
+  if (!size) return Fail("malformed chunk size");
   remaining_ = *size;
   framing_ = remaining_ == 0 ? Framing::kTrailer : Framing::kChunkData;
   return Progress::kAdvanced;
 }
 
 HttpResponseParser::Progress HttpResponseParser::ParseChunkEnd(std::string_view line) {
-  if (!line.empty()) return Fail("a chunk is longer than its size");
+  if (!line.empty()) return Fail("chunk longer than its size");
   framing_ = Framing::kChunkSize;
   return Progress::kAdvanced;
 }
--- a/src/discovery/http_response_parser.h
+++ b/src/discovery/http_response_parser.h
@@ -1,5 +1,5 @@
-// An incremental parser of one HTTP/1.1 response: a head, then a body that is chunked, has a stated length or
-// ends with the connection. Bytes only: no sockets.
+// An incremental parser for one HTTP/1.1 response. Its body is chunked, has a Content-Length, or ends with
+// the connection. Works on bytes only: no sockets.
 #pragma once
 
 #include <cstddef>
@@ -13,9 +13,10 @@
  public:
   enum class State { kHead, kBody, kComplete, kMalformed };
 
-  // Parses the next bytes, in pieces of any size. Bytes after the end of the response are ignored.
+  // Parses the next bytes, which may be split anywhere. Bytes after the end of the response are ignored.
   State Append(std::string_view bytes);
-  // The connection has ended: the end of a body without a stated length, otherwise an error.
+  // To be called when the connection has ended. This completes a body without a known length; otherwise the
+  // response is malformed.
   State HandleConnectionEnd();
 
   State state() const { return state_; }
@@ -27,7 +28,7 @@
 
  private:
   enum class Framing { kUntilEnd, kContentLength, kChunkSize, kChunkData, kChunkEnd, kTrailer };
-  // Whether a step has consumed bytes, so that another one may follow.
+  // Whether parsing can go on with the bytes at hand.
   enum class Progress { kAdvanced, kBlocked };
 
   Progress Fail(std::string_view error);
@@ -39,8 +40,9 @@
   Progress CopyCountedBytes();
   Progress ParseChunkSize(std::string_view line);
   Progress ParseChunkEnd(std::string_view line);
-  // The next complete line, without its end. Nothing: more bytes are needed, or the line is too long.
-  std::optional<std::string> NextLine();
+  // Removes and returns the next complete line, without its line break. Absent if more bytes are needed, or
+  // if the line is too long, which is an error.
+  std::optional<std::string> ExtractLine();
 
   State state_ = State::kHead;
   Framing framing_ = Framing::kUntilEnd;
@@ -48,7 +50,7 @@
   std::string body_;
   std::string error_;
   int status_ = 0;
-  std::size_t remaining_ = 0;  // bytes of the body, or of the chunk, still to come
+  std::size_t remaining_ = 0;  // bytes of the body or chunk that are still to be received
   std::size_t header_count_ = 0;
 };
 
--- a/src/discovery/watch_body_parser.cpp
+++ b/src/discovery/watch_body_parser.cpp
@@ -52,7 +52,7 @@
     items_.push_back(blank ? Item{ItemKind::kEmptyLine, {}} : Item{ItemKind::kValue, std::move(value)});
     return;
   }
-  // No string of JSON spans lines, and discovery puts no empty line into a value: the rest of it was lost.
+  // A JSON string does not span lines, and discovery sends no empty line inside a value: its rest was lost.
   if (blank || in_string_) return RecordTruncated();
   value_ += '\n';
 }
--- a/src/discovery/watch_body_parser.h
+++ b/src/discovery/watch_body_parser.h
@@ -1,5 +1,5 @@
-// Splits the body of a watch into JSON values, each on one line or indented over several, with empty lines
-// between them. Text only: no sockets, no clock.
+// Splits the body of a watch response into JSON values, each on one line or indented over several, with empty
+// lines between them. Works on text only: no sockets, no clock.
 #pragma once
 
 #include <cstddef>
@@ -14,17 +14,17 @@
  public:
   enum class ItemKind {
     kEmptyLine,  // a heartbeat
-    kValue,      // `text` has a value with balanced brackets; whether it is JSON is not checked
-    kTruncated,  // a value that was interrupted by an empty line or by the end, or is too long
+    kValue,      // `text` is a value with balanced brackets; it may still be malformed JSON
+    kTruncated,  // a value that an empty line or the end of the body interrupts, or that is too long
   };
   struct Item {
     ItemKind kind = ItemKind::kEmptyLine;
     std::string text;
   };
 
-  // Parses the next bytes, in pieces of any size.
+  // Parses the next bytes, which may be split anywhere.
   void Append(std::string_view bytes);
-  // The body has ended: a last value needs no line end.
+  // To be called when the body has ended. The last value needs no line break.
   void Finish();
   // Removes and returns the oldest item that is complete.
   std::optional<Item> NextItem();
@@ -41,7 +41,7 @@
   std::size_t bracket_depth_ = 0;
   bool in_string_ = false;
   bool escaped_ = false;
-  bool line_blank_ = true;  // the present line has white space only
+  bool line_blank_ = true;  // the current line has only white space so far
 };
 
 }  // namespace lynxgrade::discovery
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -58,7 +58,7 @@
   }
 }
 
-TEST_CASE("HTTP: responses are parsed alike at once and byte by byte") {
+TEST_CASE("HTTP: responses are parsed identically in one piece and byte by byte") {
   using State = HttpResponseParser::State;
   const std::string ok = "HTTP/1.1 200 OK\r\n";
   const struct {
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_CASE("endpoint list: unreadable entries are left out, and texts that are no list are rejected") {
+TEST_CASE("endpoint list: malformed entries are skipped, and texts that are not a list are rejected") {
   const std::string good =
       R"({"uid":"s-1","endpoint":"127.0.0.1:6543","az":"b","pod_group":3,"state":"Ready","boot_ms":5})";
   const struct {
@@ -135,7 +135,7 @@
   }
 }
 
-TEST_CASE("endpoint list: servers that an update has ended are removed") {
+TEST_CASE("endpoint list: servers that an update deletes or leaves out are removed") {
   EndpointListReader reader({"a"});
   const auto entry = [](const char* uid, const char* state) {
     return R"({"uid":")"s + uid + R"(","endpoint":"127.0.0.1:5","az":"a","pod_group":1,"state":")" + state +
