--- a/src/settings/platform_config.cpp
+++ b/src/settings/platform_config.cpp
@@ -16,67 +16,67 @@
 
 using Json = nlohmann::json;
 
-constexpr std::int64_t kMinSockets = 16;
-constexpr int kSeedBase = 16;
+constexpr std::int64_t kMinDescriptors = 16;
+constexpr int kHexadecimal = 16;
 
-tl::unexpected<ConfigError> Problem(std::string problem) {
+tl::unexpected<ConfigError> MakeError(std::string problem) {
   return tl::unexpected(ConfigError{std::move(problem)});
 }
 
 std::string Quoted(const char* field) { return std::string("'") + field + "'"; }
 
-tl::expected<std::string, ConfigError> ReadText(const Json& json, const char* field) {
+tl::expected<std::string, ConfigError> ReadString(const Json& json, const char* field) {
   if (!json.is_object() || !json.contains(field) || !json[field].is_string()) {
-    return Problem(Quoted(field) + " is missing or not a string");
+    return MakeError(Quoted(field) + " is missing or not a string");
   }
   return json[field].get<std::string>();
 }
 
-// An array of names, or of objects that have one; an absent field is an empty array.
-enum class NameArray { kOfTexts, kOfObjects };
+// An array of strings, or of objects with a name. An absent field counts as an empty array.
+enum class NameArray { kStrings, kNamedObjects };
 
 tl::expected<std::vector<std::string>, ConfigError> ReadNames(const Json& json, const char* field,
                                                               NameArray kind) {
   std::vector<std::string> names;
   if (!json.contains(field)) return names;
-  if (!json[field].is_array()) return Problem(Quoted(field) + " is not an array");
+  if (!json[field].is_array()) return MakeError(Quoted(field) + " is not an array");
   for (const Json& item : json[field]) {
-    if (kind == NameArray::kOfObjects) {
-      auto name = ReadText(item, "name");
+    if (kind == NameArray::kNamedObjects) {
+      auto name = ReadString(item, "name");
       if (!name) return tl::unexpected(std::move(name.error()));
       names.push_back(std::move(*name));
     } else if (item.is_string()) {
       names.push_back(item.get<std::string>());
     } else {
-      return Problem(Quoted(field) + " holds no names");
+      return MakeError(Quoted(field) + " has an element that is not a string");
     }
   }
   return names;
 }
 
 tl::expected<net::Address, ConfigError> ReadAddress(const Json& json, const char* field) {
-  const auto text = ReadText(json, field);
+  const auto text = ReadString(json, field);
   if (!text) return tl::unexpected(text.error());
   const auto address = net::ParseAddress(*text);
-  if (!address) return Problem(Quoted(field) + " is not an address and a port");
+  if (!address) return MakeError(Quoted(field) + " is not an IP address with a port");
   return *address;
 }
 
 tl::expected<std::uint64_t, ConfigError> ReadSeed(const Json& json) {
-  const auto text = ReadText(json, "seed");
+  const auto text = ReadString(json, "seed");
   if (!text) return tl::unexpected(text.error());
   std::uint64_t seed = 0;
   const char* const last = text->data() + text->size();
-  const auto [end, error] = std::from_chars(text->data(), last, seed, kSeedBase);
+  const auto [end, error] = std::from_chars(text->data(), last, seed, kHexadecimal);
   if (text->empty() || error != std::errc() || end != last) {
-    return Problem("'seed' is not a hexadecimal number of 64 bits");
+    return MakeError("'seed' is not a 64-bit hexadecimal number");
   }
   return seed;
 }
 
-// Who and where this instance is.
+// The name, the addresses and the seed of this instance.
 tl::expected<void, ConfigError> ReadIdentity(const Json& json, PlatformConfig& config) {
-  auto name = ReadText(json, "name");
+  auto name = ReadString(json, "name");
   if (!name) return tl::unexpected(std::move(name.error()));
   auto listen = ReadAddress(json, "listen");
   if (!listen) return tl::unexpected(std::move(listen.error()));
@@ -93,11 +93,11 @@
 
 tl::expected<void, ConfigError> ReadProcessLimits(const Json& json, PlatformConfig& config) {
   const Json limits = json.value("limits", Json::object());
-  if (!limits.is_object()) return Problem("'limits' is not an object");
+  if (!limits.is_object()) return MakeError("'limits' is not an object");
   if (!limits.contains("sockets")) return {};
   const Json& sockets = limits["sockets"];
-  if (!sockets.is_number_integer() || sockets.get<std::int64_t>() < kMinSockets) {
-    return Problem("'sockets' is not a whole number of at least 16");
+  if (!sockets.is_number_integer() || sockets.get<std::int64_t>() < kMinDescriptors) {
+    return MakeError("'sockets' is not an integer of at least 16");
   }
   config.max_descriptors = sockets.get<std::size_t>();
   return {};
@@ -108,7 +108,7 @@
   if (!limits.contains("conn_idle_us")) return {};
   const Json& idle = limits["conn_idle_us"];
   if (!idle.is_number_integer() || idle.get<std::int64_t>() <= 0) {
-    return Problem("'conn_idle_us' is not a whole number above 0");
+    return MakeError("'conn_idle_us' is not a positive integer");
   }
   config.server_idle_timeout = Duration(idle.get<std::int64_t>());
   return {};
@@ -116,12 +116,12 @@
 
 tl::expected<void, ConfigError> ReadRoutingSettings(const Json& settings, PlatformConfig& config) {
   config.settings = simulator::DecodeSettings(settings);
-  if (config.settings.classes.empty()) return Problem("the settings name no class");
-  auto classes = ReadNames(settings, "classes", NameArray::kOfObjects);
+  if (config.settings.classes.empty()) return MakeError("'settings.classes' is empty");
+  auto classes = ReadNames(settings, "classes", NameArray::kNamedObjects);
   if (!classes) return tl::unexpected(std::move(classes.error()));
-  auto tenants = ReadNames(settings, "customers", NameArray::kOfObjects);
+  auto tenants = ReadNames(settings, "customers", NameArray::kNamedObjects);
   if (!tenants) return tl::unexpected(std::move(tenants.error()));
-  auto zones = ReadNames(settings, "zones", NameArray::kOfTexts);
+  auto zones = ReadNames(settings, "zones", NameArray::kStrings);
   if (!zones) return tl::unexpected(std::move(zones.error()));
   config.classes = std::move(*classes);
   config.tenants = std::move(*tenants);
@@ -130,15 +130,17 @@
 }
 
 tl::expected<PlatformConfig, ConfigError> ReadConfig(const Json& json) {
-  if (!json.is_object()) return Problem("it is not a JSON object");
+  if (!json.is_object()) return MakeError("not a JSON object");
   PlatformConfig config;
-  if (auto read = ReadIdentity(json, config); !read) return tl::unexpected(std::move(read.error()));
-  if (auto read = ReadProcessLimits(json, config); !read) return tl::unexpected(std::move(read.error()));
+  if (auto result = ReadIdentity(json, config); !result) return tl::unexpected(std::move(result.error()));
+  if (auto result = ReadProcessLimits(json, config); !result) {
+    return tl::unexpected(std::move(result.error()));
+  }
   if (!json.contains("settings") || !json["settings"].is_object()) {
-    return Problem("'settings' is missing or not an object");
+    return MakeError("'settings' is missing or not an object");
   }
-  if (auto read = ReadRoutingSettings(json["settings"], config); !read) {
-    return tl::unexpected(std::move(read.error()));
+  if (auto result = ReadRoutingSettings(json["settings"], config); !result) {
+    return tl::unexpected(std::move(result.error()));
   }
   if (json.contains("known")) config.known_endpoint_list = json["known"].dump();
   return config;
@@ -148,13 +150,13 @@
 
 tl::expected<PlatformConfig, ConfigError> ParsePlatformConfig(std::string_view text) {
   const Json json = Json::parse(text, nullptr, false);
-  if (json.is_discarded()) return Problem("it is not JSON");
+  if (json.is_discarded()) return MakeError("malformed JSON");
   try {
     return ReadConfig(json);
   } catch (const Json::exception&) {
-    return Problem("a value is not of its kind");
-  } catch (const std::runtime_error& error) {  // of DecodeSettings
-    return Problem(error.what());
+    return MakeError("a value has the wrong type");
+  } catch (const std::runtime_error& error) {  // thrown by DecodeSettings
+    return MakeError(error.what());
   }
 }
 
--- a/src/settings/platform_config.h
+++ b/src/settings/platform_config.h
@@ -1,4 +1,5 @@
-// The platform's configuration of a pooler: the JSON file that the environment variable RELAY_CONFIG names.
+// The platform's configuration of a pooler, from the JSON file named by the environment variable
+// RELAY_CONFIG.
 #pragma once
 
 #include <cstdint>
@@ -18,24 +19,24 @@
   net::Address listen;
   net::Address discovery;
   std::uint64_t seed = 0;
-  std::size_t max_descriptors = 1024;  // file descriptors for connections, at most
+  std::size_t max_descriptors = 1024;  // file descriptors of all connections
   Settings settings;
-  // Names by index: of request classes, of tenants and of zones.
+  // The names of request classes, tenants and zones, by index.
   std::vector<std::string> classes;
   std::vector<std::string> tenants;
   std::vector<std::string> zones;
-  Duration server_idle_timeout{15000000};  // after which an unused server connection is closed
-  std::string known_endpoint_list;  // the endpoint list as this pooler last had it, as JSON; may be empty
+  Duration server_idle_timeout{15000000};  // an unused server connection is closed after this
+  std::string known_endpoint_list;         // the last endpoint list of this pooler, as JSON; may be empty
 };
 
-// Why a configuration cannot be used.
+// Why a configuration is invalid.
 struct ConfigError {
-  std::string problem;  // one plain phrase
+  std::string problem;  // a phrase without a full stop
 };
 
-// Reads the configuration in `text`, a JSON document. The first error is returned.
+// Parses a JSON document. Returns the first error.
 tl::expected<PlatformConfig, ConfigError> ParsePlatformConfig(std::string_view text);
-// The same for the file that RELAY_CONFIG names.
+// Reads and parses the file that RELAY_CONFIG names.
 tl::expected<PlatformConfig, StartError> LoadPlatformConfig();
 
 }  // namespace lynxgrade
--- a/src/settings/program_settings.cpp
+++ b/src/settings/program_settings.cpp
@@ -16,7 +16,7 @@
 constexpr Duration kSecond{1000000};
 constexpr std::size_t kMegabyte = 1u << 20;
 constexpr std::int64_t kMaxAcquiresPerS = 100'000;
-constexpr std::int64_t kMaxBytesPerS = 1'000'000'000;  // a line of 8 Gbit/s; more is a slip
+constexpr std::int64_t kMaxBytesPerS = 1'000'000'000;  // 8 Gbit/s; a higher value is taken for a mistake
 constexpr Duration kDefaultWriteRetention = kSecond * 30;
 constexpr std::array kSectionNames = {"sessions", "state", "peers", "control"};
 
@@ -36,23 +36,23 @@
 void ReadDurability(const toml::table& root, FirstError& errors, const consistency::Options& sessions,
                     DurabilitySettings& durability) {
   TomlSection section(root, "state", errors);
-  section.ReadText("folder", durability.folder);
+  section.ReadString("folder", durability.folder);
   section.ReadChoice<CommitMode>("commit", durability.commit,
                                  {{"kernel", CommitMode::kKernel}, {"disk", CommitMode::kDisk}});
   section.ReadSize("snapshot_mb", durability.snapshot_bytes, 1, 4'096, kMegabyte);
   section.ReadDuration("stall_ms", durability.wait_timeout, 10, 5'000, kMillisecond);
   section.RejectUnknownKeys();
   if (!durability.folder.empty() && sessions.scope != consistency::Scope::kEverywhere) {
-    section.Reject("folder", "is of use only where sessions.scope is \"everywhere\"");
+    section.Reject("folder", "requires sessions.scope = \"everywhere\"");
   }
 }
 
 void ReadReplicationKeys(TomlSection& section, ReplicationSettings& replication) {
   replication.listen_address = section.ReadAddress("listen");
   replication.advertised_address = section.ReadAddress("advertise");
-  section.ReadText("name", replication.instance_name);
+  section.ReadString("name", replication.instance_name);
   section.ReadAddresses("seeds", replication.seeds);
-  section.ReadText("key_file", replication.key_file);
+  section.ReadString("key_file", replication.key_file);
   section.ReadDuration("flush_ms", replication.flush_interval, 1, 1'000, kMillisecond);
   section.ReadDuration("probe_ms", replication.probe_interval, 20, 60'000, kMillisecond);
   section.ReadDuration("join_within_s", replication.join_timeout, 0, 600, kSecond);
@@ -70,20 +70,21 @@
   section.RejectUnknownKeys();
 }
 
-// Leases are safe only if no two partitions hold a quorum at once; their keys mean nothing without them.
+// Leases are safe only if no two partitions have a quorum at once. The keys of leases have no effect in other
+// modes.
 void ValidateLeases(TomlSection& section, const ReplicationSettings& replication) {
   if (replication.mode != ReplicationMode::kBroadcast) {
     if (replication.quorum_evidence == QuorumEvidence::kMembershipAlone) {
-      section.Reject("marks",
-                     "needs proven members: a directory counts on no two views being proven at once");
+      section.Reject(
+          "marks", "requires peers.members = \"proven\": otherwise two partitions may grant the same lease");
     }
     return;
   }
   if (replication.dedicated_lease_manager) {
-    section.Reject("owner", "is of use only where 'peers.marks' is \"directory\"");
+    section.Reject("owner", "requires peers.marks = \"directory\"");
   }
   if (replication.bytes_per_s > 0) {
-    section.Reject("bytes_per_s", "holds back asks, which only a directory has: set 'peers.marks'");
+    section.Reject("bytes_per_s", "requires peers.marks = \"directory\": it limits lease requests");
   }
 }
 
@@ -91,21 +92,21 @@
                        const ReplicationSettings& replication) {
   if (replication.listen_address) {
     if (sessions.scope != consistency::Scope::kEverywhere) {
-      section.Reject("listen", "is of use only where sessions.scope is \"everywhere\"");
+      section.Reject("listen", "requires sessions.scope = \"everywhere\"");
     }
     if (replication.key_file.empty()) {
-      section.Reject("key_file", "is missing: peers speak only with a shared key");
+      section.Reject("key_file", "is missing: packets between instances are authenticated with a shared key");
     }
     return;
   }
   if (replication.mode != ReplicationMode::kBroadcast) {
-    section.Reject("marks", "says how, but 'peers.listen' names no address");
+    section.Reject("marks", "requires 'peers.listen', which is missing");
   }
   if (!replication.seeds.empty()) {
-    section.Reject("seeds", "name others, but 'peers.listen' names no address");
+    section.Reject("seeds", "requires 'peers.listen', which is missing");
   }
   if (replication.advertised_address) {
-    section.Reject("advertise", "names an address, but 'peers.listen' names none");
+    section.Reject("advertise", "requires 'peers.listen', which is missing");
   }
 }
 
@@ -122,7 +123,7 @@
   admin_address = section.ReadAddress("listen");
   section.RejectUnknownKeys();
   if (admin_address && !admin_address->host.starts_with("127.") && admin_address->host != "::1") {
-    section.Reject("listen", "is no address of this machine alone: it has to be on loopback");
+    section.Reject("listen", "must be a loopback address");
   }
 }
 
@@ -131,7 +132,7 @@
     const std::string name(key.str());
     if (std::ranges::find(kSectionNames, name) != kSectionNames.end()) continue;
     const toml::source_position& position = key.source().begin;
-    errors.Record({position.line, position.column, "'" + name + "' is not known"});
+    errors.Record({position.line, position.column, "'" + name + "' is an unknown section"});
   }
 }
 
--- a/src/settings/settings_error.h
+++ b/src/settings/settings_error.h
@@ -1,4 +1,4 @@
-// What is wrong with a settings file, and where.
+// An error in a settings file, with its position.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
   std::optional<std::int64_t> column;
   std::string problem;
 };
-// One plain sentence that names line and column, without a full stop.
+// One sentence with line and column, without a full stop.
 std::string Describe(const SettingsError& error);
 
 }  // namespace lynxgrade
--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -43,14 +43,16 @@
   };
   for (const Wrong& wrong :
        {Wrong{listens + "marks = \"some\"\n", "'peers.marks' is not \"each\""},
-        Wrong{listens + "marks = \"directory\"\nmembers = \"plain\"\n", "proven members"},
+        Wrong{listens + "marks = \"directory\"\nmembers = \"plain\"\n",
+              "requires peers.members = \"proven\""},
         Wrong{sessions + "marks = \"directory\"\n", "'peers.marks'"},
-        Wrong{listens + "asks_per_s = -1\n", "'peers.asks_per_s' lies outside"},
-        Wrong{listens + "owner = true\n", "'peers.owner' is of use only"},
-        Wrong{listens + "marks = \"directory\"\nowner = 1\n", "'peers.owner' is not true or false"},
-        Wrong{listens + "bytes_per_s = 12000\n", "'peers.bytes_per_s' holds back"},
-        Wrong{listens + "coalesce_ms = 101\n", "'peers.coalesce_ms' lies outside"},
-        Wrong{listens + "marks = \"directory\"\nbytes_per_s = -1\n", "'peers.bytes_per_s' lies outside"}}) {
+        Wrong{listens + "asks_per_s = -1\n", "'peers.asks_per_s' is out of range"},
+        Wrong{listens + "owner = true\n", "'peers.owner' requires peers.marks"},
+        Wrong{listens + "marks = \"directory\"\nowner = 1\n", "'peers.owner' is not a boolean"},
+        Wrong{listens + "bytes_per_s = 12000\n", "'peers.bytes_per_s' requires peers.marks"},
+        Wrong{listens + "coalesce_ms = 101\n", "'peers.coalesce_ms' is out of range"},
+        Wrong{listens + "marks = \"directory\"\nbytes_per_s = -1\n",
+              "'peers.bytes_per_s' is out of range"}}) {
     CAPTURE(wrong.text);
     const auto setup = ParseProgramSettings(wrong.text);
     REQUIRE_FALSE(setup.has_value());
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -31,17 +31,18 @@
     const char* phrase;
   };
   for (const Case& c :
-       {Case{"[sessions]\nscop = 1\n", "line 2, column 1: 'sessions.scop' is not known"},
+       {Case{"[sessions]\nscop = 1\n", "line 2, column 1: 'sessions.scop' is an unknown key"},
         Case{"[sessions]\nscope = \"all\"\n", "line 2, column 9: 'sessions.scope' is not \"instance\""},
-        Case{"[sessions]\nrecall_s = 0\n", "line 2, column 12: 'sessions.recall_s' lies outside"},
-        Case{"[sessions]\nrecall_s = \"x\"\n", "is not a whole number"},
-        Case{"[sesions]\n", "line 1, column 2: 'sesions' is not known"},
+        Case{"[sessions]\nrecall_s = 0\n",
+             "line 2, column 12: 'sessions.recall_s' is out of range (1 to 86400)"},
+        Case{"[sessions]\nrecall_s = \"x\"\n", "is not an integer"},
+        Case{"[sesions]\n", "line 1, column 2: 'sesions' is an unknown section"},
         Case{"sessions = 3\n", "'sessions' is not a table"},
-        Case{"[state]\nfolder = \"/x\"\n", "is of use only where sessions.scope"},
+        Case{"[state]\nfolder = \"/x\"\n", "requires sessions.scope"},
         Case{"[sessions]\nscope = \"everywhere\"\n[peers]\nlisten = \"127.0.0.1\"\n",
-             "line 4, column 10: 'peers.listen': \"127.0.0.1\" is not an address and a port"},
+             "line 4, column 10: 'peers.listen': \"127.0.0.1\" is not an IP address with a port"},
         Case{"[sessions]\nscope = \"everywhere\"\n[peers]\nlisten = \"127.0.0.1:1\"\n", "key_file"},
-        Case{"[peers]\nseeds = [\"127.0.0.1:1\"]\n", "'peers.listen' names no address"},
+        Case{"[peers]\nseeds = [\"127.0.0.1:1\"]\n", "'peers.seeds' requires 'peers.listen'"},
         Case{"[sessions\n", "line 1"}}) {
     CAPTURE(c.text);
     const auto settings = ParseProgramSettings(c.text);
