--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -52,7 +52,7 @@
   return error.cause;
 }
 
-tl::expected<std::string, AdminError> Query(const net::Address& address, std::string_view name) {
+tl::expected<std::string, AdminError> SendQuery(const net::Address& address, std::string_view name) {
   const std::string text = address.host + ":" + std::to_string(address.port);
   net::ErrorSlot error;
   const net::ObjectPtr<GSocketClient> client(g_socket_client_new());
--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -12,6 +12,6 @@
 
 // Sends the query of this name and returns the response as it came, a JSON text. Blocks for some seconds at
 // most.
-tl::expected<std::string, AdminError> Query(const net::Address& address, std::string_view name);
+tl::expected<std::string, AdminError> SendQuery(const net::Address& address, std::string_view name);
 
 }  // namespace lynxgrade::admin
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -87,7 +87,7 @@
     return ReportError(kExitUsage,
                        "the settings " + settings_file + ": 'control.listen' names no address to ask at");
   }
-  auto response = admin::Query(*settings->admin_address, "peers");
+  auto response = admin::SendQuery(*settings->admin_address, "peers");
   if (response && format == OutputFormat::kTable) response = admin::FormatPeersTable(*response);
   if (!response) return ReportError(kExitFailure, Describe(response.error()));
   std::fputs(response->c_str(), stdout);
--- a/src/membership/death_verifier.cpp
+++ b/src/membership/death_verifier.cpp
@@ -13,7 +13,9 @@
 }  // namespace
 
 bool DeathVerifier::Defer(TimePoint now, const Peer& peer, const proto::Member& reported) {
-  if (peer.heard == TimePoint{} || now - peer.heard >= period_ * recent_periods_) return false;
+  if (peer.last_heard_at == TimePoint{} || now - peer.last_heard_at >= period_ * recent_periods_) {
+    return false;
+  }
   deferred_.try_emplace(reported.name(), DeferredDeath{reported, now});
   return true;
 }
@@ -27,7 +29,7 @@
     const bool still_running = peer != nullptr &&
                                peer->member.incarnation_id() == death.reported.incarnation_id() &&
                                IsRunning(peer->member);
-    if (!still_running || peer->heard > death.at) {
+    if (!still_running || peer->last_heard_at > death.at) {
       deferred_.erase(current);
       continue;
     }
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -67,7 +67,7 @@
   Peer& peer = it->second;
   // The seeds are searched on a new address only: a scan for each report is too much.
   const bool is_new_address = is_new_name || peer.member.address() != reported.address();
-  if (is_new_address && std::erase(unheard_seeds_, reported.address()) > 0) ++changes_;
+  if (is_new_address && std::erase(unheard_seeds_, reported.address()) > 0) ++change_count_;
   const bool is_new_process = is_new_name || reported.started_us() > peer.member.started_us();
   if (!is_new_process) {
     if (reported.incarnation_id() != peer.member.incarnation_id()) {
@@ -94,7 +94,7 @@
 void MemberTable::Replace(TimePoint now, Peer& peer, const proto::Member& reported, bool is_new_process) {
   RecordChange(reported.name());
   if (is_new_process) peer.round_trip.reset();  // it may run on another machine
-  if (is_new_process || peer.member.state() != reported.state()) peer.changed = now;
+  if (is_new_process || peer.member.state() != reported.state()) peer.state_changed_at = now;
   peer.member = reported;
   peer.suspectors.clear();
   if (reported.state() == proto::Member::SUSPECT && reported.suspected_by() != 0) {
@@ -105,7 +105,7 @@
 
 void MemberTable::RecordChange(const std::string& name) {
   running_changed_ = true;
-  ++changes_;
+  ++change_count_;
   changed_names_.push_back(name);
 }
 
@@ -113,7 +113,7 @@
   peer.member.set_state(state);
   RecordChange(peer.member.name());
   if (state != proto::Member::SUSPECT) peer.suspectors.clear();
-  peer.changed = now;
+  peer.state_changed_at = now;
   gossip_.Enqueue(peer.member.name());
 }
 
@@ -130,20 +130,21 @@
 void MemberTable::RecordPacket(TimePoint now, const proto::Member& sender, std::uint64_t view) {
   Peer* peer = Find(sender.name());
   if (peer == nullptr || peer->member.incarnation_id() != sender.incarnation_id()) return;
-  peer->heard = now;
+  peer->last_heard_at = now;
   peer->view = view;
 }
 
 void MemberTable::PostponeSuspicions(TimePoint now, Duration by) {
   for (auto& [name, peer] : peers_) {
-    if (peer.member.state() == proto::Member::SUSPECT) peer.changed = std::min(now, peer.changed + by);
+    if (peer.member.state() != proto::Member::SUSPECT) continue;
+    peer.state_changed_at = std::min(now, peer.state_changed_at + by);
   }
 }
 
 std::vector<std::string> MemberTable::RemoveExpired(TimePoint now, Duration retention) {
   std::vector<std::string> removed;
   std::erase_if(peers_, [&](const auto& item) {
-    if (IsRunning(item.second.member) || now - item.second.changed < retention) return false;
+    if (IsRunning(item.second.member) || now - item.second.state_changed_at < retention) return false;
     removed.push_back(item.first);
     RecordChange(item.first);
     return true;
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -73,7 +73,7 @@
   bool superseded() const { return superseded_; }
 
   // Rises with every change of `peers` or `unheard_seeds`, except that a peer was heard.
-  std::uint64_t changes() const { return changes_; }
+  std::uint64_t change_count() const { return change_count_; }
   // Names of peers that were added, changed or removed since the last call, some perhaps repeatedly.
   std::vector<std::string> DrainChangedNames() { return std::exchange(changed_names_, {}); }
   // Whether the members that count as running may have changed since the last call; true on the first.
@@ -95,7 +95,7 @@
   PeerMap peers_;
   std::uint64_t duplicate_name_reports_ = 0;
   bool superseded_ = false;
-  std::uint64_t changes_ = 1;
+  std::uint64_t change_count_ = 1;
   std::vector<std::string> changed_names_;
   bool running_changed_ = true;
 };
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -20,7 +20,7 @@
   digest_ =
       Mix(self) + Mix(fleet_size_) + Mix(~static_cast<std::uint64_t>(acknowledgement_validity_.count()));
   RefreshLeaseManagers(members);
-  if (options_.all_must_know) {
+  if (options_.require_support_by_all) {
     for (const std::uint64_t incarnation_id : dedicated_lease_managers_) digest_ += Mix(~incarnation_id);
   }
   incarnation_ids_ = {self};
@@ -36,12 +36,12 @@
 // stale. As the digest names them all instances of one view find the same.
 void MembershipView::RefreshLeaseManagers(const MemberTable& members) {
   dedicated_lease_managers_.clear();
-  bool all_know = (capabilities_ & capability::kKnowsDedicatedLeaseManagers) != 0;
+  bool all_know = (capabilities_ & capability::kSupportsDedicatedLeaseManagers) != 0;
   if (options_.dedicated) dedicated_lease_managers_.push_back(members.self().incarnation_id());
   for (const auto& [name, peer] : members.peers()) {
     if (!IsRunning(peer.member)) continue;
-    const bool knows = (peer.member.capabilities() & capability::kKnowsDedicatedLeaseManagers) != 0;
-    all_know = all_know && (knows || !options_.all_must_know);
+    const bool knows = (peer.member.capabilities() & capability::kSupportsDedicatedLeaseManagers) != 0;
+    all_know = all_know && (knows || !options_.require_support_by_all);
     if (peer.member.dedicated_lease_manager()) {
       dedicated_lease_managers_.push_back(peer.member.incarnation_id());
     }
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -12,7 +12,7 @@
 
 // Rules that each member of a view has to know before it may apply them: bits of `Member.capabilities`.
 namespace capability {
-inline constexpr std::uint32_t kKnowsDedicatedLeaseManagers = 2;
+inline constexpr std::uint32_t kSupportsDedicatedLeaseManagers = 2;
 inline constexpr std::uint32_t kRelaysLeaseMessages = 4;
 }  // namespace capability
 
@@ -22,7 +22,7 @@
   // them, and its digest names them.
   bool dedicated = false;
   // That rule. Without it, which is for tests alone, stale reads are possible.
-  bool all_must_know = true;
+  bool require_support_by_all = true;
 };
 
 // The view as of the last refresh.
--- a/src/membership/peer.h
+++ b/src/membership/peer.h
@@ -15,9 +15,9 @@
 // An entry of the member table.
 struct Peer {
   proto::Member member;
-  TimePoint changed{};                 // when its state changed, by this instance's clock
+  TimePoint state_changed_at{};        // when its state changed, by this instance's clock
   std::set<std::uint64_t> suspectors;  // incarnation ids of those that suspect it on their own evidence
-  TimePoint heard{};                   // when a packet of its own last arrived; zero: never
+  TimePoint last_heard_at{};           // when a packet of its own last arrived; zero: never
   std::uint64_t view = 0;              // the digest of its view, as of that packet
   // Smoothed, of the pings that it answered itself and at the first attempt; absent: there was none yet.
   std::optional<Duration> round_trip{};
--- a/src/membership/quorum_tracker.cpp
+++ b/src/membership/quorum_tracker.cpp
@@ -67,7 +67,7 @@
 }
 
 bool QuorumTracker::BlockAcknowledgementsSuffice(TimePoint now) const {
-  if (count() <= kMaxMembersWithoutBlocks) return false;
+  if (member_count() <= kMaxMembersWithoutBlocks) return false;
   const std::optional<TimePoint> until = AllAcknowledgedUntil(now);
   return until && *until - now >= options_.validity * kMinValidityLeftPercent / 100;
 }
@@ -102,10 +102,10 @@
     if (half > 0) {
       const auto nth = counted.begin() + static_cast<std::ptrdiff_t>(half) - 1;
       std::ranges::nth_element(counted, nth, std::greater<>());
-      assessment.until = *nth + options_.validity;
+      assessment.majority_until = *nth + options_.validity;
     }
-  } else if (now >= discovery_ends_ && count() <= half) {
-    assessment.state = count() <= 1 ? QuorumState::kIsolated : QuorumState::kMinority;
+  } else if (now >= discovery_ends_ && member_count() <= half) {
+    assessment.state = member_count() <= 1 ? QuorumState::kIsolated : QuorumState::kMinority;
   }
   if (assessment.state != state_) {
     state_ = assessment.state;
--- a/src/membership/quorum_tracker.h
+++ b/src/membership/quorum_tracker.h
@@ -38,9 +38,9 @@
   // The result of an assessment.
   struct Assessment {
     QuorumState state = QuorumState::kUnknown;
-    TimePoint since{};                 // when the state was first assessed
-    std::optional<TimePoint> until{};  // until when a majority is proven; absent: it needs no proof
-    std::uint64_t view = 0;            // the digest of the assessed view
+    TimePoint since{};                          // when the state was first assessed
+    std::optional<TimePoint> majority_until{};  // until when a majority is proven; absent: it needs no proof
+    std::uint64_t view = 0;                     // the digest of the assessed view
   };
 
   // The state is unknown from `now` until the acknowledgements of an earlier process have expired.
@@ -74,7 +74,7 @@
   // The digest of the current view.
   std::uint64_t view() const { return acknowledgements_.view(); }
   // The number of members of the current view.
-  std::size_t count() const { return acknowledgements_.incarnation_ids().size(); }
+  std::size_t member_count() const { return acknowledgements_.incarnation_ids().size(); }
   // The members of the current view, ascending.
   const std::vector<std::uint64_t>& incarnation_ids() const { return acknowledgements_.incarnation_ids(); }
   // The view that this instance acknowledges at `now`; zero: none, as its acknowledgement of another may
--- a/src/membership/suspicion_timers.cpp
+++ b/src/membership/suspicion_timers.cpp
@@ -8,7 +8,8 @@
 
 void SuspicionTimers::ExpireSuspicions(TimePoint now, DeathVerifier& death_verifier) {
   for (auto& [name, peer] : members_.peers()) {
-    if (peer.member.state() != proto::Member::SUSPECT || now - peer.changed < TimeoutOf(peer)) continue;
+    if (peer.member.state() != proto::Member::SUSPECT) continue;
+    if (now - peer.state_changed_at < TimeoutOf(peer)) continue;
     proto::Member dead = peer.member;
     dead.set_state(proto::Member::DEAD);
     if (!death_verifier.Defer(now, peer, dead)) members_.SetState(now, peer, proto::Member::DEAD);
--- a/src/membership/suspicion_timers.h
+++ b/src/membership/suspicion_timers.h
@@ -16,7 +16,7 @@
   double min_timeout_periods = 3;  // times log10 of the number of members, where that is above 1
   double max_timeout_factor = 6;   // times that, for a suspicion that nobody has confirmed; 1: not longer
   int confirmations = 3;           // by as many other members, after which the timeout is the minimum
-  int verify_deaths_periods =
+  int recently_heard_periods =
       15;  // a member heard within so many periods is pinged before it is declared dead
 };
 
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -20,7 +20,7 @@
     : options_(options),
       random_(random_seed),
       local_health_(options.max_local_health_multiplier),
-      death_verifier_(options.period, options.suspicion.verify_deaths_periods),
+      death_verifier_(options.period, options.suspicion.recently_heard_periods),
       members_(WithOptions(std::move(self), options), std::move(seeds), gossip_, local_health_,
                death_verifier_),
       quorum_tracker_({members_.self().incarnation_id(), options.fleet_size, ValidityOf(options),
--- a/src/membership/swim.h
+++ b/src/membership/swim.h
@@ -51,7 +51,7 @@
     std::size_t fleet_size = 1;                        // this instance included
     std::uint32_t protocol_version = 1;                // of this process: Member.protocol_version
     std::uint32_t capabilities =                       // bits of Member.capabilities
-        capability::kKnowsDedicatedLeaseManagers | capability::kRelaysLeaseMessages;
+        capability::kSupportsDedicatedLeaseManagers | capability::kRelaysLeaseMessages;
     ProbeOptions probe;
     SuspicionOptions suspicion;
     AcknowledgementOptions acknowledgements;
@@ -85,7 +85,7 @@
   // How often a running process with the name of another running one was heard of.
   std::uint64_t duplicate_name_reports() const { return members_.duplicate_name_reports(); }
   // Rises with every change of `peers` or `unheard_seeds`, except that a peer was heard.
-  std::uint64_t changes() const { return members_.changes(); }
+  std::uint64_t change_count() const { return members_.change_count(); }
   // Names of peers that were added, changed or removed since the last call, some perhaps repeatedly.
   std::vector<std::string> DrainChangedNames() { return members_.DrainChangedNames(); }
   // Whether a running process of this instance's name was started later: this one acknowledges no view.
--- a/src/replication/engine_options.cpp
+++ b/src/replication/engine_options.cpp
@@ -48,7 +48,7 @@
   if (settings.quorum_evidence == QuorumEvidence::kMembershipAlone) {
     options.swim.max_local_health_multiplier = 0;
     options.swim.suspicion.max_timeout_factor = 1;
-    options.swim.suspicion.verify_deaths_periods = 0;
+    options.swim.suspicion.recently_heard_periods = 0;
     options.swim.probe.repeat_pings = false;
     options.swim.acknowledgements.required = false;
   }
--- a/src/replication/lease_view.cpp
+++ b/src/replication/lease_view.cpp
@@ -44,15 +44,16 @@
   }
   // Evaluated once for all requests between two acknowledgements or changes of members: it walks over all
   // members.
-  if (cached_.view != view || cached_.membership_changes != swim_.changes()) {
-    cached_ = {view, swim_.changes(), std::nullopt};
+  if (cached_.view != view || cached_.membership_changes != swim_.change_count()) {
+    cached_ = {view, swim_.change_count(), std::nullopt};
     if (AllMembersAgree()) cached_.until = quorum_tracker.AllAcknowledgedUntil(now);
   }
   return cached_.until && now <= *cached_.until;
 }
 
 bool LeaseView::AllMembersAgree() const {
-  if (swim_.quorum_tracker().count() != options_.fleet_size || !swim_.unheard_seeds().empty()) return false;
+  if (swim_.quorum_tracker().member_count() != options_.fleet_size) return false;
+  if (!swim_.unheard_seeds().empty()) return false;
   return std::ranges::all_of(swim_.peers(), [this](const auto& item) {
     const proto::Member& member = item.second.member;
     const bool left = member.state() == proto::Member::LEFT;
--- a/src/replication/peer_links.cpp
+++ b/src/replication/peer_links.cpp
@@ -28,7 +28,7 @@
 }
 
 void PeerLinks::FollowMembership(TimePoint now) {
-  if (std::exchange(followed_changes_, swim_.changes()) == swim_.changes()) return;
+  if (std::exchange(followed_changes_, swim_.change_count()) == swim_.change_count()) return;
   incarnations_.Prune(swim_.quorum_tracker().incarnation_ids());
   // Only those that have changed: while a large fleet starts almost every packet changes a few.
   std::vector<std::string> names = swim_.DrainChangedNames();
--- a/src/replication/replication_report.cpp
+++ b/src/replication/replication_report.cpp
@@ -44,11 +44,11 @@
     Json report = {{"name", name},
                    {"address", peer.member.address()},
                    {"state", state < kStates.size() ? kStates[state] : "unknown"},
-                   {"for_s", Seconds(input.now - peer.changed)},
+                   {"for_s", Seconds(input.now - peer.state_changed_at)},
                    {"heard_s", nullptr},
                    {"same_view", peer.view == view},
                    {"differs", Json::array()}};
-    if (peer.heard != TimePoint{}) report["heard_s"] = Seconds(input.now - peer.heard);
+    if (peer.last_heard_at != TimePoint{}) report["heard_s"] = Seconds(input.now - peer.last_heard_at);
     const auto differences = swim.differences().find(name);
     if (differences != swim.differences().end()) report["differs"] = differences->second;
     peers.push_back(std::move(report));
@@ -81,7 +81,7 @@
                  {"for_s", Seconds(input.now - quorum.since)},
                  {"proven_s", nullptr},
                  {"view", fmt::format("{:016x}", quorum.view)},
-                 {"in_view", quorum_tracker.count()},
+                 {"in_view", quorum_tracker.member_count()},
                  {"doubt", swim.local_health_multiplier()},
                  {"most_doubt", swim.options().max_local_health_multiplier},
                  {"stalls", swim.stalls()},
@@ -91,7 +91,7 @@
                  {"unheard", swim.unheard_seeds()},
                  {"peers", PeersReport(input, quorum.view)},
                  {"traffic", TrafficReport(input.traffic)}};
-  if (quorum.until) report["proven_s"] = Seconds(*quorum.until - input.now);
+  if (quorum.majority_until) report["proven_s"] = Seconds(*quorum.majority_until - input.now);
   if (input.engine.lease_client() != nullptr) report["directory"] = LeaseReport(input);
   return report.dump();
 }
--- a/testbed/scale_run.cpp
+++ b/testbed/scale_run.cpp
@@ -372,7 +372,7 @@
     }
     if (met != options_.poolers - options_.real) return false;
     return std::ranges::all_of(control_, [&](int port) {
-      const auto said = admin::Query({"127.0.0.1", static_cast<std::uint16_t>(port)}, "peers");
+      const auto said = admin::SendQuery({"127.0.0.1", static_cast<std::uint16_t>(port)}, "peers");
       if (!said) return false;
       const Json peers = Json::parse(*said).at("peers");
       return std::ranges::count_if(peers, [](const Json& one) { return one.at("state") == "alive"; }) + 1 ==
@@ -434,7 +434,7 @@
     sum.of["asked"] = static_cast<double>(asked_);
     sum.of["served"] = static_cast<double>(served_);
     for (std::size_t i = 0; i < real_.size(); ++i) {
-      const auto said = admin::Query({"127.0.0.1", static_cast<std::uint16_t>(control_[i])}, "peers");
+      const auto said = admin::SendQuery({"127.0.0.1", static_cast<std::uint16_t>(control_[i])}, "peers");
       if (said) {
         const Json peers = Json::parse(*said);
         sum.of["exchange_s"] += peers.at("spent_s").get<double>();
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -31,7 +31,7 @@
     tl::expected<std::string, AdminError> result;
     std::atomic<bool> finished = false;
     std::thread client([&] {
-      result = admin::Query({"127.0.0.1", server.port()}, name);
+      result = admin::SendQuery({"127.0.0.1", server.port()}, name);
       finished = true;
       g_main_context_wakeup(nullptr);
     });
@@ -125,7 +125,7 @@
     REQUIRE_FALSE(rejected);
     CHECK(Describe(rejected.error()).find(c.phrase) != std::string::npos);
   }
-  const auto unreachable = Query({"127.0.0.1", 1}, "peers");
+  const auto unreachable = SendQuery({"127.0.0.1", 1}, "peers");
   REQUIRE_FALSE(unreachable);
   CHECK(unreachable.error().code == AdminErrorCode::kUnreachable);
 }
--- a/tests/lease/simulated_lease_node.h
+++ b/tests/lease/simulated_lease_node.h
@@ -110,7 +110,7 @@
   void UpdateView(TimePoint now) {
     const membership::QuorumTracker::Assessment value = quorum_tracker.Assess(now);
     const bool all =
-        value.state == membership::QuorumState::kComplete && quorum_tracker.count() == fleet_size_;
+        value.state == membership::QuorumState::kComplete && quorum_tracker.member_count() == fleet_size_;
     const bool majority = value.state >= membership::QuorumState::kMajority;
     std::vector<IncarnationId> managers = quorum_tracker.incarnation_ids();
     std::erase_if(managers, [this](IncarnationId one) { return !dedicated_managers_.contains(one); });
--- a/tests/membership/membership_partition_test.cpp
+++ b/tests/membership/membership_partition_test.cpp
@@ -78,7 +78,7 @@
 // One node reaches both sides of a partition, in turns with another. Returns the number of false deaths.
 int FalseDeathsBetweenSides(std::uint64_t seed, DeathVerification verification) {
   SimulatedNetwork network(7, seed);
-  if (verification == DeathVerification::kOff) network.options.suspicion.verify_deaths_periods = 0;
+  if (verification == DeathVerification::kOff) network.options.suspicion.recently_heard_periods = 0;
   for (std::size_t i = 0; i < 7; ++i) network.StartNode(i);
   network.Advance(kSecond * 20);
   network.settle_time = kSecond * 5;  // a node that changes sides has to find the other again
--- a/tests/membership/quorum_tracker_test.cpp
+++ b/tests/membership/quorum_tracker_test.cpp
@@ -35,7 +35,7 @@
   CHECK(tracker.Assess(At(1050)).state == QuorumState::kUnknown);
   CHECK(tracker.AcknowledgedView(At(1100)) == 77);
   CHECK(tracker.Assess(At(1100)).state == QuorumState::kNearlyComplete);
-  CHECK(tracker.Assess(At(1100)).until == At(2000));
+  CHECK(tracker.Assess(At(1100)).majority_until == At(2000));
   tracker.RecordAcknowledgement(2, At(900), 0);  // older than what is known
   CHECK(tracker.Assess(At(2000)).state == QuorumState::kNearlyComplete);
   CHECK(tracker.Assess(At(2001)).state == QuorumState::kUnknown);
@@ -73,7 +73,7 @@
   CHECK(b.Assess(At(2000)).state == QuorumState::kUnknown);
   b.MergeAcknowledgementAges(At(1900), 9, ages);
   CHECK(b.Assess(At(2000)).state == QuorumState::kMajority);
-  CHECK(b.Assess(At(2000)).until == At(2400));
+  CHECK(b.Assess(At(2000)).majority_until == At(2400));
   CHECK(b.Assess(At(2400)).state == QuorumState::kMajority);
   CHECK(b.Assess(At(2401)).state == QuorumState::kUnknown);
   // The age of its own acknowledgement adds nothing.
--- a/tests/membership/simulated_network.cpp
+++ b/tests/membership/simulated_network.cpp
@@ -30,7 +30,7 @@
   if (extensions == Extensions::kOff) {
     options.max_local_health_multiplier = 0;
     options.suspicion.max_timeout_factor = 1;
-    options.suspicion.verify_deaths_periods = 0;
+    options.suspicion.recently_heard_periods = 0;
     options.probe.repeat_pings = false;
   }
   nodes.resize(count);
--- a/tests/replication/lease_fleet.h
+++ b/tests/replication/lease_fleet.h
@@ -389,10 +389,10 @@
   options.flush_interval = kMs * 10;
   options.swim.fleet_size = fleet.size;
   options.swim.lease_manager.dedicated = fleet.Aside(number);
-  options.swim.lease_manager.all_must_know = fleet.options.owners_named;
+  options.swim.lease_manager.require_support_by_all = fleet.options.owners_named;
   if (fleet.Old(number)) options.swim.capabilities = 0;
   if (fleet.old_owner == number)
-    options.swim.capabilities = membership::capability::kKnowsDedicatedLeaseManagers;
+    options.swim.capabilities = membership::capability::kSupportsDedicatedLeaseManagers;
   if (way != Way::kBroadcast) {
     lease::SessionLeaseClient::Options& directory = options.leases.emplace();
     directory.read_requests_per_s = fleet.options.reads_per_s;
--- a/tests/replication/lease_managers_test.cpp
+++ b/tests/replication/lease_managers_test.cpp
@@ -158,7 +158,7 @@
   CHECK(known.SerializeAsString().ends_with(std::string("\xa0\x06\x2a", 3)));
   const auto [plain, nobody] = view(known);
   CHECK(nobody.empty());
-  known.set_capabilities(membership::capability::kKnowsDedicatedLeaseManagers);
+  known.set_capabilities(membership::capability::kSupportsDedicatedLeaseManagers);
   CHECK(view(known) == std::pair(plain, nobody));
   known.set_dedicated_lease_manager(true);
   const auto [named, owners] = view(known);
