--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -74,7 +74,7 @@
     }
     // Out of descriptors, for example: the connection stays queued and the socket readable, so accepting
     // is retried after a delay rather than in a busy loop.
-    spdlog::warn("accept failed: {}", error.message());
+    spdlog::warn("listener: accept failed, retrying after a delay; cause=\"{}\"", error.message());
     return PauseAccepting();
   }
 }
--- a/src/pg/message.h
+++ b/src/pg/message.h
@@ -1,6 +1,6 @@
 // PostgreSQL's wire protocol, version 3: framing and the messages that the pooler reads and writes. Works on
-// bytes only: no sockets, no clock. A reader returns nothing for a malformed body, and its views point into
-// that body.
+// bytes only: no sockets, no clock. Readers with an optional result return nothing for a malformed body;
+// views in their results point into that body.
 #pragma once
 
 #include <cstdint>
@@ -79,7 +79,7 @@
 void AppendParameterStatus(std::string& out, std::string_view name, std::string_view value);
 void AppendBackendKeyData(std::string& out, std::uint32_t process_id, std::uint32_t secret_key);
 void AppendNegotiateProtocolVersion(std::string& out, std::uint32_t newest_version);
-// Outside a transaction block.
+// Reports that the session is outside a transaction block.
 void AppendReadyForQuery(std::string& out);
 void AppendEmptyQueryResponse(std::string& out);
 void AppendCommandComplete(std::string& out, std::string_view tag);
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,4 +1,4 @@
-// Tables of cases for what discovery sends: the HTTP response, the body of a watch and the endpoint list.
+// Tables of cases for the parsers of discovery: HTTP responses, bodies of watch responses and endpoint lists.
 #include <doctest/doctest.h>
 
 #include <string>
