--- a/src/frontend/client_session.cpp
+++ b/src/frontend/client_session.cpp
@@ -58,7 +58,7 @@
   return statement;
 }
 
-std::string ClientStatement::TextFor(Duration left) const {
+std::string ClientStatement::TextWithBudget(Duration left) const {
   return pg::ReplaceTimeBudget(text_, comment_, std::max<std::int64_t>(1, left.count() / 1000));
 }
 
@@ -82,7 +82,7 @@
   if (state_ == State::kInFlight) {
     state_ = State::kReady;
     frontend_.open_ids_.erase(request_key_);
-    frontend_.proxy_.Withdraw(request_);
+    frontend_.proxy_.CancelRequest(request_);
   }
   frontend_.RemoveSession(*this);
 }
@@ -111,12 +111,12 @@
 // earlier request.
 void ClientSession::Cancel(std::uint32_t secret, TimePoint arrived_at) {
   if (secret != secret_ || state_ != State::kInFlight || arrived_at < accept_cancels_from_) return;
-  frontend_.proxy_.Withdraw(request_);
+  frontend_.proxy_.CancelRequest(request_);
   SendError("57014", "canceling statement due to user request");
 }
 
 void ClientSession::GiveUp() {
-  if (state_ == State::kInFlight) frontend_.proxy_.GiveUp(request_);
+  if (state_ == State::kInFlight) frontend_.proxy_.AbortRequest(request_);
 }
 
 // Processes input one request at a time: later ones stay in the ring buffer until the response is written,
@@ -326,52 +326,52 @@
   // Data servers would treat the second as a retry of the first.
   std::string id(comment.id);
   if (frontend_.open_ids_.contains(id)) return SendError("22023", "a request of this id is open already");
-  proxy::Ask ask;
-  ask.event.group = GroupId(*comment.group);
-  ask.event.request_class = *cls;
-  ask.event.tenant = tenant.value_or(0);
+  proxy::Request request;
+  request.event.group = GroupId(*comment.group);
+  request.event.request_class = *cls;
+  request.event.tenant = tenant.value_or(0);
   if (kind.kind == AccessKind::kWrite || kind.kind == AccessKind::kSessionRead)
-    ask.event.session = comment.object_id;
+    request.event.session = comment.object_id;
   // The client carries the watermark of its session; a time in the future cannot be that of a write.
   if (kind.kind == AccessKind::kSessionRead && comment.session_write_ms) {
     const LogPosition after{std::chrono::milliseconds(std::min(*comment.session_write_ms, kMaxWatermarkMs))};
-    ask.event.required_position = std::min(after, frontend_.loop_.Now());
+    request.event.required_position = std::min(after, frontend_.loop_.Now());
   }
-  ask.event.is_retry = comment.is_retry;
+  request.event.is_retry = comment.is_retry;
   // The budget counts from the arrival of the last byte, so it includes the wait behind other requests. The
   // routing module rejects a request whose budget is used up.
-  ask.event.waited = std::max(Duration{0}, frontend_.loop_.Now() - message_arrived_at_);
-  ask.event.time_left =
-      frontend_.LimitToShutdown(std::chrono::milliseconds(*comment.time_budget_ms) - ask.event.waited);
-  ask.work = statement;
+  request.event.waited = std::max(Duration{0}, frontend_.loop_.Now() - message_arrived_at_);
+  request.event.time_left =
+      frontend_.LimitToShutdown(std::chrono::milliseconds(*comment.time_budget_ms) - request.event.waited);
+  request.statement = statement;
   state_ = State::kInFlight;
   accept_cancels_from_ = std::max(frontend_.loop_.Now(), last_response_at_ + Duration(1));
   frontend_.open_ids_.insert(id);
   request_key_ = std::move(id);
   UpdatePhase();  // before the request, which may close idle sessions for a descriptor
-  frontend_.proxy_.Take(std::move(ask), *this, request_);
+  frontend_.proxy_.StartRequest(std::move(request), *this, request_);
 }
 
-void ClientSession::Served(const proxy::Answer& answer) {
+void ClientSession::OnResponse(const proxy::Response& response) {
   std::string out;
-  out.reserve(answer.description.size() + answer.row.size() + answer.tag.size() + 32);
-  pg::AppendMessage(out, 'T', answer.description);
-  pg::AppendMessage(out, 'D', answer.row);
-  pg::AppendMessage(out, 'C', answer.tag);
+  out.reserve(response.row_description.size() + response.data_row.size() + response.command_tag.size() + 32);
+  pg::AppendMessage(out, 'T', response.row_description);
+  pg::AppendMessage(out, 'D', response.data_row);
+  pg::AppendMessage(out, 'C', response.command_tag);
   SendResponse(out);
 }
 
 // The SQLSTATE tells the client that a retry is safe, and the detail is the Retry-After in milliseconds.
-void ClientSession::Refused(Duration retry_after) {
+void ClientSession::OnRejected(Duration retry_after) {
   const std::int64_t ms = (retry_after.count() + 999) / 1000;
   SendError("53300", "too much to do to answer in time", ms > 0 ? std::to_string(ms) : std::string());
 }
 
-void ClientSession::Failed() {
+void ClientSession::OnFailed() {
   SendError("58000", "no data server has answered; whether it has run is not known");
 }
 
-void ClientSession::Unusable() { SendError("42601", "the data server cannot use this statement"); }
+void ClientSession::OnInvalidStatement() { SendError("42601", "the data server cannot use this statement"); }
 
 void ClientSession::SendError(std::string_view code, std::string_view message, std::string_view detail) {
   std::string out;
--- a/src/frontend/client_session.h
+++ b/src/frontend/client_session.h
@@ -17,11 +17,11 @@
 namespace lynxgrade::frontend {
 
 // A statement as its client sent it; an attempt changes nothing but the time budget `d` in its comment.
-class ClientStatement final : public proxy::Work {
+class ClientStatement final : public proxy::Statement {
  public:
   // Null, with the reason in `error`, if the statement has no well-formed comment.
   static std::shared_ptr<const ClientStatement> Read(std::string_view text, std::string& error);
-  std::string TextFor(Duration left) const override;
+  std::string TextWithBudget(Duration left) const override;
   const pg::Comment& comment() const { return comment_; }
 
  private:
@@ -70,10 +70,10 @@
   void OnOutputFlushed() override;
   void OnEndOfStream() override;
   void OnDisconnected() override { Close(); }
-  void Served(const proxy::Answer& answer) override;
-  void Refused(Duration retry_after) override;
-  void Failed() override;
-  void Unusable() override;
+  void OnResponse(const proxy::Response& response) override;
+  void OnRejected(Duration retry_after) override;
+  void OnFailed() override;
+  void OnInvalidStatement() override;
 
   friend class Frontend;
 
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -22,20 +22,20 @@
 }  // namespace
 
 Instance::Instance(net::Loop& loop, const PlatformConfig& config, const ProgramSettings& settings,
-                   proxy::Backends& backends, Host host)
+                   proxy::Upstream& upstream, Host host)
     : loop_(loop),
       config_(config),
       settings_(settings),
       host_(std::move(host)),
       reader_(config.zones),
-      proxy_(loop, config.settings, config.seed, backends, settings.sessions) {}
+      proxy_(loop, config.settings, config.seed, upstream, settings.sessions) {}
 
 tl::expected<void, StartError> Instance::Start() {
   std::int64_t revision = 0;
   ListEvent known_list = ReadKnownList(revision);
   if (auto started = StartSessionConsistency(); !started) return started;
-  proxy_.ListChanged(std::move(known_list));
-  StartWatch(revision);
+  proxy_.ApplyEndpointList(std::move(known_list));
+  CreateDiscoveryWatch(revision);
   return {};
 }
 
@@ -94,35 +94,36 @@
   if (!settings_.replication.listen_address) return {};
   replication::ReplicationContext context{
       loop_, settings_.replication, config_.name, recovered_completely, proxy_.consistency_guard(), [this] {
-        proxy_.Relearnt();
+        proxy_.HandleReplicatedWatermarks();
       }};
-  auto service = host_.make_peers ? host_.make_peers(std::move(context))
-                                  : replication::LoadReplicationModule(std::move(context));
+  auto service = host_.make_replication_service ? host_.make_replication_service(std::move(context))
+                                                : replication::LoadReplicationModule(std::move(context));
   if (!service) return tl::unexpected(service.error());
   replication_ = std::move(*service);
   return replication_->Start();
 }
 
 void Instance::ConnectProxy() {
-  proxy::Proxy::Waits waits;
-  waits.wrote = [this](GroupId group, consistency::SessionKey session,
-                       const consistency::WriteWatermark& watermark) {
+  proxy::Proxy::ReplicationHooks hooks;
+  hooks.on_write = [this](GroupId group, consistency::SessionKey session,
+                          const consistency::WriteWatermark& watermark) {
     if (replication_ != nullptr) replication_->RecordWrite(group, session, watermark);
     if (log_ != nullptr) log_->AppendWatermark(session, watermark);
   };
   if (log_ != nullptr || replication_ != nullptr) {
-    waits.safe = [this](GroupId group, consistency::SessionKey session, const std::function<void()>& call) {
-      return DelayAnswer(group, session, call);
+    hooks.delay_response = [this](GroupId group, consistency::SessionKey session,
+                                  const std::function<void()>& call) {
+      return DelayResponse(group, session, call);
     };
   }
   if (log_ != nullptr) proxy_.consistency_guard().OnTimelineChange([this] { log_->AppendTimelines(); });
-  if (replication_ != nullptr) waits.ask_others = [this] { replication_->PollPeers(); };
-  proxy_.SetWaits(std::move(waits));
+  if (replication_ != nullptr) hooks.poll_peers = [this] { replication_->PollPeers(); };
+  proxy_.SetReplicationHooks(std::move(hooks));
 }
 
 // The log first: the lease is to be held at the moment when the answer goes out.
-bool Instance::DelayAnswer(GroupId group, consistency::SessionKey session,
-                           const std::function<void()>& call) {
+bool Instance::DelayResponse(GroupId group, consistency::SessionKey session,
+                             const std::function<void()>& call) {
   if (replication_ == nullptr) return log_->NotifyWhenDurable(call);
   const bool waits_for_disk = log_ != nullptr && log_->NotifyWhenDurable([this, group, session, call] {
     if (!replication_->CallWhenMayAnswer(group, session, call)) call();
@@ -130,7 +131,7 @@
   return waits_for_disk || replication_->CallWhenMayAnswer(group, session, call);
 }
 
-void Instance::StartWatch(std::int64_t revision) {
+void Instance::CreateDiscoveryWatch(std::int64_t revision) {
   const Settings& routing = config_.settings;
   const std::uint32_t instances = fleet::EffectiveFleetSize(routing.peers_total);
   if (routing.peers_total == 0) {
@@ -141,7 +142,7 @@
                  [this](const discovery::EndpointListUpdate& update) { HandleListUpdate(update); });
 }
 
-void Instance::MoveTo(const net::Address& discovery) {
+void Instance::ChangeDiscoveryAddress(const net::Address& discovery) {
   watch_->MoveTo(discovery);
   if (replication_ != nullptr) replication_->ReloadKeys();
 }
@@ -154,9 +155,9 @@
 std::vector<ListEntry> Instance::ApplyAddresses(const discovery::EndpointListUpdate& update) {
   std::vector<ListEntry> entries;
   for (const discovery::Endpoint& endpoint : update.endpoints) {
-    if (endpoint.address) host_.address(endpoint.entry.server, *endpoint.address);
+    if (endpoint.address) host_.set_server_address(endpoint.entry.server, *endpoint.address);
     entries.push_back(endpoint.entry);
-    listed_ = true;
+    has_listed_servers_ = true;
   }
   return entries;
 }
@@ -167,12 +168,13 @@
                  LifecycleName(endpoint.entry.lifecycle), endpoint.uid,
                  static_cast<std::uint32_t>(endpoint.entry.server), update.revision);
   }
-  proxy_.ListChanged({update.complete ? ListKind::kComplete : ListKind::kPartial, ApplyAddresses(update)});
+  proxy_.ApplyEndpointList(
+      {update.complete ? ListKind::kComplete : ListKind::kPartial, ApplyAddresses(update)});
   // Unless deletions are binding, requests may still be sent to a deleted server.
   if (!config_.settings.unlisted_stay_usable) {
-    for (const ServerId server : reader_.RemoveDeleted(update)) host_.forget(server);
+    for (const ServerId server : reader_.RemoveDeleted(update)) host_.remove_server(server);
   }
-  if (host_.changed) host_.changed();
+  if (host_.endpoint_list_updated) host_.endpoint_list_updated();
 }
 
 }  // namespace lynxgrade
--- a/src/instance.h
+++ b/src/instance.h
@@ -2,7 +2,7 @@
 // module and the session guard, the endpoint list and the watch that keeps it up to date, the durable state
 // and the replication among the instances. Owns those parts and connects them.
 //
-// Its host provides the data servers as proxy::Backends and brings the requests: `Pooler` with real sockets
+// Its host provides the data servers as proxy::Upstream and brings the requests: `Pooler` with real sockets
 // on both sides, the testbed's simulated poolers with many instances on one loop.
 #pragma once
 
@@ -30,31 +30,31 @@
   // Callbacks into the host; each but the first two may be empty.
   struct Host {
     // Sets the address of a data server, before the decision module learns of the server.
-    std::function<void(ServerId, const net::Address&)> address;
+    std::function<void(ServerId, const net::Address&)> set_server_address;
     // The server is no longer listed.
-    std::function<void(ServerId)> forget;
+    std::function<void(ServerId)> remove_server;
     // An update of the endpoint list has been applied.
-    std::function<void()> changed;
+    std::function<void()> endpoint_list_updated;
     // Makes the exchange with the others; absent: from the module beside the program.
     std::function<tl::expected<std::unique_ptr<replication::ReplicationService>, StartError>(
         replication::ReplicationContext)>
-        make_peers;
+        make_replication_service;
   };
 
   // All but `host` must outlive it.
   Instance(net::Loop& loop, const PlatformConfig& config, const ProgramSettings& settings,
-           proxy::Backends& backends, Host host);
+           proxy::Upstream& upstream, Host host);
 
   // Applies the endpoint list of the configuration, recovers the durable state and joins the other instances.
   tl::expected<void, StartError> Start();
   // Begins to watch discovery.
-  void Follow() { watch_->Start(); }
+  void StartDiscoveryWatch() { watch_->Start(); }
   // Watches discovery there from now on, and reads the peers' keys again.
-  void MoveTo(const net::Address& discovery);
+  void ChangeDiscoveryAddress(const net::Address& discovery);
   // Whether any data server has ever been listed.
-  bool listed() const { return listed_; }
+  bool has_listed_servers() const { return has_listed_servers_; }
   // Whether the others count this instance, so that it may answer writes.
-  bool Counted() const { return replication_ == nullptr || replication_->Ready(); }
+  bool IsCountedByPeers() const { return replication_ == nullptr || replication_->Ready(); }
   // Announces to the other instances that it leaves, and ends the durable log. To be called after the last
   // response has been sent.
   void Leave();
@@ -62,8 +62,8 @@
   proxy::Proxy& proxy() { return proxy_; }
   const proxy::Proxy& proxy() const { return proxy_; }
   // The exchange with the others; null where the settings name none.
-  const replication::ReplicationService* peers() const { return replication_.get(); }
-  std::size_t data_servers() const { return reader_.known_server_count(); }
+  const replication::ReplicationService* replication() const { return replication_.get(); }
+  std::size_t data_server_count() const { return reader_.known_server_count(); }
 
  private:
   // What recovery has found of the writes that this instance answered before its start.
@@ -79,8 +79,8 @@
   void ConnectProxy();
   // Calls `call` once the write of the session is durable and may be answered. False: it may be now, and
   // `call` is not called.
-  bool DelayAnswer(GroupId group, consistency::SessionKey session, const std::function<void()>& call);
-  void StartWatch(std::int64_t revision);
+  bool DelayResponse(GroupId group, consistency::SessionKey session, const std::function<void()>& call);
+  void CreateDiscoveryWatch(std::int64_t revision);
   std::vector<ListEntry> ApplyAddresses(const discovery::EndpointListUpdate& update);
   void HandleListUpdate(const discovery::EndpointListUpdate& update);
 
@@ -93,7 +93,7 @@
   std::unique_ptr<durability::WriteAheadLog> log_;                // null if durability is off or unusable
   std::unique_ptr<replication::ReplicationService> replication_;  // null if replication is off
   std::optional<discovery::DiscoveryWatch> watch_;
-  bool listed_ = false;
+  bool has_listed_servers_ = false;
 };
 
 }  // namespace lynxgrade
--- a/src/pooler.cpp
+++ b/src/pooler.cpp
@@ -26,14 +26,14 @@
       settings_(settings),
       budget_(DescriptorLimit(config)),
       pool_(loop_, {config.settings.connect_timeout, config.server_idle_timeout}, budget_,
-            [this] { return front_.CloseLeastActive(); }),
+            [this] { return frontend_.CloseLeastActive(); }),
       instance_(loop_, config, settings, pool_,
                 {[this](ServerId server, const net::Address& address) { pool_.SetAddress(server, address); },
                  [this](ServerId server) { pool_.RemoveServer(server); },
                  [this] { BecomeReadyIfListed(); },
                  {}}),
-      front_(loop_, instance_.proxy(), budget_, config.classes, config.tenants, config.settings,
-             [this] { return pool_.CloseLongestIdle(); }),
+      frontend_(loop_, instance_.proxy(), budget_, config.classes, config.tenants, config.settings,
+                [this] { return pool_.CloseLongestIdle(); }),
       report_timer_(loop_),
       ready_timer_(loop_) {
   pool_.SetEvents(instance_.proxy());
@@ -42,14 +42,14 @@
 tl::expected<void, StartError> Pooler::Start() {
   if (auto started = instance_.Start(); !started) return started;
   if (auto started = StartAdminServer(); !started) return started;
-  if (const auto listening = front_.Listen(config_.listen); !listening) {
+  if (const auto listening = frontend_.Listen(config_.listen); !listening) {
     return tl::unexpected(
         StartError{StartErrorCode::kListen, config_.listen.host, Describe(listening.error())});
   }
-  instance_.Follow();
+  instance_.StartDiscoveryWatch();
   // The list of the configuration serves at once; discovery updates it when it answers.
   BecomeReadyIfListed();
-  if (!front_.ready() && !instance_.listed()) {
+  if (!frontend_.ready() && !instance_.has_listed_servers()) {
     ready_timer_.ScheduleAfter(kReadyWithoutListAfter, [this] { BecomeReadyUnlisted(); });
   }
   report_timer_.ScheduleAfter(kReportInterval, [this] { LogReport(); });
@@ -61,8 +61,8 @@
   const std::optional<net::Address>& address = settings_.admin_address;
   if (!address) return {};
   std::map<std::string, admin::AdminServer::Handler> handlers;
-  if (instance_.peers() != nullptr) {
-    handlers["peers"] = [this] { return instance_.peers()->Describe(); };
+  if (instance_.replication() != nullptr) {
+    handlers["peers"] = [this] { return instance_.replication()->Describe(); };
   }
   admin_server_ = std::make_unique<admin::AdminServer>(loop_, std::move(handlers));
   if (const auto listening = admin_server_->Listen(*address); !listening) {
@@ -109,8 +109,8 @@
 }
 
 void Pooler::BeginGracefulShutdown() {
-  spdlog::info("graceful shutdown started; requests_in_flight={}", instance_.proxy().open());
-  front_.StartDrain([this] {
+  spdlog::info("graceful shutdown started; requests_in_flight={}", instance_.proxy().requests_in_flight());
+  frontend_.StartDrain([this] {
     instance_.Leave();
     loop_.Stop();
   });
@@ -126,13 +126,13 @@
   }
   const net::Address& discovery = config->discovery;
   spdlog::info("configuration reloaded; discovery={}:{}", discovery.host, discovery.port);
-  instance_.MoveTo(discovery);
+  instance_.ChangeDiscoveryAddress(discovery);
 }
 
 void Pooler::BecomeReadyIfListed() {
-  if (front_.ready() || !instance_.listed()) return;
+  if (frontend_.ready() || !instance_.has_listed_servers()) return;
   // Until the other instances count this one, they would not wait for the writes that it answers.
-  if (!instance_.Counted()) {
+  if (!instance_.IsCountedByPeers()) {
     ready_timer_.ScheduleAfter(kReadyRetryInterval, [this] { BecomeReadyIfListed(); });
     return;
   }
@@ -141,8 +141,8 @@
 }
 
 void Pooler::BecomeReadyUnlisted() {
-  if (front_.ready() || instance_.listed()) return BecomeReadyIfListed();
-  if (!instance_.Counted()) {
+  if (frontend_.ready() || instance_.has_listed_servers()) return BecomeReadyIfListed();
+  if (!instance_.IsCountedByPeers()) {
     ready_timer_.ScheduleAfter(kReadyRetryInterval, [this] { BecomeReadyUnlisted(); });
     return;
   }
@@ -151,7 +151,7 @@
 }
 
 void Pooler::BecomeReady() {
-  front_.SetReady();
+  frontend_.SetReady();
   spdlog::info("ready");
 }
 
@@ -161,8 +161,9 @@
   spdlog::info(
       "requests: received={} served={} rejected={} failed={} cancelled={} attempts={} health_checks={} "
       "in_flight={} clients={} server_connections={} idle_server_connections={}",
-      requests.taken, requests.served, requests.refused, requests.failed, requests.withdrawn,
-      requests.attempts, requests.probes, proxy.open(), budget_.clients(), budget_.backends(), pool_.idle());
+      requests.received, requests.served, requests.rejected, requests.failed, requests.cancelled,
+      requests.attempts, requests.health_checks, proxy.requests_in_flight(), budget_.clients(),
+      budget_.backends(), pool_.idle());
   const consistency::SessionConsistencyGuard& guard = proxy.consistency_guard();
   if (guard.scope() == consistency::Scope::kEverywhere) {
     const consistency::SessionConsistencyCounts& sessions = guard.counts();
--- a/src/pooler.h
+++ b/src/pooler.h
@@ -47,7 +47,7 @@
   net::DescriptorBudget budget_;
   upstream::ConnectionPool pool_;
   Instance instance_;
-  frontend::Frontend front_;
+  frontend::Frontend frontend_;
   std::unique_ptr<admin::AdminServer> admin_server_;  // null if the settings name no address
   net::Timer report_timer_;
   net::Timer ready_timer_;
--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -11,44 +11,44 @@
 namespace lynxgrade::proxy {
 
 // A statement for a data server: created by the frontend, read only by the upstream.
-class Work {
+class Statement {
  public:
-  Work() = default;
-  virtual ~Work() = default;
-  Work(const Work&) = delete;
-  Work& operator=(const Work&) = delete;
+  Statement() = default;
+  virtual ~Statement() = default;
+  Statement(const Statement&) = delete;
+  Statement& operator=(const Statement&) = delete;
   // The statement's text for an attempt with `left` until its deadline.
-  virtual std::string TextFor(Duration left) const = 0;
+  virtual std::string TextWithBudget(Duration left) const = 0;
 };
 
 // A data server's response, forwarded unchanged.
-struct Answer {
-  std::string description;
-  std::string row;
-  std::string tag;
+struct Response {
+  std::string row_description;
+  std::string data_row;
+  std::string command_tag;
 };
 
 // Receives the result of a request: exactly one call, or none if the request was withdrawn before.
 class Client {
  public:
-  virtual void Served(const Answer& answer) = 0;
-  // The request was rejected without side effects; `come_back` is its Retry-After (zero: none).
-  virtual void Refused(Duration come_back) = 0;
-  virtual void Failed() = 0;
+  virtual void OnResponse(const Response& response) = 0;
+  // The request was rejected without side effects; `retry_after` is its Retry-After (zero: none).
+  virtual void OnRejected(Duration retry_after) = 0;
+  virtual void OnFailed() = 0;
   // The statement is invalid on every data server.
-  virtual void Unusable() = 0;
+  virtual void OnInvalidStatement() = 0;
 
  protected:
   ~Client() = default;
 };
 
-struct Ask {
+struct Request {
   RequestEvent event;  // the proxy sets its id
-  std::shared_ptr<const Work> work;
+  std::shared_ptr<const Statement> statement;
 };
 
 // The result of one attempt. With kOk, `answer` holds the complete response.
-struct AttemptEnd {
+struct AttemptResult {
   RequestId request{};
   AttemptNumber attempt = 0;
   ServerId server{};
@@ -56,39 +56,39 @@
   Duration elapsed{0};
   ResponseMetadata metadata{};
   std::optional<LoadReport> report{};
-  std::optional<Answer> answer{};
-  bool unusable = false;  // with kNotRun: the server rejected the statement, and every other would
+  std::optional<Response> response{};
+  bool statement_invalid = false;  // with kNotRun: the server rejected the statement, and every other would
 };
 
 // Receives the results of attempts and health checks.
-class BackendEvents {
+class UpstreamEvents {
  public:
-  virtual void OnAttemptEnd(AttemptEnd end) = 0;
-  virtual void OnProbeEnd(const HealthCheckEvent& event) = 0;
+  virtual void OnAttemptFinished(AttemptResult result) = 0;
+  virtual void OnHealthCheckFinished(const HealthCheckEvent& event) = 0;
 
  protected:
-  ~BackendEvents() = default;
+  ~UpstreamEvents() = default;
 };
 
-struct SendTimes {
-  Duration limit{0};                        // timeout of the attempt
-  Duration write_within = Duration::max();  // until its last byte must have been sent
+struct AttemptTimeouts {
+  Duration timeout{0};                       // timeout of the attempt
+  Duration write_timeout = Duration::max();  // until its last byte must have been sent
 };
 
 // The upstream port. Each Send and each Probe is followed by exactly one event, even if nothing could be
 // sent.
-class Backends {
+class Upstream {
  public:
-  virtual void Send(RequestId request, AttemptNumber attempt, ServerId server,
-                    std::shared_ptr<const Work> work, SendTimes times) = 0;
-  virtual void Cancel(RequestId request, AttemptNumber attempt) = 0;
+  virtual void StartAttempt(RequestId request, AttemptNumber attempt, ServerId server,
+                            std::shared_ptr<const Statement> statement, AttemptTimeouts timeouts) = 0;
+  virtual void CancelAttempt(RequestId request, AttemptNumber attempt) = 0;
   // The request is finished: its attempts that have not been written yet never will be, and end as kNotRun.
-  virtual void Drop(RequestId request) = 0;
-  virtual void Probe(ServerId server) = 0;
-  virtual void CloseIdle(ServerId server) = 0;
+  virtual void CancelUnsentAttempts(RequestId request) = 0;
+  virtual void StartHealthCheck(ServerId server) = 0;
+  virtual void CloseIdleConnections(ServerId server) = 0;
 
  protected:
-  ~Backends() = default;
+  ~Upstream() = default;
 };
 
 }  // namespace lynxgrade::proxy
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -15,10 +15,10 @@
 
 }  // namespace
 
-Proxy::Proxy(net::Loop& loop, Settings settings, std::uint64_t seed, Backends& backends,
+Proxy::Proxy(net::Loop& loop, Settings settings, std::uint64_t seed, Upstream& upstream,
              consistency::Options sessions)
     : loop_(loop),
-      backends_(backends),
+      upstream_(upstream),
       consistency_guard_(settings, sessions),
       rejected_read_retry_after_(settings.clients_honor_retry_after
                                      ? std::min(kRejectedReadRetryAfter, settings.max_retry_after)
@@ -29,34 +29,34 @@
   consistency_guard_.OnWrite(
       [this](GroupId group, consistency::SessionKey key, const consistency::WriteWatermark& watermark) {
         written_session_.emplace(group, key);
-        if (waits_.wrote) waits_.wrote(group, key, watermark);
+        if (replication_hooks_.on_write) replication_hooks_.on_write(group, key, watermark);
       });
   consistency_guard_.OnLog([](const std::string& text) { spdlog::warn("sessions: {}", text); });
 }
 
-void Proxy::Take(Ask ask, Client& client, RequestId& id) {
+void Proxy::StartRequest(Request request, Client& client, RequestId& id) {
   do {
     id = RequestId(++last_request_id_);
   } while (requests_.contains(id));
-  ++counts_.taken;
+  ++counts_.received;
   ++in_flight_;
-  requests_[id] = {&client, std::move(ask.work)};
-  requests_[id].deadline = loop_.Now() + ask.event.time_left - response_margin_;
-  ask.event.id = id;
+  requests_[id] = {&client, std::move(request.statement)};
+  requests_[id].deadline = loop_.Now() + request.event.time_left - response_margin_;
+  request.event.id = id;
   // The request may have been sent after this pass of the loop began, following a write acknowledged by
   // another instance meanwhile: its required position therefore counts up to the precise time.
   const TimePoint arrived = loop_.PreciseNow();
-  ask.event.arrived = arrived;
-  if (waits_.ask_others && consistency_guard_.ShouldDelayRead(ask.event, arrived)) {
+  request.event.arrived = arrived;
+  if (replication_hooks_.poll_peers && consistency_guard_.ShouldDelayRead(request.event, arrived)) {
     delayed_reads_.push_back(
-        {id, std::move(ask.event), loop_.Now(), arrived + consistency_guard_.max_read_delay()});
+        {id, std::move(request.event), loop_.Now(), arrived + consistency_guard_.max_read_delay()});
     if (!delay_timer_.armed()) {
       delay_timer_.ScheduleAt(delayed_reads_.front().deadline, [this] { ReleaseDelayedReads(); });
     }
-    waits_.ask_others();
+    replication_hooks_.poll_peers();
     return;
   }
-  DispatchRequest(id, std::move(ask.event));
+  DispatchRequest(id, std::move(request.event));
 }
 
 void Proxy::DispatchRequest(RequestId id, Event event) {
@@ -94,7 +94,7 @@
   if (ready.empty()) return;
   ++counts_.served;
   --in_flight_;
-  ready.mapped().client->Served(ready.mapped().answer);
+  ready.mapped().client->OnResponse(ready.mapped().response);
 }
 
 void Proxy::FailHeldResponse(RequestId id) {
@@ -102,29 +102,29 @@
   if (ready.empty()) return;
   ++counts_.failed;
   --in_flight_;
-  ready.mapped().client->Failed();
+  ready.mapped().client->OnFailed();
 }
 
-void Proxy::Withdraw(RequestId request) {
+void Proxy::CancelRequest(RequestId request) {
   if (held_responses_.erase(request) > 0) {
     --in_flight_;
-    ++counts_.withdrawn;
+    ++counts_.cancelled;
     return;
   }
   if (TakeClient(request) == nullptr) return;
-  ++counts_.withdrawn;
+  ++counts_.cancelled;
   consistency_guard_.FinishRequest(request);
   HandleEvent(ClientDisconnectedEvent{request});
   // Without cancellation in the settings the balancer cancels nothing, and an attempt that waits for a
   // connection would start long after the client disconnected.
-  backends_.Drop(request);
+  upstream_.CancelUnsentAttempts(request);
 }
 
-void Proxy::GiveUp(RequestId request) {
+void Proxy::AbortRequest(RequestId request) {
   if (auto ready = held_responses_.extract(request)) {  // executed, but its response may not be sent yet
     --in_flight_;
     ++counts_.failed;
-    return ready.mapped().client->Failed();
+    return ready.mapped().client->OnFailed();
   }
   const auto it = requests_.find(request);
   if (it == requests_.end()) return;
@@ -133,12 +133,12 @@
   if (client == nullptr) return;
   consistency_guard_.FinishRequest(request);
   HandleEvent(ClientDisconnectedEvent{request});
-  backends_.Drop(request);
-  ++(sent ? counts_.failed : counts_.refused);
-  sent ? client->Failed() : client->Refused(rejected_read_retry_after_);
+  upstream_.CancelUnsentAttempts(request);
+  ++(sent ? counts_.failed : counts_.rejected);
+  sent ? client->OnFailed() : client->OnRejected(rejected_read_retry_after_);
 }
 
-void Proxy::ListChanged(ListEvent list) {
+void Proxy::ApplyEndpointList(ListEvent list) {
   Event event = std::move(list);
   PrepareEvent(event);
   HandleEvent(std::move(event));
@@ -149,7 +149,7 @@
   RejectUnsatisfiableReads();
 }
 
-void Proxy::Relearnt() {
+void Proxy::HandleReplicatedWatermarks() {
   RejectUnsatisfiableReads();
   ReleaseDelayedReads();
 }
@@ -164,11 +164,11 @@
       requests_.erase(it);
     } else {
       HandleEvent(ClientDisconnectedEvent{rejected.id});
-      backends_.Drop(rejected.id);
+      upstream_.CancelUnsentAttempts(rejected.id);
     }
     if (client == nullptr) continue;
-    ++counts_.refused;
-    client->Refused(rejected_read_retry_after_);
+    ++counts_.rejected;
+    client->OnRejected(rejected_read_retry_after_);
   }
 }
 
@@ -184,9 +184,9 @@
   return it == requests_.end() || it->second.client == nullptr;
 }
 
-void Proxy::OnAttemptEnd(AttemptEnd end) {
-  Event event = AttemptEndedEvent{end.request, end.attempt, end.server,   end.outcome,
-                                  end.elapsed, false,       end.metadata, end.report};
+void Proxy::OnAttemptFinished(AttemptResult result) {
+  Event event = AttemptEndedEvent{result.request, result.attempt, result.server,   result.outcome,
+                                  result.elapsed, false,          result.metadata, result.report};
   auto& outcome = std::get<AttemptEndedEvent>(event);
   // The guard sees the response's metadata before the client gets it: they may show that it is not
   // trustworthy.
@@ -194,41 +194,42 @@
   PrepareEvent(event);
   // The first success is sent to the client and finishes the request.
   if (outcome.outcome == Outcome::kOk) {
-    if (Client* client = TakeClient(end.request)) {
-      SendResponse(end.request, *client, std::move(*end.answer), requests_.at(end.request).deadline);
+    if (Client* client = TakeClient(result.request)) {
+      SendResponse(result.request, *client, std::move(*result.response),
+                   requests_.at(result.request).deadline);
     }
   }
   // A statement that no server can execute says nothing about this server's health, and is finished.
-  if (end.unusable) {
-    if (Client* client = TakeClient(end.request)) {
+  if (result.statement_invalid) {
+    if (Client* client = TakeClient(result.request)) {
       ++counts_.failed;
-      client->Unusable();
+      client->OnInvalidStatement();
     }
   }
-  outcome.request_done = IsFinished(end.request);
+  outcome.request_done = IsFinished(result.request);
   const bool over = outcome.request_done;
-  if (over) consistency_guard_.FinishRequest(end.request);
+  if (over) consistency_guard_.FinishRequest(result.request);
   HandleEvent(std::move(event));
-  if (over) backends_.Drop(end.request);
+  if (over) upstream_.CancelUnsentAttempts(result.request);
 }
 
-void Proxy::SendResponse(RequestId id, Client& client, Answer answer, TimePoint deadline) {
-  const bool held =
-      written_session_ && waits_.safe &&
-      waits_.safe(written_session_->first, written_session_->second, [this, id] { SendHeldResponse(id); });
+void Proxy::SendResponse(RequestId id, Client& client, Response response, TimePoint deadline) {
+  const bool held = written_session_ && replication_hooks_.delay_response &&
+                    replication_hooks_.delay_response(written_session_->first, written_session_->second,
+                                                      [this, id] { SendHeldResponse(id); });
   if (!held) {
     ++counts_.served;
-    client.Served(answer);
+    client.OnResponse(response);
     return;
   }
   ++in_flight_;  // until the held response is sent
-  held_responses_[id] = {&client, std::move(answer)};
+  held_responses_[id] = {&client, std::move(response)};
   loop_.Schedule(std::max(deadline, loop_.Now()), [self = std::weak_ptr(self_), id] {
     if (const auto proxy = self.lock()) (*proxy)->FailHeldResponse(id);
   });
 }
 
-void Proxy::OnProbeEnd(const HealthCheckEvent& health_check) {
+void Proxy::OnHealthCheckFinished(const HealthCheckEvent& health_check) {
   Event event = health_check;
   PrepareEvent(event);
   HandleEvent(std::move(event));
@@ -285,25 +286,26 @@
     return;
   }
   ++counts_.attempts;
-  backends_.Send(action.id, number, action.server, it->second.work, {action.timeout, action.write_within});
+  upstream_.StartAttempt(action.id, number, action.server, it->second.statement,
+                         {action.timeout, action.write_within});
 }
 
 void Proxy::Execute(const Reject& action) {
   Client* client = TakeClient(action.id);
   requests_.erase(action.id);
-  backends_.Drop(action.id);
+  upstream_.CancelUnsentAttempts(action.id);
   if (client == nullptr) return;
-  ++counts_.refused;
-  client->Refused(action.retry_after);
+  ++counts_.rejected;
+  client->OnRejected(action.retry_after);
 }
 
 void Proxy::Execute(const Fail& action) {
   Client* client = TakeClient(action.id);
   requests_.erase(action.id);
-  backends_.Drop(action.id);
+  upstream_.CancelUnsentAttempts(action.id);
   if (client == nullptr) return;
   ++counts_.failed;
-  client->Failed();
+  client->OnFailed();
 }
 
 void Proxy::Execute(const SetTimer& action) {
@@ -313,8 +315,8 @@
 }
 
 void Proxy::Execute(const StartHealthCheck& action) {
-  ++counts_.probes;
-  backends_.Probe(action.server);
+  ++counts_.health_checks;
+  upstream_.StartHealthCheck(action.server);
 }
 
 void Proxy::Execute(const Log& action) { spdlog::info("module: {}", action.text); }
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -48,30 +48,32 @@
       server->address && (server->address->host != address.host || server->address->port != address.port);
   server->address = address;
   server->removed = false;
-  if (moved) CloseIdle(id);
+  if (moved) CloseIdleConnections(id);
 }
 
 void ConnectionPool::RemoveServer(ServerId id) {
   ServerPool* server = FindServer(id);
   if (server == nullptr) return;
   server->removed = true;
-  CloseIdle(id);
+  CloseIdleConnections(id);
 }
 
-void ConnectionPool::Send(RequestId request, AttemptNumber number, ServerId server,
-                          std::shared_ptr<const proxy::Work> work, proxy::SendTimes times) {
+void ConnectionPool::StartAttempt(RequestId request, AttemptNumber number, ServerId server,
+                                  std::shared_ptr<const proxy::Statement> statement,
+                                  proxy::AttemptTimeouts timeouts) {
   auto attempt = std::make_shared<Attempt>(loop_, server);
   attempt->request = request;
   attempt->number = number;
-  attempt->work = std::move(work);
+  attempt->statement = std::move(statement);
   attempts_[{request, number}] = attempt;
   // Limits count from the loop time of the routing decision, however long this iteration has run since.
-  if (times.write_within != Duration::max()) attempt->write_deadline = loop_.Now() + times.write_within;
-  attempt->deadline = loop_.Now() + times.limit;
+  if (timeouts.write_timeout != Duration::max())
+    attempt->write_deadline = loop_.Now() + timeouts.write_timeout;
+  attempt->deadline = loop_.Now() + timeouts.timeout;
   Enqueue(std::move(attempt));
 }
 
-void ConnectionPool::Probe(ServerId server) {
+void ConnectionPool::StartHealthCheck(ServerId server) {
   if (health_checks_.contains(server)) return;  // the outcome of the one in flight answers both
   auto attempt = std::make_shared<Attempt>(loop_, server);
   health_checks_[server] = attempt;
@@ -114,13 +116,13 @@
     Abort(attempt, Outcome::kUnreachable);
 }
 
-void ConnectionPool::Cancel(RequestId request, AttemptNumber number) {
+void ConnectionPool::CancelAttempt(RequestId request, AttemptNumber number) {
   const auto it = attempts_.find({request, number});
   if (it == attempts_.end()) return;  // already finished
   Abort(std::shared_ptr<Attempt>(it->second), Outcome::kCancelled);
 }
 
-void ConnectionPool::Drop(RequestId request) {
+void ConnectionPool::CancelUnsentAttempts(RequestId request) {
   std::vector<std::shared_ptr<Attempt>> waiting;
   for (auto it = attempts_.lower_bound({request, 0}); it != attempts_.end(); ++it) {
     if (it->first.first != request) break;
@@ -131,7 +133,7 @@
 
 void ConnectionPool::FinishAttempt(const std::shared_ptr<Attempt>& attempt, Outcome outcome,
                                    ResponseMetadata metadata, std::optional<LoadReport> report,
-                                   std::optional<proxy::Answer> result, bool unusable) {
+                                   std::optional<proxy::Response> response, bool unusable) {
   // Keeps the attempt alive if `attempt` refers to an entry erased below.
   // NOLINTNEXTLINE(performance-unnecessary-copy-initialization)
   const std::shared_ptr<Attempt> held = attempt;
@@ -143,12 +145,12 @@
   const Duration elapsed = std::max(Duration{0}, loop_.Now() - held->sent_at.value_or(held->wait_started));
   if (held->is_health_check()) {
     health_checks_.erase(held->server);
-    events_->OnProbeEnd({held->server, outcome, elapsed, report});
+    events_->OnHealthCheckFinished({held->server, outcome, elapsed, report});
     return;
   }
   attempts_.erase({held->request, held->number});
-  events_->OnAttemptEnd({held->request, held->number, held->server, outcome, elapsed, metadata, report,
-                         std::move(result), unusable});
+  events_->OnAttemptFinished({held->request, held->number, held->server, outcome, elapsed, metadata, report,
+                              std::move(response), unusable});
 }
 
 void ConnectionPool::AssignConnections(ServerPool& server) {
@@ -222,14 +224,14 @@
   held->Close();
 }
 
-void ConnectionPool::CloseIdle(ServerId id) {
+void ConnectionPool::CloseIdleConnections(ServerId id) {
   ServerPool* server = FindServer(id);
   if (server == nullptr) return;
   while (!server->idle.empty()) CloseConnection(*server->idle.back());
 }
 
 void ConnectionPool::CloseAllIdle() {
-  for (auto& [id, server] : servers_) CloseIdle(id);
+  for (auto& [id, server] : servers_) CloseIdleConnections(id);
 }
 
 bool ConnectionPool::CloseLongestIdle() {
@@ -257,8 +259,8 @@
 }
 
 bool ConnectionPool::NearsIdleTimeout(const ServerConnection& connection) const {
-  const Duration max_idle(
-      static_cast<std::int64_t>(kIdleTimeoutFraction * static_cast<double>(settings_.idle.count())));
+  const Duration max_idle(static_cast<std::int64_t>(
+      kIdleTimeoutFraction * static_cast<double>(settings_.server_idle_timeout.count())));
   return loop_.PreciseNow() - connection.idle_since() >= max_idle;
 }
 
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -24,7 +24,7 @@
 
 struct PoolSettings {
   Duration connect_timeout{250000};
-  Duration idle{15000000};  // the idle timeout of the data servers
+  Duration server_idle_timeout{15000000};  // the idle timeout of the data servers
   std::string user = "worker";
   std::string database = "catalog";
 };
@@ -40,20 +40,20 @@
   ServerId server;
   RequestId request{};
   AttemptNumber number = 0;
-  std::shared_ptr<const proxy::Work> work;      // null for a health check
-  TimePoint wait_started{};                     // when it began to wait for a connection
-  std::optional<TimePoint> sent_at{};           // when it was assigned a connection
-  TimePoint deadline{};                         // the response is of no use after this
-  TimePoint write_deadline = TimePoint::max();  // the last byte is written before this, or never
+  std::shared_ptr<const proxy::Statement> statement;  // null for a health check
+  TimePoint wait_started{};                           // when it began to wait for a connection
+  std::optional<TimePoint> sent_at{};                 // when it was assigned a connection
+  TimePoint deadline{};                               // the response is of no use after this
+  TimePoint write_deadline = TimePoint::max();        // the last byte is written before this, or never
   net::Timer deadline_timer;
   net::Timer connect_timer;                // for a connection at first, then for the last byte
   ServerConnection* connection = nullptr;  // not owned; null while it waits
-  bool is_health_check() const { return work == nullptr; }
+  bool is_health_check() const { return statement == nullptr; }
 };
 
 // Pools connections by data server and runs each attempt on a connection of its own. Every Send and Probe
 // reports exactly one outcome to the events, failures to connect included. Runs on the thread of the loop.
-class ConnectionPool final : public proxy::Backends {
+class ConnectionPool final : public proxy::Upstream {
  public:
   // `make_room` closes an idle client to free its descriptor; false if there is none.
   ConnectionPool(net::Loop& loop, PoolSettings settings, net::DescriptorBudget& budget,
@@ -63,7 +63,7 @@
   ConnectionPool& operator=(const ConnectionPool&) = delete;
 
   // Sets who receives the outcomes; required before the first Send or Probe, and outlives the pool's use.
-  void SetEvents(proxy::BackendEvents& events) { events_ = &events; }
+  void SetEvents(proxy::UpstreamEvents& events) { events_ = &events; }
   // Adds a data server, or changes its address; idle connections to a former address are closed.
   void SetAddress(ServerId id, const net::Address& address);
   // For a server that left the endpoint list: closes its idle connections, and erases it after the last one
@@ -74,12 +74,13 @@
   bool CloseLongestIdle();
   void CloseAllIdle();
 
-  void Send(RequestId request, AttemptNumber number, ServerId server, std::shared_ptr<const proxy::Work> work,
-            proxy::SendTimes times) override;
-  void Cancel(RequestId request, AttemptNumber number) override;
-  void Drop(RequestId request) override;
-  void Probe(ServerId server) override;
-  void CloseIdle(ServerId id) override;
+  void StartAttempt(RequestId request, AttemptNumber number, ServerId server,
+                    std::shared_ptr<const proxy::Statement> statement,
+                    proxy::AttemptTimeouts timeouts) override;
+  void CancelAttempt(RequestId request, AttemptNumber number) override;
+  void CancelUnsentAttempts(RequestId request) override;
+  void StartHealthCheck(ServerId server) override;
+  void CloseIdleConnections(ServerId id) override;
 
   // The number of idle connections to all data servers.
   std::size_t idle() const;
@@ -107,7 +108,7 @@
   void CloseConnection(ServerConnection& connection);
   // Reports the outcome of an attempt, which the pool forgets.
   void FinishAttempt(const std::shared_ptr<Attempt>& attempt, Outcome outcome, ResponseMetadata metadata = {},
-                     std::optional<LoadReport> report = {}, std::optional<proxy::Answer> result = {},
+                     std::optional<LoadReport> report = {}, std::optional<proxy::Response> response = {},
                      bool unusable = false);
   // Ends an attempt before its response is complete, and closes its connection. A timeout before all was
   // written is reported as unreachable: the statement has not run.
@@ -123,7 +124,7 @@
   PoolSettings settings_;
   net::DescriptorBudget& budget_;
   std::function<bool()> make_room_;
-  proxy::BackendEvents* events_ = nullptr;
+  proxy::UpstreamEvents* events_ = nullptr;
   std::map<ServerId, std::unique_ptr<ServerPool>> servers_;
   std::map<AttemptKey, std::shared_ptr<Attempt>> attempts_;
   std::map<ServerId, std::shared_ptr<Attempt>> health_checks_;
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -55,39 +55,39 @@
 
 // A successful response is complete: row description, one row and command tag, in this order and each well
 // formed. Anything less must never reach a client as its result.
-ResponseReader::Step ResponseReader::ReadMessage(char type, std::string_view body) {
+ResponseReader::ReadResult ResponseReader::ReadMessage(char type, std::string_view body) {
   started_ = true;
   switch (type) {
     case 'S':
-      return ReadParameterStatus(body) ? Step::kMore : Step::kMalformed;
+      return ReadParameterStatus(body) ? ReadResult::kMore : ReadResult::kMalformed;
     case 'N':
     case 'K':
     case 'I':
-      return Step::kMore;
+      return ReadResult::kMore;
     case 'R':  // no authentication is supported: only AuthenticationOk is valid
-      return body == std::string_view("\0\0\0\0", 4) ? Step::kMore : Step::kMalformed;
+      return body == std::string_view("\0\0\0\0", 4) ? ReadResult::kMore : ReadResult::kMalformed;
     case 'T':
-      if (description_ || error_ || !pg::DescribesOneColumn(body)) return Step::kMalformed;
+      if (description_ || error_ || !pg::DescribesOneColumn(body)) return ReadResult::kMalformed;
       description_ = std::string(body);
-      return Step::kMore;
+      return ReadResult::kMore;
     case 'D': {
       const auto column = pg::ReadSingleColumnRow(body);
-      if (!description_ || row_ || error_ || !column || !column->value) return Step::kMalformed;
+      if (!description_ || row_ || error_ || !column || !column->value) return ReadResult::kMalformed;
       row_ = std::string(body);
-      return Step::kMore;
+      return ReadResult::kMore;
     }
     case 'C':
-      if (!row_ || tag_ || error_ || !pg::ReadCommandTag(body)) return Step::kMalformed;
+      if (!row_ || tag_ || error_ || !pg::ReadCommandTag(body)) return ReadResult::kMalformed;
       tag_ = std::string(body);
-      return Step::kMore;
+      return ReadResult::kMore;
     case 'E':
-      if (tag_ || error_) return Step::kMalformed;
+      if (tag_ || error_) return ReadResult::kMalformed;
       error_ = pg::ReadErrorFields(body);
-      return error_ ? Step::kMore : Step::kMalformed;
+      return error_ ? ReadResult::kMore : ReadResult::kMalformed;
     case 'Z':
-      return body == "I" ? Step::kReady : Step::kMalformed;  // the pooler opens no transactions
+      return body == "I" ? ReadResult::kReady : ReadResult::kMalformed;  // the pooler opens no transactions
     default:
-      return Step::kMalformed;
+      return ReadResult::kMalformed;
   }
 }
 
@@ -113,7 +113,7 @@
   return pg::ReadSingleColumnRow(*row_)->value.value_or(std::string_view());
 }
 
-proxy::Answer ResponseReader::ReleaseResponse() {
+proxy::Response ResponseReader::ReleaseResponse() {
   return {std::move(*description_), std::move(*row_), std::move(*tag_)};
 }
 
@@ -161,8 +161,9 @@
   std::string query;
   // The time budget in the query is what remains at the moment of writing, not at the start of this
   // iteration.
-  pg::AppendQuery(query, attempt_->is_health_check() ? "SHOW pressure"
-                                                     : attempt_->work->TextFor(attempt_->deadline - now));
+  pg::AppendQuery(query, attempt_->is_health_check()
+                             ? "SHOW pressure"
+                             : attempt_->statement->TextWithBudget(attempt_->deadline - now));
   // The largest statement fits the ring buffer, so only a broken connection rejects it.
   query_accepted_ = connection_->Write(query);
   if (!query_accepted_) return HandleConnectionLost();
@@ -215,8 +216,8 @@
     FailMalformed("unsolicited response");
     return false;
   }
-  const ResponseReader::Step step = response_.ReadMessage(type, body);
-  if (step == ResponseReader::Step::kMalformed) {
+  const ResponseReader::ReadResult result = response_.ReadMessage(type, body);
+  if (result == ResponseReader::ReadResult::kMalformed) {
     FailMalformed("malformed response");
     return false;
   }
@@ -259,7 +260,7 @@
     if (!report && (outcome == Outcome::kOk || outcome == Outcome::kNotRun)) outcome = Outcome::kError;
     return pool.FinishAttempt(attempt, outcome, response.metadata(), report);
   }
-  std::optional<proxy::Answer> result;
+  std::optional<proxy::Response> result;
   if (outcome == Outcome::kOk) result = response.ReleaseResponse();
   const bool failed = outcome == Outcome::kError || outcome == Outcome::kNotRun;
   if (failed && response.has_error() && response.error()->code != "XX000") {
@@ -279,7 +280,7 @@
   pool_.CloseConnection(*this);
   if (attempt != nullptr) {
     const Outcome outcome = response.OutcomeAtEnd(all_written);
-    std::optional<proxy::Answer> result;
+    std::optional<proxy::Response> result;
     if (outcome == Outcome::kOk) result = response.ReleaseResponse();
     pool_.FinishAttempt(attempt, outcome, response.metadata(), {}, std::move(result), response.unusable());
   } else if (!was_ready && !server_.waiting.empty()) {
--- a/src/upstream/server_connection.h
+++ b/src/upstream/server_connection.h
@@ -17,11 +17,11 @@
 // I/O.
 class ResponseReader {
  public:
-  enum class Step { kMore, kReady, kMalformed };
+  enum class ReadResult { kMore, kReady, kMalformed };
 
   // Consumes one message. kReady: the data server awaits the next query; kMalformed: the message cannot be
   // parsed or is out of order, and the connection is of no further use.
-  Step ReadMessage(char type, std::string_view body);
+  ReadResult ReadMessage(char type, std::string_view body);
   bool started() const { return started_; }
 
   bool has_error() const { return error_.has_value(); }
@@ -37,7 +37,7 @@
   // The single value of the row; empty without one.
   std::string_view value() const;
   // Moves the response out; valid only where the outcome is kOk.
-  proxy::Answer ReleaseResponse();
+  proxy::Response ReleaseResponse();
 
  private:
   bool ReadParameterStatus(std::string_view body);
--- a/testbed/scale_host.cpp
+++ b/testbed/scale_host.cpp
@@ -98,17 +98,18 @@
 
   void Add(const Instance& instance) {
     static const replication::Traffic kNone;
-    const replication::Traffic& more = instance.peers() != nullptr ? instance.peers()->traffic() : kNone;
+    const replication::Traffic& more =
+        instance.replication() != nullptr ? instance.replication()->traffic() : kNone;
     for (std::size_t kind = 0; kind < replication::kTrafficKindNames.size(); ++kind) {
       traffic.out[kind].packets += more.out[kind].packets;
       traffic.out[kind].bytes += more.out[kind].bytes;
       traffic.in[kind].packets += more.in[kind].packets;
       traffic.in[kind].bytes += more.in[kind].bytes;
     }
-    if (instance.peers() != nullptr) exchange_us += instance.peers()->processor_time().count();
+    if (instance.replication() != nullptr) exchange_us += instance.replication()->processor_time().count();
     const consistency::SessionConsistencyCounts& consistency_guard =
         instance.proxy().consistency_guard().counts();
-    probes += instance.proxy().counts().probes;
+    probes += instance.proxy().counts().health_checks;
     reads += consistency_guard.reads;
     marked += consistency_guard.with_watermark;
     floored += consistency_guard.conservative;
@@ -117,9 +118,9 @@
 };
 
 // What is asked of a hollow database.
-struct HollowWork final : proxy::Work {
+struct HollowWork final : proxy::Statement {
   explicit HollowWork(bool writes) : write(writes) {}
-  std::string TextFor(Duration) const override { return {}; }
+  std::string TextWithBudget(Duration) const override { return {}; }
   bool write;
 };
 
@@ -161,7 +162,7 @@
 
 class Host;
 
-class SimulatedPooler final : public proxy::Backends {
+class SimulatedPooler final : public proxy::Upstream {
  public:
   SimulatedPooler(Host& host, int number, const std::vector<int>& others);
   ~SimulatedPooler() { *alive_ = false; }
@@ -171,7 +172,7 @@
   Instance& instance() { return *instance_; }
   // Whether clients would find its port open. Asked until it is and then no more, as a pooler does: the
   // answer takes a look at each of the others.
-  bool Open() { return open_ || (open_ = instance_->listed() && instance_->Counted()); }
+  bool Open() { return open_ || (open_ = instance_->has_listed_servers() && instance_->IsCountedByPeers()); }
   int number() const { return number_; }
 
  private:
@@ -182,10 +183,10 @@
     std::size_t session = 0;
     ClassIndex cls = 0;
     std::optional<Held> must;
-    void Served(const proxy::Answer& answer) override;
-    void Refused(Duration) override;
-    void Failed() override;
-    void Unusable() override;
+    void OnResponse(const proxy::Response& response) override;
+    void OnRejected(Duration) override;
+    void OnFailed() override;
+    void OnInvalidStatement() override;
     void Over() { host->asking_.erase(self); }
   };
   using JobKey = std::pair<RequestId, AttemptNumber>;
@@ -194,15 +195,15 @@
     bool cancelled = false;
   };
 
-  void Send(RequestId request, AttemptNumber attempt, ServerId member,
-            std::shared_ptr<const proxy::Work> work, proxy::SendTimes times) override;
-  void Cancel(RequestId request, AttemptNumber attempt) override;
-  void Drop(RequestId) override {}
-  void Probe(ServerId member) override;
-  void CloseIdle(ServerId) override {}
+  void StartAttempt(RequestId request, AttemptNumber attempt, ServerId member,
+                    std::shared_ptr<const proxy::Statement> work, proxy::AttemptTimeouts times) override;
+  void CancelAttempt(RequestId request, AttemptNumber attempt) override;
+  void CancelUnsentAttempts(RequestId) override {}
+  void StartHealthCheck(ServerId member) override;
+  void CloseIdleConnections(ServerId) override {}
   std::optional<Databases::Where> Find(ServerId member) const;
-  void Answer(proxy::AttemptEnd end, bool write);
-  void End(proxy::AttemptEnd end);
+  void Answer(proxy::AttemptResult end, bool write);
+  void End(proxy::AttemptResult end);
   void Later(Duration wait, std::function<void()> call);
 
   Host& host_;
@@ -278,12 +279,12 @@
   config_ = std::move(*config);
   setup_ = std::move(*setup);
   Instance::Host parts;
-  parts.address = [this](ServerId member, const net::Address& address) {
+  parts.set_server_address = [this](ServerId member, const net::Address& address) {
     const auto found = host_.by_port_.find(address.port);
     if (found != host_.by_port_.end()) servers_[member] = found->second;
   };
-  parts.forget = [this](ServerId member) { servers_.erase(member); };
-  parts.make_peers = [this](replication::ReplicationContext with)
+  parts.remove_server = [this](ServerId member) { servers_.erase(member); };
+  parts.make_replication_service = [this](replication::ReplicationContext with)
       -> tl::expected<std::unique_ptr<replication::ReplicationService>, StartError> {
     with.passes = [this](const std::string& address) { return host_.Passes(number_, address); };
     with.membership_only = host_.spec_.watermarks == "none";
@@ -296,7 +297,7 @@
 
 tl::expected<void, StartError> SimulatedPooler::Start() {
   auto started = instance_->Start();
-  if (started) instance_->Follow();
+  if (started) instance_->StartDiscoveryWatch();
   return started;
 }
 
@@ -309,24 +310,24 @@
   asking.session = session;
   asking.cls = cls;
   if (cls == kOwnRead) asking.must = host_.sessions_.Newest(session);
-  proxy::Ask ask;
-  ask.event.group = GroupId(static_cast<std::int64_t>(group) + 1);
-  ask.event.request_class = cls;
-  ask.event.session = NameOfSession(session);
-  ask.event.time_left = cls == kMatchWrite ? kWriteTime : kReadTime;
-  ask.work = std::make_shared<HollowWork>(cls == kMatchWrite);
+  proxy::Request request;
+  request.event.group = GroupId(static_cast<std::int64_t>(group) + 1);
+  request.event.request_class = cls;
+  request.event.session = NameOfSession(session);
+  request.event.time_left = cls == kMatchWrite ? kWriteTime : kReadTime;
+  request.statement = std::make_shared<HollowWork>(cls == kMatchWrite);
   ++host_.counts_.statements;
   const std::int64_t peers = host_.counts_.peers_us, from = ThreadUs();
-  instance_->proxy().Take(std::move(ask), asking, asking.id);
+  instance_->proxy().StartRequest(std::move(request), asking, asking.id);
   host_.counts_.module_us += ThreadUs() - from - (host_.counts_.peers_us - peers);
 }
 
-void SimulatedPooler::Asking::Served(const proxy::Answer& answer) {
+void SimulatedPooler::Asking::OnResponse(const proxy::Response& response) {
   Host& of = host->host_;
   Held held;
-  const std::size_t space = answer.row.find(' ');
-  held.position = LogPosition(Duration(std::stoll(answer.row.substr(0, space))));
-  held.reign = std::stoull(answer.row.substr(space + 1));
+  const std::size_t space = response.data_row.find(' ');
+  held.position = LogPosition(Duration(std::stoll(response.data_row.substr(0, space))));
+  held.reign = std::stoull(response.data_row.substr(space + 1));
   if (cls == kMatchWrite) {
     ++of.counts_.writes;
     of.sessions_.Wrote(session, held);
@@ -336,15 +337,15 @@
   }
   Over();
 }
-void SimulatedPooler::Asking::Refused(Duration) {
+void SimulatedPooler::Asking::OnRejected(Duration) {
   ++host->host_.counts_.refused;
   Over();
 }
-void SimulatedPooler::Asking::Failed() {
+void SimulatedPooler::Asking::OnFailed() {
   ++host->host_.counts_.failed;
   Over();
 }
-void SimulatedPooler::Asking::Unusable() {
+void SimulatedPooler::Asking::OnInvalidStatement() {
   ++host->host_.counts_.unusable;
   Over();
 }
@@ -361,11 +362,11 @@
   return host_.databases_.At(found->second);
 }
 
-void SimulatedPooler::Send(RequestId request, AttemptNumber attempt, ServerId member,
-                           std::shared_ptr<const proxy::Work> work, proxy::SendTimes) {
+void SimulatedPooler::StartAttempt(RequestId request, AttemptNumber attempt, ServerId member,
+                                   std::shared_ptr<const proxy::Statement> work, proxy::AttemptTimeouts) {
   ++host_.counts_.asked;
   out_[{request, attempt}] = {member, false};
-  proxy::AttemptEnd end;
+  proxy::AttemptResult end;
   end.request = request;
   end.attempt = attempt;
   end.server = member;
@@ -379,7 +380,7 @@
   Later(kWork, [this, end, write] { Answer(end, write); });
 }
 
-void SimulatedPooler::Answer(proxy::AttemptEnd end, bool write) {
+void SimulatedPooler::Answer(proxy::AttemptResult end, bool write) {
   const std::int64_t from = ThreadUs();
   const TimePoint now = host_.loop_.Now();
   const Databases& databases = host_.databases_;
@@ -395,7 +396,7 @@
     if (held) {
       if (write) end.metadata.position = held->position;
       end.outcome = Outcome::kOk;
-      end.answer = proxy::Answer{
+      end.response = proxy::Response{
           {},
           std::to_string(held->position.time_since_epoch().count()) + " " + std::to_string(held->reign),
           {}};
@@ -407,18 +408,18 @@
   End(std::move(end));
 }
 
-void SimulatedPooler::End(proxy::AttemptEnd end) {
+void SimulatedPooler::End(proxy::AttemptResult end) {
   if (out_.erase({end.request, end.attempt}) == 0) return;  // it was called off
   const std::int64_t peers = host_.counts_.peers_us, from = ThreadUs();
-  static_cast<proxy::BackendEvents&>(instance_->proxy()).OnAttemptEnd(std::move(end));
+  static_cast<proxy::UpstreamEvents&>(instance_->proxy()).OnAttemptFinished(std::move(end));
   host_.counts_.module_us += ThreadUs() - from - (host_.counts_.peers_us - peers);
 }
 
-void SimulatedPooler::Cancel(RequestId request, AttemptNumber attempt) {
+void SimulatedPooler::CancelAttempt(RequestId request, AttemptNumber attempt) {
   const auto job = out_.find({request, attempt});
   if (job == out_.end() || job->second.cancelled) return;
   job->second.cancelled = true;
-  proxy::AttemptEnd end;
+  proxy::AttemptResult end;
   end.request = request;
   end.attempt = attempt;
   end.server = job->second.member;
@@ -426,7 +427,7 @@
   Later(Duration{0}, [this, end] { End(end); });
 }
 
-void SimulatedPooler::Probe(ServerId member) {
+void SimulatedPooler::StartHealthCheck(ServerId member) {
   ++host_.counts_.asked;
   Later(kProbeWork, [this, member] {
     const TimePoint now = host_.loop_.Now();
@@ -441,7 +442,7 @@
       end.report->position = host_.databases_.Tells(*where, now);
       end.report->primary = host_.databases_.IsPrimary(*where, now);
     }
-    static_cast<proxy::BackendEvents&>(instance_->proxy()).OnProbeEnd(end);
+    static_cast<proxy::UpstreamEvents&>(instance_->proxy()).OnHealthCheckFinished(end);
   });
 }
 
@@ -541,7 +542,7 @@
                        TimePoint(Duration(order.at("at").get<std::int64_t>())));
   } else if (what == "move") {
     for (const auto& [pooler, hollow] : hollow_) {
-      hollow->instance().MoveTo({"127.0.0.1", order.at("port").get<std::uint16_t>()});
+      hollow->instance().ChangeDiscoveryAddress({"127.0.0.1", order.at("port").get<std::uint16_t>()});
     }
   }
 }
@@ -577,8 +578,8 @@
   for (const auto& [number, hollow] : hollow_) {
     const Instance& instance = hollow->instance();
     all.Add(instance);
-    listed += instance.data_servers() == databases_.size();
-    const replication::ReplicationService* peers = instance.peers();
+    listed += instance.data_server_count() == databases_.size();
+    const replication::ReplicationService* peers = instance.replication();
     reached[number] =
         peers != nullptr ? peers->ReachableInstances() : static_cast<std::size_t>(spec_.poolers);
     if (parts && peers != nullptr) {
--- a/tests/pg/parsers_test.cpp
+++ b/tests/pg/parsers_test.cpp
@@ -143,7 +143,7 @@
   for (const auto& c : cases) {
     upstream::ResponseReader response;
     for (const auto& [type, body] : c.messages)
-      REQUIRE(response.ReadMessage(type, body) == upstream::ResponseReader::Step::kMore);
+      REQUIRE(response.ReadMessage(type, body) == upstream::ResponseReader::ReadResult::kMore);
     CHECK(response.OutcomeAtEnd(c.written) == c.outcome);
   }
   // In an order that no data server has, or not as a value that a client could take.
@@ -164,9 +164,9 @@
     upstream::ResponseReader response;
     for (std::size_t i = 0; i + 1 < messages.size(); ++i)
       REQUIRE(response.ReadMessage(messages[i].first, messages[i].second) ==
-              upstream::ResponseReader::Step::kMore);
+              upstream::ResponseReader::ReadResult::kMore);
     CHECK(response.ReadMessage(messages.back().first, messages.back().second) ==
-          upstream::ResponseReader::Step::kMalformed);
+          upstream::ResponseReader::ReadResult::kMalformed);
   }
   upstream::ResponseReader response;
   for (const auto& message : std::vector<std::pair<char, std::string>>{{'D', "no row"},
@@ -176,7 +176,8 @@
                                                                        {'?', ""},
                                                                        {'R', "\0\0\0\5"s}}) {
     CAPTURE(message.first);
-    CHECK(response.ReadMessage(message.first, message.second) == upstream::ResponseReader::Step::kMalformed);
+    CHECK(response.ReadMessage(message.first, message.second) ==
+          upstream::ResponseReader::ReadResult::kMalformed);
   }
 }
 
--- a/tests/proxy/deadlines_test.cpp
+++ b/tests/proxy/deadlines_test.cpp
@@ -19,7 +19,7 @@
   bool over = false;
   net::Timer timer(w.loop);
   timer.ScheduleAfter(time, [&] { over = true; });
-  w.Until([&] { return over; });
+  w.RunUntil([&] { return over; });
 }
 
 // The `d` that a data server was told, in ms.
@@ -27,17 +27,17 @@
 
 // A data server that keeps its first query until it is told to answer, and answers the rest at once.
 struct Held {
-  explicit Held(SimulatedFleet& w) : server(w.Serve({})) {
-    server.script = [this](Peer& peer, const std::string& text) {
-      if (first != nullptr) return kAnswer(peer, text);
+  explicit Held(SimulatedFleet& w) : server(w.AddServer({})) {
+    server.on_query = [this](TestConnection& peer, const std::string& text) {
+      if (first != nullptr) return kEchoValue(peer, text);
       first = &peer;
       asked = text;
     };
-    w.List();
+    w.ApplyEndpointList();
   }
-  void Answer() { kAnswer(*first, asked); }
+  void Answer() { kEchoValue(*first, asked); }
   DataServer& server;
-  Peer* first = nullptr;
+  TestConnection* first = nullptr;
   std::string asked;
 };
 
@@ -86,45 +86,47 @@
 }
 
 TEST_CASE("a request whose time was over as it waited behind another is refused at once and never sent on") {
-  SimulatedFleet w(200, Unhurried());
+  SimulatedFleet w(200, LongDeadlineSettings());
   Held held(w);
-  Peer& client = w.Client({Ask("any", "1", 60000), Ask("any", "2", 200), Ask("any", "3", 60000)});
-  w.Until([&] { return held.first != nullptr; });
+  TestConnection& client = w.ConnectClient(
+      {RequestText("any", "1", 60000), RequestText("any", "2", 200), RequestText("any", "3", 60000)});
+  w.RunUntil([&] { return held.first != nullptr; });
   Pass(w, Ms(300));
   held.Answer();
   // In the order in which they were asked: served, refused with a time to come back, served.
-  w.Until([&] { return client.Types().ends_with("TDCZEZTDCZ"); });
-  CHECK(client.Saw("53300"));
-  CHECK(client.Saw("\0D"s));
+  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZEZTDCZ"); });
+  CHECK(client.HasReceived("53300"));
+  CHECK(client.HasReceived("\0D"s));
   REQUIRE(held.server.queries.size() == 2);
   CHECK(held.server.queries[1].find("'3'") != std::string::npos);
 }
 
 TEST_CASE("what a request waited behind others is off the time that its data server is told") {
-  SimulatedFleet w(200, Unhurried());
+  SimulatedFleet w(200, LongDeadlineSettings());
   Held held(w);
-  w.Client({Ask("any", "1", 60000), Ask("any", "2", 60000)});
-  w.Until([&] { return held.first != nullptr; });
+  w.ConnectClient({RequestText("any", "1", 60000), RequestText("any", "2", 60000)});
+  w.RunUntil([&] { return held.first != nullptr; });
   Pass(w, Ms(400));
   held.Answer();
-  w.Until([&] { return held.server.queries.size() == 2; });
+  w.RunUntil([&] { return held.server.queries.size() == 2; });
   CHECK(Told(held.server.queries[1]) <= 59600);
 }
 
 TEST_CASE("a request that came into the kernel while the ring was full has its time from then") {
-  SimulatedFleet w(200, Unhurried());
+  SimulatedFleet w(200, LongDeadlineSettings());
   Held held(w);
   // The first is taken out at once, and the ring holds 256 KiB: what is behind these stays in the kernel.
-  const std::string wide = Ask("any", "1", 60000) + std::string(150000, ' ');
-  const std::string wide2 = Ask("any", "1", 60000) + std::string(150000, ' ');
-  const std::string wide3 = Ask("any", "1", 60000) + std::string(150000, ' ');
-  Bare client(w.front.port(), Query(wide) + Query(wide2) + Query(wide3) + Query(Ask("any", "2", 60000)));
-  w.Until([&] { return held.first != nullptr; });
+  const std::string wide = RequestText("any", "1", 60000) + std::string(150000, ' ');
+  const std::string wide2 = RequestText("any", "1", 60000) + std::string(150000, ' ');
+  const std::string wide3 = RequestText("any", "1", 60000) + std::string(150000, ' ');
+  RawClient client(w.frontend.port(), QueryMessage(wide) + QueryMessage(wide2) + QueryMessage(wide3) +
+                                          QueryMessage(RequestText("any", "2", 60000)));
+  w.RunUntil([&] { return held.first != nullptr; });
   Pass(w, Ms(1000));
-  client.Say(Query(Ask("any", "3", 60000)));
+  client.Send(QueryMessage(RequestText("any", "3", 60000)));
   Pass(w, Ms(200));
   held.Answer();
-  w.Until([&] { return held.server.queries.size() == 5; });
+  w.RunUntil([&] { return held.server.queries.size() == 5; });
   const int second = Told(held.server.queries[3]), third = Told(held.server.queries[4]);
   CHECK(third <= 59800);
   // A second lies between them, less what the client's own kernel kept back while this one's was full.
@@ -132,83 +134,84 @@
 }
 
 TEST_CASE("a request that came while the program stood still has its time from when it came") {
-  SimulatedFleet w(200, Unhurried());
-  DataServer& server = w.Serve(kAnswer);
-  w.List();
-  Bare client(w.front.port());
-  w.Until([&] { return client.Saw("Z\0\0\0\5I"s); });
-  client.Say(Query(Ask("any", "1", 200)));
+  SimulatedFleet w(200, LongDeadlineSettings());
+  DataServer& server = w.AddServer(kEchoValue);
+  w.ApplyEndpointList();
+  RawClient client(w.frontend.port());
+  w.RunUntil([&] { return client.HasReceived("Z\0\0\0\5I"s); });
+  client.Send(QueryMessage(RequestText("any", "1", 200)));
   std::this_thread::sleep_for(Ms(300));
-  w.Until([&] { return client.Saw("53300"); });
+  w.RunUntil([&] { return client.HasReceived("53300"); });
   CHECK(server.queries.empty());
   std::this_thread::sleep_for(Ms(1500));
-  client.Say(Query(Ask("any", "2", 60000)));
-  w.Until([&] { return server.queries.size() == 1; });
+  client.Send(QueryMessage(RequestText("any", "2", 60000)));
+  w.RunUntil([&] { return server.queries.size() == 1; });
   CHECK(Told(server.queries[0]) > 58500);  // the program stood still, but the request is new
 }
 
 TEST_CASE("a request on a connection that waited to be accepted has its time from when it came") {
-  SimulatedFleet w(200, Unhurried());
-  DataServer& server = w.Serve(kAnswer);
-  w.List();
-  Bare client(w.front.port(), Query(Ask("any", "1", 200)) + Query(Ask("any", "2", 60000)));
+  SimulatedFleet w(200, LongDeadlineSettings());
+  DataServer& server = w.AddServer(kEchoValue);
+  w.ApplyEndpointList();
+  RawClient client(w.frontend.port(),
+                   QueryMessage(RequestText("any", "1", 200)) + QueryMessage(RequestText("any", "2", 60000)));
   std::this_thread::sleep_for(Ms(300));
-  w.Until([&] { return client.Saw("53300") && server.queries.size() == 1; });
+  w.RunUntil([&] { return client.HasReceived("53300") && server.queries.size() == 1; });
   CHECK(Told(server.queries[0]) <= 59700);
 }
 
 TEST_CASE("a cancel that waits to be accepted does not end a request that was taken after it came") {
-  SimulatedFleet w(200, Unhurried());
+  SimulatedFleet w(200, LongDeadlineSettings());
   Held held(w);
-  Peer& client = w.Client({Ask("any", "1", 60000), Ask("any", "2", 60000)});
-  w.Until([&] { return held.first != nullptr; });
-  const std::string key = SessionKeyOf(client);
+  TestConnection& client = w.ConnectClient({RequestText("any", "1", 60000), RequestText("any", "2", 60000)});
+  w.RunUntil([&] { return held.first != nullptr; });
+  const std::string key = CancelKeyOf(client);
   REQUIRE(key.size() == 8);
-  held.server.script = kSilent;
+  held.server.on_query = kNoResponse;
   // It means the first, and stands behind so many in the queue that the second is taken before it is looked
   // at.
-  std::vector<std::unique_ptr<Bare>> crowd;
+  std::vector<std::unique_ptr<RawClient>> crowd;
   crowd.reserve(70);
-  for (int i = 0; i < 70; ++i) crowd.push_back(Bare::Mute(w.front.port()));
-  crowd.back()->Say(CancelBytes(key));
+  for (int i = 0; i < 70; ++i) crowd.push_back(RawClient::WithoutStartup(w.frontend.port()));
+  crowd.back()->Send(CancelRequestMessage(key));
   held.Answer();
-  w.Until([&] {
-    crowd.back()->Read();
-    return held.server.queries.size() == 2 && crowd.back()->ended;
+  w.RunUntil([&] {
+    crowd.back()->ReadAvailable();
+    return held.server.queries.size() == 2 && crowd.back()->peer_closed;
   });
-  CHECK_FALSE(client.Saw("57014"));
-  CHECK(w.proxy.open() == 1);
+  CHECK_FALSE(client.HasReceived("57014"));
+  CHECK(w.proxy.requests_in_flight() == 1);
 }
 
 TEST_CASE("a message in pieces has its time from its first byte, also behind a request that took long") {
-  SimulatedFleet w(200, Unhurried());
+  SimulatedFleet w(200, LongDeadlineSettings());
   Held held(w);
-  Peer& client = w.Client({Ask("any", "1", 60000)});
-  w.Until([&] { return held.first != nullptr; });
-  client.Say(Query(Ask("any", "2")).substr(0, 20));
+  TestConnection& client = w.ConnectClient({RequestText("any", "1", 60000)});
+  w.RunUntil([&] { return held.first != nullptr; });
+  client.Send(QueryMessage(RequestText("any", "2")).substr(0, 20));
   Pass(w, Ms(2100));
   bool late = false;
   net::Timer limit(w.loop);
   held.Answer();
-  w.Until([&] { return client.Types().ends_with("TDCZ"); });
+  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
   limit.ScheduleAfter(Ms(1500), [&] { late = true; });
-  w.Until([&] { return client.Saw("08P01"); });
+  w.RunUntil([&] { return client.HasReceived("08P01"); });
   CHECK_FALSE(late);
 }
 
 TEST_CASE("a message in pieces has its own time, not that of the one before it") {
-  SimulatedFleet w(200, Unhurried());
-  w.Serve(kAnswer);
-  w.List();
-  Peer& client = w.Client({});
-  const std::string set = Query("SET a = 1");
-  client.Say(set.substr(0, 7));
+  SimulatedFleet w(200, LongDeadlineSettings());
+  w.AddServer(kEchoValue);
+  w.ApplyEndpointList();
+  TestConnection& client = w.ConnectClient({});
+  const std::string set = QueryMessage("SET a = 1");
+  client.Send(set.substr(0, 7));
   Pass(w, Ms(1300));
-  client.Say(set.substr(7) + set.substr(0, 7));
+  client.Send(set.substr(7) + set.substr(0, 7));
   Pass(w, Ms(1300));
-  client.Say(set.substr(7));
-  w.Until([&] { return client.Types().ends_with("CZCZ") || client.ended; });
-  CHECK_FALSE(client.ended);
+  client.Send(set.substr(7));
+  w.RunUntil([&] { return client.MessageTypes().ends_with("CZCZ") || client.peer_closed; });
+  CHECK_FALSE(client.peer_closed);
 }
 
 }  // namespace
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -21,7 +21,7 @@
 
 // Deadlines under the least time for which a stop serves on: it may be killed 1.1 s after the signal.
 Settings Short() {
-  Settings s = Usual();
+  Settings s = DefaultSettings();
   for (RequestClass& kind : s.classes) kind.deadline = Duration(400000);
   return s;
 }
@@ -31,33 +31,34 @@
 TEST_CASE(
     "a cancel ends the open request with 57014, calls its attempt off, and leaves the connection usable") {
   SimulatedFleet w;
-  DataServer& server = w.Serve(kSilent);
-  w.List();
-  Peer& client = w.Client({Ask("any", "k", kLong)});
-  w.Until([&] { return server.queries.size() == 1; });
-  const std::size_t asked_on = server.peers.size();
-  Peer& cancel = w.Connect(w.front.port());
-  cancel.Say(CancelBytes(SessionKeyOf(client)));
-  w.Until([&] { return client.Types().ends_with("EZ") && cancel.ended; });
-  CHECK(client.Saw("57014"));
-  CHECK(cancel.bytes.empty());
-  CHECK_FALSE(cancel.reset);
-  CHECK(w.proxy.open() == 0);
-  w.Until([&] { return std::ranges::any_of(server.peers, [](const auto& p) { return p->ended; }); });
-  CHECK(server.peers.size() == asked_on);  // nothing further was sent
-  server.script = kAnswer;
-  client.Say(Query(Ask("any", "2")));
-  w.Until([&] { return client.Types().ends_with("EZTDCZ"); });
+  DataServer& server = w.AddServer(kNoResponse);
+  w.ApplyEndpointList();
+  TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
+  w.RunUntil([&] { return server.queries.size() == 1; });
+  const std::size_t asked_on = server.connections.size();
+  TestConnection& cancel = w.OpenConnection(w.frontend.port());
+  cancel.Send(CancelRequestMessage(CancelKeyOf(client)));
+  w.RunUntil([&] { return client.MessageTypes().ends_with("EZ") && cancel.peer_closed; });
+  CHECK(client.HasReceived("57014"));
+  CHECK(cancel.received.empty());
+  CHECK_FALSE(cancel.was_reset);
+  CHECK(w.proxy.requests_in_flight() == 0);
+  w.RunUntil(
+      [&] { return std::ranges::any_of(server.connections, [](const auto& p) { return p->peer_closed; }); });
+  CHECK(server.connections.size() == asked_on);  // nothing further was sent
+  server.on_query = kEchoValue;
+  client.Send(QueryMessage(RequestText("any", "2")));
+  w.RunUntil([&] { return client.MessageTypes().ends_with("EZTDCZ"); });
 }
 
 TEST_CASE("a cancel with a wrong key, or one that is nobody's, has no effect and gets a close alone") {
   SimulatedFleet w;
-  DataServer& server = w.Serve(kSilent);
-  w.List();
-  Peer& client = w.Client({Ask("any", "k", kLong)});
-  Peer& other = w.Client({""});
-  w.Until([&] { return server.queries.size() == 1 && other.Saw("I"); });
-  const std::string key = SessionKeyOf(client), others = SessionKeyOf(other);
+  DataServer& server = w.AddServer(kNoResponse);
+  w.ApplyEndpointList();
+  TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
+  TestConnection& other = w.ConnectClient({""});
+  w.RunUntil([&] { return server.queries.size() == 1 && other.HasReceived("I"); });
+  const std::string key = CancelKeyOf(client), others = CancelKeyOf(other);
   REQUIRE(key.size() == 8);
   CHECK(key.substr(0, 4) != others.substr(0, 4));
   CHECK(key.substr(4) != others.substr(4));
@@ -65,88 +66,89 @@
   wrong[7] = static_cast<char>(wrong[7] ^ 1);
   nobodys[0] = '\x7f';
   for (const std::string& bad : {wrong, nobodys, others}) {
-    Peer& cancel = w.Connect(w.front.port());
-    cancel.Say(CancelBytes(bad));
-    w.Until([&] { return cancel.ended; });
-    CHECK(cancel.bytes.empty());
+    TestConnection& cancel = w.OpenConnection(w.frontend.port());
+    cancel.Send(CancelRequestMessage(bad));
+    w.RunUntil([&] { return cancel.peer_closed; });
+    CHECK(cancel.received.empty());
   }
-  CHECK(w.proxy.open() == 1);
-  server.peers.back()->Say(Row("v"));
-  w.Until([&] { return client.Types().ends_with("TDCZ"); });
+  CHECK(w.proxy.requests_in_flight() == 1);
+  server.connections.back()->Send(RowResponse("v"));
+  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
 }
 
 TEST_CASE("a cancel that crosses the answer does not hit the next request of that connection") {
   SimulatedFleet w;
-  DataServer& server = w.Serve(kSilent);
-  w.List();
-  Peer& client = w.Client({Ask("any", "1", kLong), Ask("any", "2", kLong)});
-  w.Until([&] { return server.queries.size() == 1; });
+  DataServer& server = w.AddServer(kNoResponse);
+  w.ApplyEndpointList();
+  TestConnection& client = w.ConnectClient({RequestText("any", "1", kLong), RequestText("any", "2", kLong)});
+  w.RunUntil([&] { return server.queries.size() == 1; });
   // On its way while the first is out; its bytes come when the second is.
-  Peer& cancel = w.Connect(w.front.port());
-  w.Until([&] { return w.front.sessions() == 2; });
-  for (const auto& peer : server.peers) peer->Say(Row("1"));
-  w.Until([&] { return server.queries.size() == 2; });
-  cancel.Say(CancelBytes(SessionKeyOf(client)));
-  w.Until([&] { return cancel.ended; });
-  CHECK(w.proxy.open() == 1);
-  for (const auto& peer : server.peers) peer->Say(Row("2"));
-  w.Until([&] { return client.Types().ends_with("TDCZTDCZ"); });
+  TestConnection& cancel = w.OpenConnection(w.frontend.port());
+  w.RunUntil([&] { return w.frontend.sessions() == 2; });
+  for (const auto& peer : server.connections) peer->Send(RowResponse("1"));
+  w.RunUntil([&] { return server.queries.size() == 2; });
+  cancel.Send(CancelRequestMessage(CancelKeyOf(client)));
+  w.RunUntil([&] { return cancel.peer_closed; });
+  CHECK(w.proxy.requests_in_flight() == 1);
+  for (const auto& peer : server.connections) peer->Send(RowResponse("2"));
+  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZTDCZ"); });
 }
 
 TEST_CASE("a client that sends more than the ring holds and goes is missed at once") {
   SimulatedFleet w;
-  DataServer& server = w.Serve(kSilent);
-  w.List();
+  DataServer& server = w.AddServer(kNoResponse);
+  w.ApplyEndpointList();
   std::string much;
-  for (int i = 0; i < 8000; ++i) much += Query(Ask("any", "k", kLong));
+  for (int i = 0; i < 8000; ++i) much += QueryMessage(RequestText("any", "k", kLong));
   REQUIRE(much.size() > 2 * pg::kMaxBufferBytes);
-  Bare client(w.front.port());
-  w.Until([&] { return client.Saw("Z"); });
-  client.Say(Query(Ask("any", "k", kLong)));
-  w.Until([&] { return server.queries.size() == 1; });
-  client.SayMuch(much);
+  RawClient client(w.frontend.port());
+  w.RunUntil([&] { return client.HasReceived("Z"); });
+  client.Send(QueryMessage(RequestText("any", "k", kLong)));
+  w.RunUntil([&] { return server.queries.size() == 1; });
+  client.SendNonBlocking(much);
   // Until the ring is full and nothing is read any more.
   const TimePoint from = w.loop.Now();
-  w.Until([&] { return w.loop.Now() - from > Duration(50000); });
-  client.Read();  // or the kernel would reset at once
+  w.RunUntil([&] { return w.loop.Now() - from > Duration(50000); });
+  client.ReadAvailable();  // or the kernel would reset at once
   client.Close();
-  w.Until([&] { return w.proxy.counts().withdrawn == 1; });
-  w.Until([&] { return w.front.sessions() == 0; });
+  w.RunUntil([&] { return w.proxy.counts().cancelled == 1; });
+  w.RunUntil([&] { return w.frontend.sessions() == 0; });
   CHECK(server.queries.size() == 1);
 }
 
 TEST_CASE("a client that has ended its sending is told from one that closes after that") {
   SimulatedFleet w;
-  DataServer& server = w.Serve(kSilent);
-  w.List();
-  Peer& stays = w.Client({Ask("any", "1", kLong)});
-  Peer& goes = w.Client({Ask("any", "2", kLong)});
-  w.Until([&] { return server.queries.size() == 2; });
-  for (Peer* peer : {&stays, &goes}) shutdown(peer->connection->descriptor(), SHUT_WR);
-  w.Until([&] { return stays.Saw("still at work") && goes.Saw("still at work"); });
+  DataServer& server = w.AddServer(kNoResponse);
+  w.ApplyEndpointList();
+  TestConnection& stays = w.ConnectClient({RequestText("any", "1", kLong)});
+  TestConnection& goes = w.ConnectClient({RequestText("any", "2", kLong)});
+  w.RunUntil([&] { return server.queries.size() == 2; });
+  for (TestConnection* peer : {&stays, &goes}) shutdown(peer->connection->descriptor(), SHUT_WR);
+  w.RunUntil([&] { return stays.HasReceived("still at work") && goes.HasReceived("still at work"); });
   goes.connection->Close();
-  w.Until([&] { return w.proxy.counts().withdrawn == 1; });
-  for (const auto& peer : server.peers) {
-    if (!peer->ended) peer->Say(Row("v"));
+  w.RunUntil([&] { return w.proxy.counts().cancelled == 1; });
+  for (const auto& peer : server.connections) {
+    if (!peer->peer_closed) peer->Send(RowResponse("v"));
   }
-  w.Until([&] { return stays.Types().ends_with("TDCZ"); });
+  w.RunUntil([&] { return stays.MessageTypes().ends_with("TDCZ"); });
 }
 
 TEST_CASE("a write that waits for its primary is not sent on once its client has closed") {
-  Settings patient = Usual();
+  Settings patient = DefaultSettings();
   patient.classes[2].latency_objective = 30 * kSecond;
   SimulatedFleet w(200, patient);
-  DataServer& server = w.Serve([](Peer& p, const std::string&) { p.Say(Error("25006")); });
-  w.List();
-  Peer& client = w.Client({Ask("write", "gone", kLong)});
-  w.Until([&] { return !server.queries.empty() && w.proxy.open() == 1; });
+  DataServer& server =
+      w.AddServer([](TestConnection& p, const std::string&) { p.Send(ErrorResponse("25006")); });
+  w.ApplyEndpointList();
+  TestConnection& client = w.ConnectClient({RequestText("write", "gone", kLong)});
+  w.RunUntil([&] { return !server.queries.empty() && w.proxy.requests_in_flight() == 1; });
   client.connection->Close();
-  w.Until([&] { return w.proxy.counts().withdrawn == 1; });
+  w.RunUntil([&] { return w.proxy.counts().cancelled == 1; });
   const std::size_t before = server.queries.size();
-  server.report = "x1=1,x0=" + std::to_string(w.loop.Now().time_since_epoch().count() / 1000000);
-  server.script = [](Peer& p, const std::string&) { p.Say(Row("v", "primary")); };
-  Peer& other = w.Client({Ask("write", "here", kLong)});
-  w.Until([&] { return other.Types().ends_with("TDCZ"); });
+  server.load_report = "x1=1,x0=" + std::to_string(w.loop.Now().time_since_epoch().count() / 1000000);
+  server.on_query = [](TestConnection& p, const std::string&) { p.Send(RowResponse("v", "primary")); };
+  TestConnection& other = w.ConnectClient({RequestText("write", "here", kLong)});
+  w.RunUntil([&] { return other.MessageTypes().ends_with("TDCZ"); });
   for (std::size_t i = before; i < server.queries.size(); ++i)
     CHECK(server.queries[i].find("'gone'") == std::string::npos);
 }
@@ -155,21 +157,22 @@
 TEST_CASE("an attempt whose connection comes up after its client has closed is not written") {
   for (const bool may_cancel : {false, true}) {
     CAPTURE(may_cancel);
-    Settings settings = Usual();
+    Settings settings = DefaultSettings();
     settings.may_cancel = may_cancel;
     settings.load_reporting = LoadReporting::kNone;
     SimulatedFleet w(200, settings);
-    DataServer& server = w.Serve(kAnswer);
-    server.greets = false;
-    w.List();
-    Peer& client = w.Client({Ask("any", "k", kLong)});
-    w.Until([&] { return !server.peers.empty() && server.peers[0]->started; });
+    DataServer& server = w.AddServer(kEchoValue);
+    server.accepts_startup = false;
+    w.ApplyEndpointList();
+    TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
+    w.RunUntil([&] { return !server.connections.empty() && server.connections[0]->startup_received; });
     client.connection->Close();
-    w.Until([&] { return w.proxy.counts().withdrawn == 1; });
-    for (const auto& peer : server.peers) peer->Say(Hello());
-    server.greets = true;
-    Peer& other = w.Client({Ask("any", "2", kLong)});  // comes after, on the same connection or a new one
-    w.Until([&] { return other.Types().ends_with("TDCZ"); });
+    w.RunUntil([&] { return w.proxy.counts().cancelled == 1; });
+    for (const auto& peer : server.connections) peer->Send(StartupResponse());
+    server.accepts_startup = true;
+    TestConnection& other = w.ConnectClient(
+        {RequestText("any", "2", kLong)});  // comes after, on the same connection or a new one
+    w.RunUntil([&] { return other.MessageTypes().ends_with("TDCZ"); });
     CHECK(server.queries.size() == 1);
   }
 }
@@ -177,43 +180,44 @@
 TEST_CASE(
     "a message that trickles on without an end is closed in time, though something has always just come") {
   SimulatedFleet w;
-  w.Serve(kAnswer);
-  w.List();
-  Peer& client = w.Client({});
-  client.Say("Q\0\2\0\0"s + "/* id=");
+  w.AddServer(kEchoValue);
+  w.ApplyEndpointList();
+  TestConnection& client = w.ConnectClient({});
+  client.Send("Q\0\2\0\0"s + "/* id=");
   net::Timer more(w.loop);
   std::function<void()> say = [&] {
-    if (client.ended) return;
-    client.Say("x");
+    if (client.peer_closed) return;
+    client.Send("x");
     more.ScheduleAfter(Duration(100), say);  // so that a byte lies unread at every sweep
   };
   say();
-  w.Until([&] { return client.ended; });
-  CHECK(client.Saw("08P01"));
+  w.RunUntil([&] { return client.peer_closed; });
+  CHECK(client.HasReceived("08P01"));
 }
 
 TEST_CASE("hundreds of connections that send much and go in one segment cost the others nothing") {
   SimulatedFleet w(1000);
-  DataServer& server = w.Serve([](Peer& p, const std::string& text) {
-    if (text.find("'g'") != std::string::npos) p.Say(Row("g"));  // the others' never come back
+  DataServer& server = w.AddServer([](TestConnection& p, const std::string& text) {
+    if (text.find("'g'") != std::string::npos) p.Send(RowResponse("g"));  // the others' never come back
   });
-  w.List();
-  const std::uint16_t port = w.front.port();
+  w.ApplyEndpointList();
+  const std::uint16_t port = w.frontend.port();
   for (int i = 0; i < 300; ++i) {
-    Bare flood(port, Query(Ask("any", "f", kLong)) + Query(Ask("any", "f", kLong)) + Query("SET x"));
+    RawClient flood(port, QueryMessage(RequestText("any", "f", kLong)) +
+                              QueryMessage(RequestText("any", "f", kLong)) + QueryMessage("SET x"));
   }
   // Refused with advice while the flood stands, served once it has gone.
-  Peer& good = w.Client({""});
+  TestConnection& good = w.ConnectClient({""});
   std::size_t heard = 0;
-  w.Until([&] {
-    const std::string types = good.Types();
+  w.RunUntil([&] {
+    const std::string types = good.MessageTypes();
     if (types.ends_with("Z") && !types.ends_with("DCZ") && types.size() > heard) {
       heard = types.size();
-      good.Say(Query(Ask("any", "g", kLong)));
+      good.Send(QueryMessage(RequestText("any", "g", kLong)));
     }
     return types.ends_with("TDCZ");
   });
-  w.Until([&] { return w.proxy.open() == 0 && w.front.sessions() == 1; });
+  w.RunUntil([&] { return w.proxy.requests_in_flight() == 0 && w.frontend.sessions() == 1; });
   CHECK(std::ranges::count_if(server.queries, [](const auto& q) {
           return q.find("'f'") != std::string::npos;
         }) <= 300);  // none of the second requests
@@ -238,31 +242,31 @@
 
 // Until the listener is closed, and those between requests are told to go.
 void UntilLeaving(SimulatedFleet& w, TimePoint from) {
-  w.Until([&] { return w.loop.Now() - from >= Duration(720000); });
+  w.RunUntil([&] { return w.loop.Now() - from >= Duration(720000); });
 }
 
 TEST_CASE("a stop answers what was read behind an answer, and what is sent later is not sent on") {
   SimulatedFleet w(200, Short());
-  DataServer& server = w.Serve(kSilent);
-  w.List();
+  DataServer& server = w.AddServer(kNoResponse);
+  w.ApplyEndpointList();
   bool done = false;
-  w.front.StartDrain([&] { done = true; });
+  w.frontend.StartDrain([&] { done = true; });
   const TimePoint from = w.loop.Now();
-  w.Until([&] { return w.loop.Now() - from >= Duration(600000); });
-  Peer& client = w.Client({Ask("any", "1", kLong), Ask("any", "2", kLong)});
-  w.Until([&] { return server.queries.size() == 1; });
+  w.RunUntil([&] { return w.loop.Now() - from >= Duration(600000); });
+  TestConnection& client = w.ConnectClient({RequestText("any", "1", kLong), RequestText("any", "2", kLong)});
+  w.RunUntil([&] { return server.queries.size() == 1; });
   UntilLeaving(w, from);
-  server.script = kAnswer;
-  for (const auto& peer : server.peers) peer->Say(Row("1"));
-  w.Until([&] { return client.ended; });
-  CHECK(Answered(client.Types(), 2));
-  CHECK_FALSE(client.reset);
+  server.on_query = kEchoValue;
+  for (const auto& peer : server.connections) peer->Send(RowResponse("1"));
+  w.RunUntil([&] { return client.peer_closed; });
+  CHECK(Answered(client.MessageTypes(), 2));
+  CHECK_FALSE(client.was_reset);
   const std::size_t before = server.queries.size();
-  client.Say(Query(Ask("any", "3", kLong)));
-  w.Until([&] { return client.connection->all_written(); });
+  client.Send(QueryMessage(RequestText("any", "3", kLong)));
+  w.RunUntil([&] { return client.connection->all_written(); });
   CHECK_FALSE(done);  // while the client has not closed, what it sends is thrown away
   client.connection->Close();
-  w.Until([&] { return done; });
+  w.RunUntil([&] { return done; });
   CHECK(server.queries.size() == before);
 }
 
@@ -271,19 +275,19 @@
   for (RequestClass& kind : patient.classes)
     kind.latency_objective = 30 * kSecond;  // or it might be refused for its time
   SimulatedFleet w(200, patient);
-  DataServer& server = w.Serve(kAnswer);
-  w.List();
-  Bare resting(w.front.port(), Query(""));
-  w.Until([&] { return resting.Saw("I"); });
-  w.front.StartDrain([] {});
-  w.Until([&] {
-    resting.Read();
-    return resting.ended;
+  DataServer& server = w.AddServer(kEchoValue);
+  w.ApplyEndpointList();
+  RawClient resting(w.frontend.port(), QueryMessage(""));
+  w.RunUntil([&] { return resting.HasReceived("I"); });
+  w.frontend.StartDrain([] {});
+  w.RunUntil([&] {
+    resting.ReadAvailable();
+    return resting.peer_closed;
   });
-  resting.Say(Query(Ask("any", "k", kLong)));
-  w.Until([&] { return w.front.sessions() == 0; });
+  resting.Send(QueryMessage(RequestText("any", "k", kLong)));
+  w.RunUntil([&] { return w.frontend.sessions() == 0; });
   CHECK(server.queries.empty());
-  CHECK(resting.Fault() == 0);
+  CHECK(resting.SocketError() == 0);
 }
 
 TEST_CASE("a client that asks again at each answer is told the end by a stop all the same") {
@@ -291,154 +295,155 @@
   for (RequestClass& kind : patient.classes) kind.latency_objective = 30 * kSecond;
   SimulatedFleet w(200, patient);
   std::vector<std::unique_ptr<net::Timer>> timers;
-  DataServer& server = w.Serve([&](Peer& p, const std::string&) {  // hardly a moment between two requests
-    timers.push_back(std::make_unique<net::Timer>(w.loop));
-    timers.back()->ScheduleAfter(Duration(15000), [&p] { p.Say(Row("v")); });
-  });
-  w.List();
-  Peer& client = w.Client({Ask("any", "k", kLong)});
+  DataServer& server =
+      w.AddServer([&](TestConnection& p, const std::string&) {  // hardly a moment between two requests
+        timers.push_back(std::make_unique<net::Timer>(w.loop));
+        timers.back()->ScheduleAfter(Duration(15000), [&p] { p.Send(RowResponse("v")); });
+      });
+  w.ApplyEndpointList();
+  TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
   bool done = false;
-  w.front.StartDrain([&] { done = true; });
+  w.frontend.StartDrain([&] { done = true; });
   const TimePoint from = w.loop.Now();
   std::size_t heard = 0, at_stop = 0;
-  w.Until([&] {
+  w.RunUntil([&] {
     if (w.loop.Now() - from >= Duration(720000) && at_stop == 0) at_stop = server.queries.size();
-    const std::size_t types = client.Types().size();
-    if (!client.ended && types > heard && client.Types().ends_with("CZ")) {
-      client.Say(Query(Ask("any", "k", kLong)));
+    const std::size_t types = client.MessageTypes().size();
+    if (!client.peer_closed && types > heard && client.MessageTypes().ends_with("CZ")) {
+      client.Send(QueryMessage(RequestText("any", "k", kLong)));
     }
     heard = types;
-    return client.ended;
+    return client.peer_closed;
   });
   CHECK((at_stop == 0 || server.queries.size() <= at_stop + 1));
   client.connection->Close();
-  w.Until([&] { return done; });
+  w.RunUntil([&] { return done; });
 }
 
 TEST_CASE("half a request at a stop is refused with 57P03, or answered if its rest comes") {
   SimulatedFleet w(200, Short());
-  w.Serve(kAnswer);
-  w.List();
-  w.front.StartDrain([] {});
+  w.AddServer(kEchoValue);
+  w.ApplyEndpointList();
+  w.frontend.StartDrain([] {});
   const TimePoint from = w.loop.Now();
-  w.Until([&] { return w.loop.Now() - from >= Duration(650000); });
-  const std::string query = Query(Ask("any", "v", kLong));
-  Peer& half = w.Client({""});
-  Peer& whole = w.Client({""});
-  w.Until([&] { return half.Saw("I") && whole.Saw("I"); });
-  for (Peer* peer : {&half, &whole}) peer->Say(query.substr(0, 30));
+  w.RunUntil([&] { return w.loop.Now() - from >= Duration(650000); });
+  const std::string query = QueryMessage(RequestText("any", "v", kLong));
+  TestConnection& half = w.ConnectClient({""});
+  TestConnection& whole = w.ConnectClient({""});
+  w.RunUntil([&] { return half.HasReceived("I") && whole.HasReceived("I"); });
+  for (TestConnection* peer : {&half, &whole}) peer->Send(query.substr(0, 30));
   UntilLeaving(w, from);
-  whole.Say(query.substr(30));
-  w.Until([&] { return whole.ended && half.ended; });
-  CHECK(Answered(whole.Types(), 1));
-  CHECK(half.Saw("57P03"));
-  CHECK_FALSE(half.reset);
-  CHECK_FALSE(whole.reset);
+  whole.Send(query.substr(30));
+  w.RunUntil([&] { return whole.peer_closed && half.peer_closed; });
+  CHECK(Answered(whole.MessageTypes(), 1));
+  CHECK(half.HasReceived("57P03"));
+  CHECK_FALSE(half.was_reset);
+  CHECK_FALSE(whole.was_reset);
 }
 
 TEST_CASE("a connection that waits in the queue as the listener closes has its request answered") {
   SimulatedFleet w(200, Short());
-  w.Serve(kAnswer);
-  w.List();
-  w.front.StartDrain([] {});
+  w.AddServer(kEchoValue);
+  w.ApplyEndpointList();
+  w.frontend.StartDrain([] {});
   const TimePoint from = w.loop.Now();
-  w.Until([&] { return w.loop.Now() - from >= Duration(600000); });
+  w.RunUntil([&] { return w.loop.Now() - from >= Duration(600000); });
   // The loop stands still until the listener is due to close: the connection and its request come meanwhile.
-  Bare queued(w.front.port(), Query(Ask("any", "v", kLong)));
+  RawClient queued(w.frontend.port(), QueryMessage(RequestText("any", "v", kLong)));
   while (w.loop.PreciseNow() - from < Duration(705000))
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
-  w.Until([&] { return queued.Saw("SELECT 1") || queued.Saw("53300"); });
-  w.Until([&] {
-    queued.Read();
-    return queued.ended;
+  w.RunUntil([&] { return queued.HasReceived("SELECT 1") || queued.HasReceived("53300"); });
+  w.RunUntil([&] {
+    queued.ReadAvailable();
+    return queued.peer_closed;
   });
 }
 
 TEST_CASE("what is owed is answered before the earliest kill, whatever its deadline") {
   SimulatedFleet w(200, Short());
-  DataServer& server = w.Serve(kSilent);
-  w.List();
-  Peer& out = w.Client({Ask("any", "1", kLong)});
-  w.Until([&] { return server.queries.size() == 1; });
-  server.script = [](Peer& p, const std::string&) { p.Say(Error("25006")); };
-  Peer& held = w.Client({Ask("write", "2", kLong)});
-  w.Until([&] { return w.proxy.open() == 2; });
+  DataServer& server = w.AddServer(kNoResponse);
+  w.ApplyEndpointList();
+  TestConnection& out = w.ConnectClient({RequestText("any", "1", kLong)});
+  w.RunUntil([&] { return server.queries.size() == 1; });
+  server.on_query = [](TestConnection& p, const std::string&) { p.Send(ErrorResponse("25006")); };
+  TestConnection& held = w.ConnectClient({RequestText("write", "2", kLong)});
+  w.RunUntil([&] { return w.proxy.requests_in_flight() == 2; });
   bool done = false;
-  w.front.StartDrain([&] { done = true; });
-  w.front.StartDrain([&] { FAIL("a second stop is none of its own"); });
+  w.frontend.StartDrain([&] { done = true; });
+  w.frontend.StartDrain([&] { FAIL("a second stop is none of its own"); });
   const TimePoint from = w.loop.Now();
-  w.Until([&] { return out.Types().ends_with("EZ") && held.Types().ends_with("EZ"); });
+  w.RunUntil([&] { return out.MessageTypes().ends_with("EZ") && held.MessageTypes().ends_with("EZ"); });
   // The loop's own times: this is the moment that was chosen, not how fast the machine is.
   CHECK(w.loop.Now() - from >= Duration(850000));
-  CHECK(out.Saw("58000"));
-  w.Until([&] { return done || (out.ended && held.ended); });
+  CHECK(out.HasReceived("58000"));
+  w.RunUntil([&] { return done || (out.peer_closed && held.peer_closed); });
 }
 
 TEST_CASE("an answer larger than the client's window at the stop arrives whole, and then the end") {
   SimulatedFleet w(200, Short());
   const std::string large(60000, 'x');
-  DataServer& server = w.Serve([&](Peer& p, const std::string&) {
+  DataServer& server = w.AddServer([&](TestConnection& p, const std::string&) {
     std::string out;
-    pg::AppendMessage(out, 'T', kColumn);
+    pg::AppendMessage(out, 'T', kRowDescription);
     std::string row("\0\1\0\0", 4);
     row += static_cast<char>(large.size() >> 8);
     row += static_cast<char>(large.size() & 0xff);
     pg::AppendMessage(out, 'D', row + large);
     pg::AppendCommandComplete(out, "SELECT 1");
     pg::AppendReadyForQuery(out);
-    p.Say(out);
+    p.Send(out);
   });
-  w.List();
-  Peer& client = w.Connect(w.front.port());
+  w.ApplyEndpointList();
+  TestConnection& client = w.OpenConnection(w.frontend.port());
   const int small = 65536;
   setsockopt(client.connection->descriptor(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
   client.connection->PauseReading();
   std::string out;
   pg::AppendStartupMessage(out, "worker", "catalog");
-  for (int i = 0; i < 60; ++i) pg::AppendQuery(out, Ask("any", "k", kLong));
-  client.Say(out);
-  w.Until([&] { return !server.queries.empty(); });
-  w.front.StartDrain([] {});
+  for (int i = 0; i < 60; ++i) pg::AppendQuery(out, RequestText("any", "k", kLong));
+  client.Send(out);
+  w.RunUntil([&] { return !server.queries.empty(); });
+  w.frontend.StartDrain([] {});
   const TimePoint from = w.loop.Now();
   UntilLeaving(w, from);
   client.connection->ResumeReading();
-  w.Until([&] { return client.ended; });
-  CHECK_FALSE(client.reset);
+  w.RunUntil([&] { return client.peer_closed; });
+  CHECK_FALSE(client.was_reset);
   // Every answer that was begun is whole.
-  std::string rest = client.bytes;
+  std::string rest = client.received;
   for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kComplete;) rest.erase(0, f.size);
   CHECK(rest.empty());
-  CHECK(client.Types().ends_with("Z"));
+  CHECK(client.MessageTypes().ends_with("Z"));
 }
 
 TEST_CASE("an idle client that is closed for its age reads the end; its next request is not run, nor reset") {
   SimulatedFleet w(100);
-  DataServer& server = w.Serve(kAnswer);
-  w.List();
-  Bare first(w.front.port(), Query(""));
-  w.Until([&] { return first.Saw("I"); });
-  for (int i = 0; i < 20; ++i) w.Client({""});  // more than a quarter of what clients may hold
-  w.Until([&] {
-    first.Read();
-    return first.ended;
+  DataServer& server = w.AddServer(kEchoValue);
+  w.ApplyEndpointList();
+  RawClient first(w.frontend.port(), QueryMessage(""));
+  w.RunUntil([&] { return first.HasReceived("I"); });
+  for (int i = 0; i < 20; ++i) w.ConnectClient({""});  // more than a quarter of what clients may hold
+  w.RunUntil([&] {
+    first.ReadAvailable();
+    return first.peer_closed;
   });
-  first.Say(Query(Ask("any")));
+  first.Send(QueryMessage(RequestText("any")));
   first.ShutdownSending();
-  w.Until([&] { return w.front.sessions() == 0; });
+  w.RunUntil([&] { return w.frontend.sessions() == 0; });
   CHECK(server.queries.empty());
-  CHECK(first.Fault() == 0);
+  CHECK(first.SocketError() == 0);
 }
 
 // ---- Data servers that end -------------------------------------------------------------------------------
 
-struct Ends final : proxy::BackendEvents {
-  std::vector<proxy::AttemptEnd> attempts;
-  void OnAttemptEnd(proxy::AttemptEnd end) override { attempts.push_back(std::move(end)); }
-  void OnProbeEnd(const HealthCheckEvent&) override {}
+struct Ends final : proxy::UpstreamEvents {
+  std::vector<proxy::AttemptResult> attempts;
+  void OnAttemptFinished(proxy::AttemptResult end) override { attempts.push_back(std::move(end)); }
+  void OnHealthCheckFinished(const HealthCheckEvent&) override {}
 };
 
-struct Text final : proxy::Work {
-  std::string TextFor(Duration) const override { return Ask("write"); }
+struct Text final : proxy::Statement {
+  std::string TextWithBudget(Duration) const override { return RequestText("write"); }
 };
 
 // The window was open when the repeat was decided; its connection comes up when it is not any more.
@@ -448,15 +453,15 @@
   upstream::ConnectionPool pool(loop, {.connect_timeout = Duration(5000000)}, budget, [] { return false; });
   Ends ends;
   pool.SetEvents(ends);
-  std::vector<std::unique_ptr<Peer>> peers;
-  Texts queries;
+  std::vector<std::unique_ptr<TestConnection>> peers;
+  Strings queries;
   net::Listener listener(
       loop, [] { return true; },
       [&](net::ObjectPtr<GSocket> socket) {
-        peers.push_back(std::make_unique<Peer>());
-        Peer& peer = *peers.back();
-        peer.server = true;
-        peer.script = [&](Peer&, const std::string& text) { queries.push_back(text); };
+        peers.push_back(std::make_unique<TestConnection>());
+        TestConnection& peer = *peers.back();
+        peer.is_server = true;
+        peer.on_query = [&](TestConnection&, const std::string& text) { queries.push_back(text); };
         peer.connection = Connection::Adopt(loop, std::move(socket), peer, 65536, 65536);
       });
   REQUIRE(listener.Open({"127.0.0.1", 0}));
@@ -465,18 +470,18 @@
   };
   pool.SetAddress(ServerId(1), {"127.0.0.1", listener.port()});
   const auto work = std::make_shared<Text>();
-  pool.Send(RequestId(1), 1, ServerId(1), work, {Duration(4000000), Duration(30000)});
+  pool.StartAttempt(RequestId(1), 1, ServerId(1), work, {Duration(4000000), Duration(30000)});
   until([&] { return queries.size() == 1; });  // the hello
   until([&] { return ends.attempts.size() == 1; });
   CHECK(ends.attempts[0].outcome == Outcome::kUnreachable);
-  peers[0]->Say(Hello());
+  peers[0]->Send(StartupResponse());
   // Up now, for one that may still be written, and for one whose time passes while the loop stands still.
-  pool.Send(RequestId(2), 0, ServerId(1), work, {Duration(4000000)});
+  pool.StartAttempt(RequestId(2), 0, ServerId(1), work, {Duration(4000000)});
   until([&] { return queries.size() == 2; });
-  peers[0]->Say(Row("v"));
+  peers[0]->Send(RowResponse("v"));
   until([&] { return ends.attempts.size() == 2; });
   CHECK(ends.attempts[1].outcome == Outcome::kOk);
-  pool.Send(RequestId(3), 1, ServerId(1), work, {Duration(4000000), Duration(0)});
+  pool.StartAttempt(RequestId(3), 1, ServerId(1), work, {Duration(4000000), Duration(0)});
   until([&] { return ends.attempts.size() == 3; });
   CHECK(ends.attempts[2].outcome == Outcome::kUnreachable);
   CHECK(queries.size() == 2);
@@ -495,18 +500,18 @@
   for (const auto& c : cases) {
     CAPTURE(static_cast<int>(c.idempotency));
     CAPTURE(c.window.count());
-    Settings settings = Usual();
+    Settings settings = DefaultSettings();
     settings.classes[2].idempotency = c.idempotency;
     settings.classes[2].idempotency_window = c.window;
     SimulatedFleet w(200, settings);
-    DataServer& server = w.Serve([](Peer& p, const std::string&) { p.connection->Close(); });
-    server.report = "x1=1,x0=1";
-    w.List();
-    Peer& client = w.Client({Ask("write", "k", 2000)});
-    w.Until([&] { return client.Types().ends_with("EZ"); });
+    DataServer& server = w.AddServer([](TestConnection& p, const std::string&) { p.connection->Close(); });
+    server.load_report = "x1=1,x0=1";
+    w.ApplyEndpointList();
+    TestConnection& client = w.ConnectClient({RequestText("write", "k", 2000)});
+    w.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
     CHECK(server.queries.size() >= c.least);
     CHECK(server.queries.size() <= c.most);
-    CHECK(client.Saw("53300") == (c.idempotency == Idempotency::kIdempotent));
+    CHECK(client.HasReceived("53300") == (c.idempotency == Idempotency::kIdempotent));
   }
 }
 
@@ -515,63 +520,63 @@
     CAPTURE(whole);
     SimulatedFleet w;
     int asked = 0;
-    const auto reset = [](Peer& p) {
+    const auto reset = [](TestConnection& p) {
       const linger now{1, 0};
       setsockopt(p.connection->descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
       p.connection->Close();
     };
-    w.Serve([&](Peer& p, const std::string&) {
-      if (++asked > 1) return p.Say(Row("2"));
-      p.Say(whole ? Row("1") : Row("1").substr(0, 20));
+    w.AddServer([&](TestConnection& p, const std::string&) {
+      if (++asked > 1) return p.Send(RowResponse("2"));
+      p.Send(whole ? RowResponse("1") : RowResponse("1").substr(0, 20));
       reset(p);
     });
-    w.List();
-    Peer& client = w.Client({Ask("any", "k", kLong)});
-    w.Until([&] { return client.Types().ends_with("TDCZ"); });
-    CHECK(client.Types().ends_with("KZTDCZ"));  // once
+    w.ApplyEndpointList();
+    TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
+    w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+    CHECK(client.MessageTypes().ends_with("KZTDCZ"));  // once
     // A reset may overtake an answer in the kernel: then it was none, and the second is given.
-    CHECK((client.Saw("\0011C") || client.Saw("\0012C")));
-    if (!whole) CHECK(client.Saw("\0012C"));
-    CHECK(w.proxy.open() == 0);
+    CHECK((client.HasReceived("\0011C") || client.HasReceived("\0012C")));
+    if (!whole) CHECK(client.HasReceived("\0012C"));
+    CHECK(w.proxy.requests_in_flight() == 0);
   }
 }
 
 TEST_CASE("an answer that goes on for ever is cut, and its request tried again") {
-  Settings patient = Usual();
+  Settings patient = DefaultSettings();
   // Or it might be refused for the time it has lost.
   for (RequestClass& kind : patient.classes) kind.latency_objective = 30 * kSecond;
   SimulatedFleet w(200, patient);
-  Peer* endless = nullptr;
-  w.Serve([&](Peer& p, const std::string&) {
-    if (endless != nullptr) return p.Say(Row("v"));
+  TestConnection* endless = nullptr;
+  w.AddServer([&](TestConnection& p, const std::string&) {
+    if (endless != nullptr) return p.Send(RowResponse("v"));
     endless = &p;
   });
-  w.List();
+  w.ApplyEndpointList();
   net::Timer more(w.loop);
   std::function<void()> say = [&] {
     std::string notice;
     pg::AppendNoticeResponse(notice, "more to come");
-    if (endless != nullptr && !endless->ended) endless->Say(notice);
+    if (endless != nullptr && !endless->peer_closed) endless->Send(notice);
     more.ScheduleAfter(Duration(0), say);  // so that something is unread at every moment
   };
   say();
-  Peer& client = w.Client({Ask("any", "k", kLong)});
-  w.Until([&] { return client.Types().ends_with("TDCZ"); });
-  w.Until([&] { return endless->ended; });
+  TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
+  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+  w.RunUntil([&] { return endless->peer_closed; });
 }
 
 TEST_CASE("a data server that drained and is back under its id, with a new start, is used again") {
   SimulatedFleet w;
-  DataServer& server = w.Serve(kAnswer);
-  w.List();
-  w.List(ListKind::kPartial, Lifecycle::kDraining);
-  Peer& refused = w.Client({Ask("any", "k", 300)});
-  w.Until([&] { return refused.Saw("53300"); });
+  DataServer& server = w.AddServer(kEchoValue);
+  w.ApplyEndpointList();
+  w.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+  TestConnection& refused = w.ConnectClient({RequestText("any", "k", 300)});
+  w.RunUntil([&] { return refused.HasReceived("53300"); });
   ListEvent back{ListKind::kPartial, {}};
   back.entries.push_back({.server = ServerId(1), .group = GroupId(2), .started = w.loop.Now()});
-  w.proxy.ListChanged(back);
-  Peer& served = w.Client({Ask("any", "k", 3000)});
-  w.Until([&] { return served.Types().ends_with("TDCZ"); });
+  w.proxy.ApplyEndpointList(back);
+  TestConnection& served = w.ConnectClient({RequestText("any", "k", 3000)});
+  w.RunUntil([&] { return served.MessageTypes().ends_with("TDCZ"); });
   CHECK(server.queries.size() == 1);
 }
 
@@ -579,15 +584,15 @@
 
 // An agent that answers each call by its number, and a watch on it.
 struct Watched {
-  using Answer = std::function<void(Peer&, std::size_t)>;
+  using Answer = std::function<void(TestConnection&, std::size_t)>;
   explicit Watched(Answer answer, discovery::DiscoveryService service = {.drain_grace = 2 * kSecond})
       : listener(
             loop, [] { return true; },
             [this, answer = std::move(answer)](net::ObjectPtr<GSocket> socket) {
-              peers.push_back(std::make_unique<Peer>());
-              Peer& peer = *peers.back();
+              connections.push_back(std::make_unique<TestConnection>());
+              TestConnection& peer = *connections.back();
               peer.connection = Connection::Adopt(loop, std::move(socket), peer, 65536, 65536);
-              answer(peer, peers.size());
+              answer(peer, connections.size());
             }),
         reader({"a"}) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
@@ -596,7 +601,7 @@
     watch->Start();
   }
   // The time limit is for a test that hangs, not a measure of speed.
-  void Until(const std::function<bool()>& holds) {
+  void RunUntil(const std::function<bool()>& holds) {
     bool late = false;
     net::Timer limit(loop);
     limit.ScheduleAfter(10 * kSecond, [&] { late = true; });
@@ -606,7 +611,7 @@
   net::Loop loop;
   net::Listener listener;
   discovery::EndpointListReader reader;
-  std::vector<std::unique_ptr<Peer>> peers;
+  std::vector<std::unique_ptr<TestConnection>> connections;
   std::vector<discovery::EndpointListUpdate> changes;
   std::optional<discovery::DiscoveryWatch> watch;
 };
@@ -619,47 +624,49 @@
 }
 
 TEST_CASE("a watch that trickles a line that never ends is silent, and opened anew") {
-  Watched w([](Peer& p, std::size_t call) { p.Say(kOpenEnded + (call == 1 ? "{" : Listing("43") + "\n")); });
+  Watched w([](TestConnection& p, std::size_t call) {
+    p.Send(kOpenEnded + (call == 1 ? "{" : Listing("43") + "\n"));
+  });
   net::Timer trickle(w.loop);
   std::function<void()> drop = [&] {
-    if (!w.peers.empty() && !w.peers[0]->ended) w.peers[0]->Say(" ");
+    if (!w.connections.empty() && !w.connections[0]->peer_closed) w.connections[0]->Send(" ");
     trickle.ScheduleAfter(Duration(50000), drop);
   };
   drop();
-  w.Until([&] { return w.changes.size() == 1; });
-  CHECK(w.peers.size() == 2);
-  CHECK(w.peers[1]->Saw("since=41 "));
+  w.RunUntil([&] { return w.changes.size() == 1; });
+  CHECK(w.connections.size() == 2);
+  CHECK(w.connections[1]->HasReceived("since=41 "));
 }
 
 TEST_CASE("a list that comes indented over several lines is one list") {
   const std::string indented =
       "{\n  \"rev\": 43,\n  \"all\": true,\n  \"targets\": [\n    " + kDrains + "\n  ]\n}\n\n";
-  Watched w([&](Peer& p, std::size_t) { p.Say(kOpenEnded + indented); });
-  w.Until([&] { return !w.changes.empty(); });
+  Watched w([&](TestConnection& p, std::size_t) { p.Send(kOpenEnded + indented); });
+  w.RunUntil([&] { return !w.changes.empty(); });
   REQUIRE(w.changes[0].endpoints.size() == 1);
   CHECK(w.changes[0].revision == 43);
   CHECK(w.changes[0].endpoints[0].entry.lifecycle == Lifecycle::kDraining);
-  CHECK(w.peers.size() == 1);
+  CHECK(w.connections.size() == 1);
 }
 
 TEST_CASE("an answer without a length that is reset is no list, and one that ends is") {
   for (const bool reset : {true, false}) {
     CAPTURE(reset);
     const std::string list = Listing("43");
-    Watched w([&](Peer& p, std::size_t call) {
-      if (call > 1) return p.Say(kOpenEnded + Listing("44") + "\n");
-      p.Say(kOpenEnded + (reset ? list.substr(0, list.size() - 2) : list));  // without a line's end
+    Watched w([&](TestConnection& p, std::size_t call) {
+      if (call > 1) return p.Send(kOpenEnded + Listing("44") + "\n");
+      p.Send(kOpenEnded + (reset ? list.substr(0, list.size() - 2) : list));  // without a line's end
       if (!reset) return p.connection->ShutdownSending();
     });
-    w.Until([&] { return !w.peers.empty() && w.peers[0]->Saw("\r\n\r\n"); });
+    w.RunUntil([&] { return !w.connections.empty() && w.connections[0]->HasReceived("\r\n\r\n"); });
     if (reset) {
       const linger now{1, 0};
-      setsockopt(w.peers[0]->connection->descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
-      w.peers[0]->connection->Close();
+      setsockopt(w.connections[0]->connection->descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+      w.connections[0]->connection->Close();
     }
-    w.Until([&] { return w.peers.size() == 2 && w.peers[1]->Saw("\r\n\r\n"); });
-    CHECK(w.peers[1]->Saw(reset ? "since=41 " : "since=43 "));
-    w.Until([&] { return w.changes.size() == (reset ? 1 : 2); });
+    w.RunUntil([&] { return w.connections.size() == 2 && w.connections[1]->HasReceived("\r\n\r\n"); });
+    CHECK(w.connections[1]->HasReceived(reset ? "since=41 " : "since=43 "));
+    w.RunUntil([&] { return w.changes.size() == (reset ? 1 : 2); });
     CHECK(w.changes.back().revision == 44);
   }
 }
@@ -668,14 +675,14 @@
 TEST_CASE("a spoilt line on a watch is asked for again at once") {
   for (const std::string spoilt : {"{\"rev\":42,\"all\":fal\n", "{\"rev\":42,\"all\"\n\n", "noise\n"}) {
     CAPTURE(spoilt);
-    Watched w([&](Peer& p, std::size_t call) {
-      p.Say(kOpenEnded +
-            (call == 1 ? spoilt + R"({"rev":43,"all":false,"targets":[]})" + "\n" : Listing("43") + "\n"));
+    Watched w([&](TestConnection& p, std::size_t call) {
+      p.Send(kOpenEnded +
+             (call == 1 ? spoilt + R"({"rev":43,"all":false,"targets":[]})" + "\n" : Listing("43") + "\n"));
     });
-    w.Until([&] { return !w.changes.empty(); });
-    CHECK(w.peers.size() == 2);
+    w.RunUntil([&] { return !w.changes.empty(); });
+    CHECK(w.connections.size() == 2);
     CHECK(w.changes[0].complete);
-    CHECK(w.peers[1]->Saw("since=41 "));
+    CHECK(w.connections[1]->HasReceived("since=41 "));
   }
 }
 
@@ -703,9 +710,9 @@
 // another address.
 TEST_CASE("SIGHUP that comes while the program starts is obeyed once it has started") {
   SimulatedFleet w;
-  Agent first(w.loop), second(w.loop);
-  first.line = second.line = std::string(kNoList) + "\n";
-  Program program(w);
+  DiscoveryAgent first(w.loop), second(w.loop);
+  first.response = second.response = std::string(kNoList) + "\n";
+  PoolerProcess program(w);
   const std::string path = program.folder + "/config.json";
   REQUIRE(mkfifo(path.c_str(), 0600) == 0);
   program.Start();
@@ -714,18 +721,18 @@
   opener.join();
   REQUIRE(pipe != nullptr);
   g_subprocess_send_signal(program.process.get(), SIGHUP);
-  const std::string text = program.PlatformConfig(first.Where(), kNoList);
+  const std::string text = program.PlatformConfig(first.Address(), kNoList);
   std::remove(path.c_str());
-  program.Configure(program.PlatformConfig(second.Where(), kNoList));
+  program.Configure(program.PlatformConfig(second.Address(), kNoList));
   std::fwrite(text.data(), 1, text.size(), pipe);
   std::fclose(pipe);
-  w.Until([&] { return program.over || second.Asked("GET "); });
-  CHECK_FALSE(program.over);
+  w.RunUntil([&] { return program.exited || second.HasReceived("GET "); });
+  CHECK_FALSE(program.exited);
 }
 
 TEST_CASE("a malformed field of the configuration ends the start with one sentence that names it") {
   SimulatedFleet w;
-  Program program(w);
+  PoolerProcess program(w);
   const std::string sound = program.PlatformConfig("127.0.0.1:1", kNoList);
   const struct {
     const char *old, *now, *named;
@@ -770,41 +777,43 @@
 TEST_CASE("a program that knows nobody, with discovery down, is ready in time and refuses with advice") {
   SimulatedFleet w;
   const std::uint16_t closed = ClosedPort(w.loop);
-  Program program(w);
+  PoolerProcess program(w);
   program.Configure(program.PlatformConfig("127.0.0.1:" + std::to_string(closed), kNoList));
   program.Start();
   // On one connection, once it is taken in: one for each look were more than this process may hold.
-  Peer* client = nullptr;
+  TestConnection* client = nullptr;
   for (bool ready = false; !ready;) {
-    if (client == nullptr || client->ended) {
-      client = &program.Client({""});
+    if (client == nullptr || client->peer_closed) {
+      client = &program.ConnectClient({""});
     } else {
-      client->bytes.clear();
-      client->Say(Query(""));
+      client->received.clear();
+      client->Send(QueryMessage(""));
     }
-    w.Until(
-        [&] { return client->ended || client->Types().ends_with("EZ") || client->Types().ends_with("IZ"); });
-    ready = client->Types().ends_with("IZ");
-    REQUIRE_FALSE(program.over);
+    w.RunUntil([&] {
+      return client->peer_closed || client->MessageTypes().ends_with("EZ") ||
+             client->MessageTypes().ends_with("IZ");
+    });
+    ready = client->MessageTypes().ends_with("IZ");
+    REQUIRE_FALSE(program.exited);
   }
-  client->Say(Query(Ask("any")));
-  w.Until([&] { return client->Types().ends_with("EZ"); });
-  CHECK(client->Saw("53300"));
+  client->Send(QueryMessage(RequestText("any")));
+  w.RunUntil([&] { return client->MessageTypes().ends_with("EZ"); });
+  CHECK(client->HasReceived("53300"));
 }
 
 TEST_CASE("SIGTERM twice, and before it is ready, ends the program in order") {
   SimulatedFleet w;
-  Agent silent(w.loop);
-  Program program(w);
-  std::string config = program.PlatformConfig(silent.Where(), kNoList);
+  DiscoveryAgent silent(w.loop);
+  PoolerProcess program(w);
+  std::string config = program.PlatformConfig(silent.Address(), kNoList);
   config.replace(config.find("4000000"), 7, "400000");
   program.Configure(config);
   program.Start();
-  w.Until([&] { return silent.Asked("GET "); });
-  Peer& early = program.Client({""});
-  w.Until([&] { return early.Saw("57P03"); });
+  w.RunUntil([&] { return silent.HasReceived("GET "); });
+  TestConnection& early = program.ConnectClient({""});
+  w.RunUntil([&] { return early.HasReceived("57P03"); });
   for (int i = 0; i < 2; ++i) g_subprocess_send_signal(program.process.get(), SIGTERM);
-  w.Until([&] { return program.over; });
+  w.RunUntil([&] { return program.exited; });
   REQUIRE(g_subprocess_get_if_exited(program.process.get()));
   CHECK(g_subprocess_get_exit_status(program.process.get()) == 0);
 }
@@ -813,53 +822,59 @@
 TEST_CASE(
     "clients that fill the descriptors while discovery is down do not keep its word out at its return") {
   SimulatedFleet w(2000);
-  DataServer& server = w.Serve(kAnswer);
+  DataServer& server = w.AddServer(kEchoValue);
   const std::uint16_t port = ClosedPort(w.loop);
   const std::string known = R"({"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:)" +
                             std::to_string(server.listener.port()) +
                             R"(","az":"a","pod_group":2,"state":"Ready"}]})";
   std::string now = known;
   now.replace(now.find("Ready"), 5, "Terminating");
-  Program program(w);
+  PoolerProcess program(w);
   std::string config = program.PlatformConfig("127.0.0.1:" + std::to_string(port), known);
   config.replace(config.find(R"("seed")"), 6, R"("limits":{"sockets":100},"seed")");
   program.Configure(config);
   program.Start();
   for (bool ready = false; !ready;) {
-    Peer& client = program.Client({""});
-    w.Until([&] { return client.ended || client.Types().ends_with("EZ") || client.Types().ends_with("IZ"); });
-    ready = client.Types().ends_with("IZ");
+    TestConnection& client = program.ConnectClient({""});
+    w.RunUntil([&] {
+      return client.peer_closed || client.MessageTypes().ends_with("EZ") ||
+             client.MessageTypes().ends_with("IZ");
+    });
+    ready = client.MessageTypes().ends_with("IZ");
   }
   const rlimit most{100, 100};
   const pid_t pid = std::stoi(g_subprocess_get_identifier(program.process.get()));
   REQUIRE(prlimit(pid, RLIMIT_NOFILE, &most, nullptr) == 0);
-  for (int i = 0; i < 150; ++i) program.Client({""});
-  w.Until([&] { return program.world.clients.back()->Types().ends_with("IZ"); });
-  Peer& before = program.Client({Ask("any")});
-  w.Until([&] { return before.Types().ends_with("TDCZ"); });
+  for (int i = 0; i < 150; ++i) program.ConnectClient({""});
+  w.RunUntil([&] { return program.fleet.clients.back()->MessageTypes().ends_with("IZ"); });
+  TestConnection& before = program.ConnectClient({RequestText("any")});
+  w.RunUntil([&] { return before.MessageTypes().ends_with("TDCZ"); });
   // What clients cannot have stays free for the watch, and for the program's own.
   const auto held = std::distance(std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd"),
                                   std::filesystem::directory_iterator());
   CHECK(held <= 90);
   // It returns, while clients go on to fill what is free.
-  std::vector<std::unique_ptr<Peer>> agents;
+  std::vector<std::unique_ptr<TestConnection>> agents;
   net::Listener agent(
       w.loop, [] { return true; },
       [&](net::ObjectPtr<GSocket> socket) {
-        agents.push_back(std::make_unique<Peer>());
+        agents.push_back(std::make_unique<TestConnection>());
         agents.back()->connection =
             Connection::Adopt(w.loop, std::move(socket), *agents.back(), 65536, 65536);
-        agents.back()->Say(kOpenEnded + now + "\n");
+        agents.back()->Send(kOpenEnded + now + "\n");
       });
   REQUIRE(agent.Open({"127.0.0.1", port}));
-  for (int i = 0; i < 150; ++i) program.Client({""});
-  w.Until([&] { return !agents.empty() && agents.back()->Saw("\r\n\r\n"); });
+  for (int i = 0; i < 150; ++i) program.ConnectClient({""});
+  w.RunUntil([&] { return !agents.empty() && agents.back()->HasReceived("\r\n\r\n"); });
   for (bool told = false; !told;) {
-    Peer& client = program.Client({Ask("any", "k", 300)});
-    w.Until([&] { return client.ended || client.Types().ends_with("EZ") || client.Types().ends_with("CZ"); });
-    told = client.Saw("53300");
+    TestConnection& client = program.ConnectClient({RequestText("any", "k", 300)});
+    w.RunUntil([&] {
+      return client.peer_closed || client.MessageTypes().ends_with("EZ") ||
+             client.MessageTypes().ends_with("CZ");
+    });
+    told = client.HasReceived("53300");
   }
-  CHECK_FALSE(program.over);
+  CHECK_FALSE(program.exited);
 }
 
 }  // namespace
--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -12,23 +12,23 @@
 namespace {
 
 // The statement is the time that it tells, in milliseconds.
-struct TellsTime final : proxy::Work {
-  std::string TextFor(Duration left) const override { return std::to_string(left.count() / 1000); }
+struct TellsTime final : proxy::Statement {
+  std::string TextWithBudget(Duration left) const override { return std::to_string(left.count() / 1000); }
 };
 
 // A pool of connections alone, with what became of its attempts and probes.
-struct Attempts final : proxy::BackendEvents {
+struct Attempts final : proxy::UpstreamEvents {
   virtual ~Attempts() = default;
   explicit Attempts(upstream::PoolSettings settings = {})
       : pool(loop, std::move(settings), budget, [] { return false; }),
-        server(loop, [](Peer& p, const std::string&) { p.Say(Row("v")); }) {
+        server(loop, [](TestConnection& p, const std::string&) { p.Send(RowResponse("v")); }) {
     pool.SetEvents(*this);
     pool.SetAddress(kServer, {"127.0.0.1", server.listener.port()});
   }
-  void OnAttemptEnd(proxy::AttemptEnd end) override { ends.push_back(std::move(end)); }
-  void OnProbeEnd(const HealthCheckEvent& event) override { probed.push_back(event); }
+  void OnAttemptFinished(proxy::AttemptResult end) override { ends.push_back(std::move(end)); }
+  void OnHealthCheckFinished(const HealthCheckEvent& event) override { probed.push_back(event); }
   void Send(int limit_ms, Duration write_within = Duration::max()) {
-    pool.Send(RequestId(++last), 0, kServer, work, {limit_ms * kMs, write_within});
+    pool.StartAttempt(RequestId(++last), 0, kServer, work, {limit_ms * kMs, write_within});
   }
   // One attempt, so that a connection stands idle.
   void Warm() {
@@ -41,8 +41,8 @@
   net::DescriptorBudget budget{200};
   upstream::ConnectionPool pool;
   DataServer server;
-  std::shared_ptr<const proxy::Work> work = std::make_shared<TellsTime>();
-  std::vector<proxy::AttemptEnd> ends;
+  std::shared_ptr<const proxy::Statement> work = std::make_shared<TellsTime>();
+  std::vector<proxy::AttemptResult> ends;
   std::vector<HealthCheckEvent> probed;
   std::uint32_t last = 0;
 };
@@ -70,7 +70,7 @@
   void OnDisconnected() override {}
   void Begin() { there->Write("x"); }
   int ms;
-  Peer far;
+  TestConnection far;
   net::Listener listener;
   std::shared_ptr<Connection> here, there;
 };
@@ -91,26 +91,28 @@
 
 TEST_CASE("an attempt whose connection is established late announces the time that is left then") {
   Attempts a;
-  a.server.greets = false;
+  a.server.accepts_startup = false;
   a.Send(1000);
-  Until([&] { return a.server.peers.size() == 1 && a.server.peers[0]->started; }, a.loop);
+  Until([&] { return a.server.connections.size() == 1 && a.server.connections[0]->startup_received; },
+        a.loop);
   Wait(a.loop, 150);
-  a.server.peers[0]->Say(Hello());
+  a.server.connections[0]->Send(StartupResponse());
   Until([&] { return a.server.queries.size() == 1; }, a.loop);
   CHECK(std::stoi(a.server.queries[0]) <= 850);
 }
 
 TEST_CASE("an attempt whose deadline passes as its connection is established is not written") {
   Attempts a;
-  a.server.greets = false;
+  a.server.accepts_startup = false;
   Slow slow(a.loop, 80);
   const TimePoint from = a.loop.Now();
   a.Send(120);
-  Until([&] { return a.server.peers.size() == 1 && a.server.peers[0]->started; }, a.loop);
+  Until([&] { return a.server.connections.size() == 1 && a.server.connections[0]->startup_received; },
+        a.loop);
   Wait(a.loop, static_cast<int>((from + 80 * kMs - a.loop.PreciseNow()) / kMs));
   InAPass(a.loop, [&] {
     slow.Begin();
-    a.server.peers[0]->Say(Hello());
+    a.server.connections[0]->Send(StartupResponse());
   });
   Until([&] { return a.ends.size() == 1; }, a.loop);
   CHECK(a.ends[0].outcome == Outcome::kUnreachable);
@@ -127,14 +129,14 @@
   Until([&] { return a.ends.size() == 1; }, a.loop);
   CHECK(a.ends[0].outcome == Outcome::kOk);
   CHECK(a.server.queries.size() == 1);
-  CHECK(a.server.peers.size() == 1);
+  CHECK(a.server.connections.size() == 1);
 }
 
 TEST_CASE("a health check sent late in a long pass has its full timeout") {
   Attempts a;
   InAPass(a.loop, [&] {
     StandStill(300);
-    a.pool.Probe(Attempts::kServer);
+    a.pool.StartHealthCheck(Attempts::kServer);
   });
   Until([&] { return a.probed.size() == 1; }, a.loop);
   CHECK(a.probed[0].outcome == Outcome::kOk);
@@ -172,7 +174,7 @@
   Attempts a;
   InAPass(a.loop, [&] {
     StandStill(50);
-    a.pool.Send(RequestId(1), 0, ServerId(9), a.work, {1000 * kMs, Duration::max()});
+    a.pool.StartAttempt(RequestId(1), 0, ServerId(9), a.work, {1000 * kMs, Duration::max()});
   });
   REQUIRE(a.ends.size() == 1);
   CHECK(a.ends[0].outcome == Outcome::kUnreachable);
@@ -181,7 +183,7 @@
 
 TEST_CASE("a connection idle for longer than allowed is not used between two retirements") {
   upstream::PoolSettings settings;
-  settings.idle = 300 * kMs;
+  settings.server_idle_timeout = 300 * kMs;
   Attempts a(settings);
   Wait(a.loop, 200);  // the next retirement is due 0.3 s later
   a.Warm();
@@ -189,7 +191,7 @@
   a.Send(1000);
   Until([&] { return a.ends.size() == 2; }, a.loop);
   CHECK(a.ends[1].outcome == Outcome::kOk);
-  CHECK(a.server.peers.size() == 2);
+  CHECK(a.server.connections.size() == 2);
 }
 
 }  // namespace
--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -129,43 +129,44 @@
   for (const int granted_after_ms : {0, 60, -1}) {
     CAPTURE(granted_after_ms);
     SimulatedFleet w;
-    DataServer& server =
-        w.Serve([](lynxgrade::Peer& p, const std::string&) { p.Say(Row("1", "primary", "1000")); });
-    server.report = "x1=1,x0=1";
+    DataServer& server = w.AddServer(
+        [](TestConnection& p, const std::string&) { p.Send(RowResponse("1", "primary", "1000")); });
+    server.load_report = "x1=1,x0=1";
     std::function<void()> held;
     std::vector<consistency::SessionKey> asked;
-    proxy::Proxy::Waits waits;
-    waits.safe = [&](GroupId group, consistency::SessionKey key, std::function<void()> call) {
+    proxy::Proxy::ReplicationHooks hooks;
+    hooks.delay_response = [&](GroupId group, consistency::SessionKey key, std::function<void()> call) {
       CHECK(group == GroupId(2));
       asked.push_back(key);
       held = std::move(call);
       return granted_after_ms != 0;
     };
-    w.proxy.SetWaits(std::move(waits));
-    w.List();
+    w.proxy.SetReplicationHooks(std::move(hooks));
+    w.ApplyEndpointList();
     const TimePoint begun = w.loop.Now();
-    lynxgrade::Peer& client = w.Client({Ask("write", "k", 400)});
-    w.Until([&] { return !asked.empty(); });
+    TestConnection& client = w.ConnectClient({RequestText("write", "k", 400)});
+    w.RunUntil([&] { return !asked.empty(); });
     CHECK(asked[0] == consistency::SessionKeyOf(GroupId(2), "k"));
     if (granted_after_ms > 0) {
-      w.Until([&] { return w.loop.Now() - begun > kMs * granted_after_ms; });
-      CHECK(client.Types().ends_with("Z"));  // of the start alone
-      CHECK_FALSE(client.Types().ends_with("TDCZ"));
+      w.RunUntil([&] { return w.loop.Now() - begun > kMs * granted_after_ms; });
+      CHECK(client.MessageTypes().ends_with("Z"));  // of the start alone
+      CHECK_FALSE(client.MessageTypes().ends_with("TDCZ"));
       held();
     }
-    w.Until([&] { return client.Types().ends_with("CZ") || client.Types().ends_with("EZ"); });
+    w.RunUntil(
+        [&] { return client.MessageTypes().ends_with("CZ") || client.MessageTypes().ends_with("EZ"); });
     if (granted_after_ms >= 0) {
-      CHECK(client.Types().ends_with("TDCZ"));
+      CHECK(client.MessageTypes().ends_with("TDCZ"));
       CHECK(w.proxy.counts().served == 1);
     } else {
-      CHECK(client.Saw("58000"));
+      CHECK(client.HasReceived("58000"));
       CHECK(w.loop.Now() - begun <= kMs * 400);
       CHECK(w.loop.Now() - begun > kMs * 200);
       CHECK(w.proxy.counts().failed == 1);
       held();  // too late: nobody is there
       CHECK(w.proxy.counts().served == 0);
     }
-    CHECK(w.proxy.open() == 0);
+    CHECK(w.proxy.requests_in_flight() == 0);
   }
 }
 
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -18,25 +18,25 @@
 
 // ---- Reads that wait for word from the others ------------------------------------------------------------
 
-struct Sends final : proxy::Backends {
+struct Sends final : proxy::Upstream {
   virtual ~Sends() = default;
-  void Send(RequestId, AttemptNumber, ServerId, std::shared_ptr<const proxy::Work>,
-            proxy::SendTimes times) override {
-    sent.push_back(times.limit);
+  void StartAttempt(RequestId, AttemptNumber, ServerId, std::shared_ptr<const proxy::Statement>,
+                    proxy::AttemptTimeouts timeouts) override {
+    sent.push_back(timeouts.timeout);
   }
-  void Cancel(RequestId, AttemptNumber) override {}
-  void Drop(RequestId) override {}
-  void Probe(ServerId) override {}
-  void CloseIdle(ServerId) override {}
+  void CancelAttempt(RequestId, AttemptNumber) override {}
+  void CancelUnsentAttempts(RequestId) override {}
+  void StartHealthCheck(ServerId) override {}
+  void CloseIdleConnections(ServerId) override {}
   std::vector<Duration> sent;
 };
 
 struct Nobody final : proxy::Client {
   virtual ~Nobody() = default;
-  void Served(const proxy::Answer&) override {}
-  void Refused(Duration) override { ++refused; }
-  void Failed() override {}
-  void Unusable() override {}
+  void OnResponse(const proxy::Response&) override {}
+  void OnRejected(Duration) override { ++refused; }
+  void OnFailed() override {}
+  void OnInvalidStatement() override {}
   int refused = 0;
 };
 
@@ -48,24 +48,24 @@
     options.max_read_delay = 200 * kMs;
     return options;
   }
-  Reads() : proxy(loop, Unhurried(), 7, sends, Everywhere()) {
+  Reads() : proxy(loop, LongDeadlineSettings(), 7, sends, Everywhere()) {
     // One reading: between two a gap of a microsecond may lie, which a read has to wait out at a replica.
     const TimePoint started = loop.PreciseNow();
     proxy.consistency_guard().HandleStart(started, started);
     proxy.consistency_guard().SetReplicatedThrough(1, started);
-    proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++asked; }});
+    proxy.SetReplicationHooks({.on_write = {}, .delay_response = {}, .poll_peers = [this] { ++asked; }});
     ListEvent list{ListKind::kPersisted, {}};
     list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
-    proxy.ListChanged(list);
+    proxy.ApplyEndpointList(list);
   }
   void Read(int left_ms) {
-    proxy::Ask ask;
-    ask.event.group = GroupId(2);
-    ask.event.request_class = 1;
-    ask.event.session = "s";
-    ask.event.time_left = left_ms * kMs;
+    proxy::Request request;
+    request.event.group = GroupId(2);
+    request.event.request_class = 1;
+    request.event.session = "s";
+    request.event.time_left = left_ms * kMs;
     RequestId id{};
-    proxy.Take(std::move(ask), client, id);
+    proxy.StartRequest(std::move(request), client, id);
   }
   net::Loop loop;
   Sends sends;
@@ -86,7 +86,7 @@
   CHECK(r.asked == 1);
   CHECK(r.sends.sent.empty());
   r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.PreciseNow());
-  r.proxy.Relearnt();
+  r.proxy.HandleReplicatedWatermarks();
   CHECK(r.sends.sent.size() == 1);
 }
 
@@ -100,13 +100,13 @@
   });
   Wait(r.loop, 50);
   r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.PreciseNow());
-  r.proxy.Relearnt();
+  r.proxy.HandleReplicatedWatermarks();
   REQUIRE(r.sends.sent.size() == 1);
   CHECK(r.loop.Now() + r.sends.sent[0] == from + 1000 * kMs);
 }
 
 TEST_CASE("the time for which a read waited does not make a first attempt look like a retry") {
-  Settings settings = Usual();
+  Settings settings = DefaultSettings();
   Balancer balancer(settings, 7);
   TimePoint now{1000000 * kMs};
   Actions actions;
@@ -160,7 +160,8 @@
   Pair(const Pair&) = delete;
   Pair& operator=(const Pair&) = delete;
   std::unique_ptr<replication::UdpReplicationService> Start(const std::string& name) {
-    keepers.push_back(std::make_unique<consistency::SessionConsistencyGuard>(Usual(), Reads::Everywhere()));
+    keepers.push_back(
+        std::make_unique<consistency::SessionConsistencyGuard>(DefaultSettings(), Reads::Everywhere()));
     names.push_back(std::make_unique<std::string>(name));
     auto peer = std::make_unique<replication::UdpReplicationService>(
         replication::ReplicationContext{loop, setup, *names.back(), false, *keepers.back(), [] {}});
@@ -234,20 +235,20 @@
   const double chance = std::uniform_real_distribution<double>(0, 1)(random);
   REQUIRE(chance > 0.6);
   SimulatedFleet w;
-  Agent agent(w.loop);
+  DiscoveryAgent agent(w.loop);
   discovery::EndpointListReader reader({});
-  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, kSeed,
+  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Address()), reader, 0, kSeed,
                                   {.shared = true, .instances = 300, .drain_grace = 500 * kMs},
                                   [](const auto&) {});
   watch.Start();
-  w.Until([&] { return agent.Asked("since=0"); });
+  w.RunUntil([&] { return agent.HasReceived("since=0"); });
   Wait(w.loop, 20);
   InAPass(w.loop, [&] {
-    agent.peers.back()->Say("\n");
-    agent.peers.back()->connection->Close();
+    agent.connections.back()->Send("\n");
+    agent.connections.back()->connection->Close();
     StandStill(1500);
   });
-  w.Until([&] { return watch.next_request_at().has_value(); });
+  w.RunUntil([&] { return watch.next_request_at().has_value(); });
   // Half of what is left of 6.2 s, less 0.5 s for the answer and 1.5 s since the line came.
   const Duration most(static_cast<std::int64_t>(chance * 2100000));
   CHECK(*watch.next_request_at() - w.loop.Now() <= most);
@@ -256,22 +257,22 @@
 
 TEST_CASE("a list request made late in a long pass has its full timeout") {
   SimulatedFleet w;
-  Agent agent(w.loop);
-  agent.line = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
+  DiscoveryAgent agent(w.loop);
+  agent.response = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
   discovery::EndpointListReader reader({});
-  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {},
+  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Address()), reader, 0, 1, {},
                                   [](const auto&) {});
   net::Timer before(w.loop);
   before.ScheduleAfter(Duration{0}, [] { StandStill(300); });  // in the pass in which the call is made
   watch.Start();
-  w.Until([&] { return watch.has_received_update(); });
-  CHECK(agent.peers.size() == 1);
+  w.RunUntil([&] { return watch.has_received_update(); });
+  CHECK(agent.connections.size() == 1);
 }
 
 TEST_CASE("a response is not sent before its write is durable because this process was suspended") {
   Pair folder(0);  // for its folder
   const std::string state = folder.folder + "/state";
-  consistency::SessionConsistencyGuard consistency_guard(Usual(), Reads::Everywhere());
+  consistency::SessionConsistencyGuard consistency_guard(DefaultSettings(), Reads::Everywhere());
   DurabilitySettings setup;
   setup.folder = state;
   setup.snapshot_bytes = 4096;
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -30,60 +30,61 @@
 
 using namespace std::string_literals;
 using net::Connection;
-using Texts = std::vector<std::string>;
+using Strings = std::vector<std::string>;
 
-struct Peer;
-using Script = std::function<void(Peer&, const std::string&)>;
+struct TestConnection;
+using QueryHandler = std::function<void(TestConnection&, const std::string&)>;
 
 // One end of a connection under a test's control; calls its script with each query or line of bytes.
-struct Peer final : Connection::Owner {
-  Script script;
-  bool server = false, started = false, ended = false, reset = false;
-  std::string bytes;  // what came and is not taken apart here
+struct TestConnection final : Connection::Owner {
+  QueryHandler on_query;
+  bool is_server = false, startup_received = false, peer_closed = false, was_reset = false;
+  std::string received;  // what came and is not taken apart here
   std::shared_ptr<Connection> connection;
 
   void OnReadable() override {
-    bytes += connection->input().Linearize();
+    received += connection->input().Linearize();
     connection->input().Consume(connection->input().size());
-    while (server) {
-      const pg::Frame frame = started ? pg::ReadFrame(bytes) : pg::ReadStartupFrame(bytes);
+    while (is_server) {
+      const pg::Frame frame = startup_received ? pg::ReadFrame(received) : pg::ReadStartupFrame(received);
       if (frame.framing != pg::Framing::kComplete) return;
       const std::string text(frame.body);
-      bytes.erase(0, frame.size);
-      const bool first = !std::exchange(started, true);
-      script(*this, first ? "hello" : text.substr(0, text.size() - 1));
+      received.erase(0, frame.size);
+      const bool first = !std::exchange(startup_received, true);
+      on_query(*this, first ? "hello" : text.substr(0, text.size() - 1));
     }
   }
-  void OnEndOfStream() override { ended = true; }
-  void OnDisconnected() override { ended = reset = true; }
-  void Say(const std::string& text) { connection->Write(text); }
+  void OnEndOfStream() override { peer_closed = true; }
+  void OnDisconnected() override { peer_closed = was_reset = true; }
+  void Send(const std::string& text) { connection->Write(text); }
   // The codes of the messages that came, as letters.
-  std::string Types() const {
-    std::string types, rest = bytes;
+  std::string MessageTypes() const {
+    std::string types, rest = received;
     for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kComplete; rest.erase(0, f.size))
       types += f.type;
     return types;
   }
-  int Count(const std::string& text) const {
+  int CountOf(const std::string& text) const {
     int count = 0;
-    for (std::size_t at = 0; (at = bytes.find(text, at)) != std::string::npos; ++at) ++count;
+    for (std::size_t at = 0; (at = received.find(text, at)) != std::string::npos; ++at) ++count;
     return count;
   }
-  bool Saw(const std::string& text) const { return bytes.find(text) != std::string::npos; }
+  bool HasReceived(const std::string& text) const { return received.find(text) != std::string::npos; }
 };
 
-inline std::string Hello() {
+inline std::string StartupResponse() {
   std::string out;
   pg::AppendAuthenticationOk(out);
   pg::AppendReadyForQuery(out);
   return out;
 }
 
-inline const std::string kColumn = std::string("\0\1body\0", 7) + std::string(18, '\0');
+inline const std::string kRowDescription = std::string("\0\1body\0", 7) + std::string(18, '\0');
 
-inline std::string Row(const std::string& value, const char* role = "standby", const char* position = "0") {
+inline std::string RowResponse(const std::string& value, const char* role = "standby",
+                               const char* position = "0") {
   std::string out;
-  pg::AppendMessage(out, 'T', kColumn);
+  pg::AppendMessage(out, 'T', kRowDescription);
   pg::AppendMessage(out, 'D', std::string("\0\1\0\0\0", 5) + static_cast<char>(value.size()) + value);
   pg::AppendCommandComplete(out, "SELECT 1");
   pg::AppendParameterStatus(out, "replication_role", role);
@@ -92,7 +93,7 @@
   return out;
 }
 
-inline std::string Error(const char* code) {
+inline std::string ErrorResponse(const char* code) {
   std::string out;
   pg::AppendErrorResponse(out, "ERROR", code, "no");
   pg::AppendReadyForQuery(out);
@@ -101,35 +102,35 @@
 
 // A data server that answers by its script; the queries that came are kept, probes apart.
 struct DataServer {
-  DataServer(net::Loop& loop, Script on_query)
+  DataServer(net::Loop& loop, QueryHandler query_handler)
       : loop(loop),
-        script(std::move(on_query)),
+        on_query(std::move(query_handler)),
         listener(
             loop, [] { return true; }, [this](net::ObjectPtr<GSocket> s) { Accept(std::move(s)); }) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
   }
   void Accept(net::ObjectPtr<GSocket> socket) {
-    auto peer = std::make_unique<Peer>();
-    peer->server = true;
-    peer->script = [this](Peer& p, const std::string& text) {
-      if (text == "hello") return greets ? p.Say(Hello()) : void();
-      if (text == "SHOW pressure") return p.Say(Row(report));
+    auto peer = std::make_unique<TestConnection>();
+    peer->is_server = true;
+    peer->on_query = [this](TestConnection& p, const std::string& text) {
+      if (text == "hello") return accepts_startup ? p.Send(StartupResponse()) : void();
+      if (text == "SHOW pressure") return p.Send(RowResponse(load_report));
       queries.push_back(text);
-      script(p, text);
+      on_query(p, text);
     };
     peer->connection = Connection::Adopt(loop, std::move(socket), *peer, 1 << 18, 1 << 18);
-    peers.push_back(std::move(peer));
+    connections.push_back(std::move(peer));
   }
   net::Loop& loop;
-  Script script;
+  QueryHandler on_query;
   net::Listener listener;
-  bool greets = true;  // else its connections come up when the test says so
-  std::string report = "x1=0,x0=1";
-  std::vector<std::unique_ptr<Peer>> peers;
-  Texts queries;
+  bool accepts_startup = true;  // else its connections come up when the test says so
+  std::string load_report = "x1=0,x0=1";
+  std::vector<std::unique_ptr<TestConnection>> connections;
+  Strings queries;
 };
 
-inline Settings Usual() {
+inline Settings DefaultSettings() {
   Settings s;
   const auto cls = [](AccessKind kind, Idempotency effect) {
     RequestClass c;
@@ -155,8 +156,8 @@
 }
 
 // Nothing is turned away for being late: an answer is worth as much up to its deadline, and is expected soon.
-inline Settings Unhurried() {
-  Settings s = Usual();
+inline Settings LongDeadlineSettings() {
+  Settings s = DefaultSettings();
   for (RequestClass& kind : s.classes) {
     kind.latency_objective = Duration(40000);
     kind.deadline = Duration(60000000);
@@ -166,20 +167,20 @@
 }
 
 struct SimulatedFleet {
-  explicit SimulatedFleet(std::size_t descriptors = 200, const Settings& settings = Usual())
+  explicit SimulatedFleet(std::size_t descriptors = 200, const Settings& settings = DefaultSettings())
       : budget(descriptors),
-        pool(loop, {}, budget, [this] { return front.CloseLeastActive(); }),
+        pool(loop, {}, budget, [this] { return frontend.CloseLeastActive(); }),
         proxy(loop, settings, 7, pool),
-        front(loop, proxy, budget, {"any", "own", "write"}, {"acme"}, settings,
-              [this] { return pool.CloseLongestIdle(); }) {
+        frontend(loop, proxy, budget, {"any", "own", "write"}, {"acme"}, settings,
+                 [this] { return pool.CloseLongestIdle(); }) {
     pool.SetEvents(proxy);
-    REQUIRE(front.Listen({"127.0.0.1", 0}));
+    REQUIRE(frontend.Listen({"127.0.0.1", 0}));
   }
-  DataServer& Serve(Script script) {
-    servers.push_back(std::make_unique<DataServer>(loop, std::move(script)));
+  DataServer& AddServer(QueryHandler query_handler) {
+    servers.push_back(std::make_unique<DataServer>(loop, std::move(query_handler)));
     return *servers.back();
   }
-  void List(ListKind kind = ListKind::kPersisted, Lifecycle first = Lifecycle::kServing) {
+  void ApplyEndpointList(ListKind kind = ListKind::kPersisted, Lifecycle first = Lifecycle::kServing) {
     ListEvent event{kind, {}};
     for (std::size_t i = 0; i < servers.size(); ++i) {
       const auto id = static_cast<ServerId>(i + 1);
@@ -187,29 +188,29 @@
       event.entries.push_back(
           {.server = id, .group = GroupId(2), .lifecycle = i == 0 ? first : Lifecycle::kServing});
     }
-    proxy.ListChanged(event);
-    front.SetReady();
+    proxy.ApplyEndpointList(event);
+    frontend.SetReady();
   }
   // A client that says who it is and sends all of `queries` in one segment.
-  Peer& Client(const Texts& queries) { return Client(queries, front.port()); }
-  Peer& Connect(std::uint16_t port) {
-    clients.push_back(std::make_unique<Peer>());
-    Peer& peer = *clients.back();
+  TestConnection& ConnectClient(const Strings& queries) { return ConnectClient(queries, frontend.port()); }
+  TestConnection& OpenConnection(std::uint16_t port) {
+    clients.push_back(std::make_unique<TestConnection>());
+    TestConnection& peer = *clients.back();
     bool full = false;
     peer.connection = Connection::Connect(loop, {"127.0.0.1", port}, peer, 1 << 18, 1 << 18, &full);
     REQUIRE(peer.connection != nullptr);
     return peer;
   }
-  Peer& Client(const Texts& queries, std::uint16_t port) {
-    Peer& peer = Connect(port);
+  TestConnection& ConnectClient(const Strings& queries, std::uint16_t port) {
+    TestConnection& peer = OpenConnection(port);
     std::string out;
     pg::AppendStartupMessage(out, "worker", "catalog");
     for (const std::string& query : queries) pg::AppendQuery(out, query);
-    peer.Say(out);
+    peer.Send(out);
     return peer;
   }
   // Runs until it holds. The time limit is for a test that hangs, not a measure of speed.
-  void Until(const std::function<bool()>& holds) {
+  void RunUntil(const std::function<bool()>& holds) {
     bool late = false;
     net::Timer limit(loop), look(loop);
     limit.ScheduleAfter(Duration(10000000), [&] { late = true; });
@@ -223,54 +224,54 @@
   net::DescriptorBudget budget;
   upstream::ConnectionPool pool;
   proxy::Proxy proxy;
-  frontend::Frontend front;
+  frontend::Frontend frontend;
   std::vector<std::unique_ptr<DataServer>> servers;
-  std::vector<std::unique_ptr<Peer>> clients;
+  std::vector<std::unique_ptr<TestConnection>> clients;
 };
 
-inline std::string Ask(const char* cls, const char* object = "k", int budget = 3000) {
+inline std::string RequestText(const char* cls, const char* object = "k", int budget = 3000) {
   static int last = 0;
   return "/* id=" + std::to_string(++last) + ",c=" + cls + ",t=acme,d=" + std::to_string(budget) +
          ",k=5c,cluster=2 */ SELECT '" + object + "'";
 }
 
-inline Texts Asks(int count) {
-  Texts asks;
-  while (count-- > 0) asks.push_back(Ask("any"));
+inline Strings RequestTexts(int count) {
+  Strings asks;
+  while (count-- > 0) asks.push_back(RequestText("any"));
   return asks;
 }
 
-inline const Script kSilent = [](Peer&, const std::string&) {};
-inline const Script kAnswer = [](Peer& p, const std::string& text) {
-  p.Say(Row(text.substr(text.rfind('\'') - 1, 1)));
+inline const QueryHandler kNoResponse = [](TestConnection&, const std::string&) {};
+inline const QueryHandler kEchoValue = [](TestConnection& p, const std::string& text) {
+  p.Send(RowResponse(text.substr(text.rfind('\'') - 1, 1)));
 };
 
-inline std::string Query(const std::string& text) {
+inline std::string QueryMessage(const std::string& text) {
   std::string out;
   pg::AppendQuery(out, text);
   return out;
 }
 
 // A client that has said who it is, as a bare socket: what it does happens while the loop stands still.
-class Bare {
+class RawClient {
  public:
-  explicit Bare(std::uint16_t port, const std::string& bytes = {}) : Bare(port, kMute) {
+  explicit RawClient(std::uint16_t port, const std::string& bytes = {}) : RawClient(port, kWithoutStartup) {
     std::string out;
     pg::AppendStartupMessage(out, "worker", "catalog");
-    Say(out + bytes);
+    Send(out + bytes);
   }
   // One that has said nothing yet.
-  static std::unique_ptr<Bare> Mute(std::uint16_t port) {
-    return std::unique_ptr<Bare>(new Bare(port, kMute));
+  static std::unique_ptr<RawClient> WithoutStartup(std::uint16_t port) {
+    return std::unique_ptr<RawClient>(new RawClient(port, kWithoutStartup));
   }
-  ~Bare() { Close(); }
-  Bare(const Bare&) = delete;
-  Bare& operator=(const Bare&) = delete;
-  void Say(const std::string& bytes) {
+  ~RawClient() { Close(); }
+  RawClient(const RawClient&) = delete;
+  RawClient& operator=(const RawClient&) = delete;
+  void Send(const std::string& bytes) {
     REQUIRE(send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
   // As much as the kernel takes.
-  void SayMuch(const std::string& bytes) {
+  void SendNonBlocking(const std::string& bytes) {
     send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   }
   void Close() {
@@ -278,30 +279,30 @@
     socket_ = -1;
   }
   // What has come so far; `ended` where the end has.
-  std::string Read() {
+  std::string ReadAvailable() {
     char block[4096];
     for (ssize_t count = 0; (count = recv(socket_, block, sizeof block, MSG_DONTWAIT)) >= 0;) {
-      if (count == 0) ended = true;
+      if (count == 0) peer_closed = true;
       if (count == 0) break;
-      bytes.append(block, static_cast<std::size_t>(count));
+      received.append(block, static_cast<std::size_t>(count));
     }
-    return bytes;
+    return received;
   }
   // What the connection has come to, or 0.
-  int Fault() const {
+  int SocketError() const {
     int fault = 0;
     socklen_t size = sizeof fault;
     getsockopt(socket_, SOL_SOCKET, SO_ERROR, &fault, &size);
     return fault;
   }
   void ShutdownSending() { shutdown(socket_, SHUT_WR); }
-  bool Saw(const std::string& text) { return Read().find(text) != std::string::npos; }
-  std::string bytes;
-  bool ended = false;
+  bool HasReceived(const std::string& text) { return ReadAvailable().find(text) != std::string::npos; }
+  std::string received;
+  bool peer_closed = false;
 
  private:
-  enum Kind { kMute };
-  Bare(std::uint16_t port, Kind) : socket_(socket(AF_INET, SOCK_STREAM, 0)) {
+  enum Kind { kWithoutStartup };
+  RawClient(std::uint16_t port, Kind) : socket_(socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in to{};
     to.sin_family = AF_INET;
     to.sin_port = htons(port);
@@ -312,14 +313,14 @@
 };
 
 // What BackendKeyData gave a client, as the body of a CancelRequest.
-inline std::string SessionKeyOf(const Peer& client) {
-  std::string rest = client.bytes;
+inline std::string CancelKeyOf(const TestConnection& client) {
+  std::string rest = client.received;
   for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kComplete; rest.erase(0, f.size))
     if (f.type == 'K') return std::string(f.body);
   return {};
 }
 
-inline std::string CancelBytes(const std::string& key) {
+inline std::string CancelRequestMessage(const std::string& key) {
   return std::string("\0\0\0\x10\x04\xd2\x16\x2e", 8) + key;
 }
 
@@ -332,36 +333,39 @@
 }
 
 // Discovery's agent: keeps what each watch asks and answers with `line`.
-struct Agent {
-  explicit Agent(net::Loop& loop)
+struct DiscoveryAgent {
+  explicit DiscoveryAgent(net::Loop& loop)
       : loop(loop),
         listener(
             loop, [] { return true; }, [this](net::ObjectPtr<GSocket> s) { Accept(std::move(s)); }) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
   }
   void Accept(net::ObjectPtr<GSocket> socket) {
-    peers.push_back(std::make_unique<Peer>());
-    peers.back()->connection = Connection::Adopt(loop, std::move(socket), *peers.back(), 65536, 65536);
-    peers.back()->Say("HTTP/1.1 200 OK\r\n\r\n" + line);
+    connections.push_back(std::make_unique<TestConnection>());
+    connections.back()->connection =
+        Connection::Adopt(loop, std::move(socket), *connections.back(), 65536, 65536);
+    connections.back()->Send("HTTP/1.1 200 OK\r\n\r\n" + response);
+  }
+  std::string Address() const { return "127.0.0.1:" + std::to_string(listener.port()); }
+  bool HasReceived(const std::string& text) const {
+    return !connections.empty() && connections.back()->HasReceived(text);
   }
-  std::string Where() const { return "127.0.0.1:" + std::to_string(listener.port()); }
-  bool Asked(const std::string& text) const { return !peers.empty() && peers.back()->Saw(text); }
   net::Loop& loop;
   net::Listener listener;
-  std::string line;
-  std::vector<std::unique_ptr<Peer>> peers;
+  std::string response;
+  std::vector<std::unique_ptr<TestConnection>> connections;
 };
 
 // Keeps what is logged while it stands.
-struct Logged {
-  Logged() : before(spdlog::default_logger()) {
+struct LogCapture {
+  LogCapture() : before(spdlog::default_logger()) {
     auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(text);
     spdlog::set_default_logger(std::make_shared<spdlog::logger>("test", sink));
   }
-  ~Logged() { spdlog::set_default_logger(before); }
-  Logged(const Logged&) = delete;
-  Logged& operator=(const Logged&) = delete;
-  int Count(const std::string& what) const {
+  ~LogCapture() { spdlog::set_default_logger(before); }
+  LogCapture(const LogCapture&) = delete;
+  LogCapture& operator=(const LogCapture&) = delete;
+  int CountOf(const std::string& what) const {
     int count = 0;
     const std::string all = text.str();
     for (std::size_t at = 0; (at = all.find(what, at)) != std::string::npos; ++at) ++count;
@@ -372,22 +376,22 @@
 };
 
 // The program itself, on a port that was free a moment ago.
-struct Program {
-  explicit Program(SimulatedFleet& world) : world(world) {
+struct PoolerProcess {
+  explicit PoolerProcess(SimulatedFleet& fleet) : fleet(fleet) {
     gchar* made = g_dir_make_tmp("lynxgrade-XXXXXX", nullptr);
     folder = made;
     g_free(made);
     net::Listener free(
-        world.loop, [] { return true; }, [](net::ObjectPtr<GSocket>) {});
+        fleet.loop, [] { return true; }, [](net::ObjectPtr<GSocket>) {});
     REQUIRE(free.Open({"127.0.0.1", 0}));
     port = free.port();
   }
-  Program(const Program&) = delete;
-  Program& operator=(const Program&) = delete;
-  ~Program() {
+  PoolerProcess(const PoolerProcess&) = delete;
+  PoolerProcess& operator=(const PoolerProcess&) = delete;
+  ~PoolerProcess() {
     if (process != nullptr) g_subprocess_force_exit(process.get());
     // Its end is told to this object: a later test's loop would write to what is no more.
-    while (process != nullptr && !over) g_main_context_iteration(nullptr, TRUE);
+    while (process != nullptr && !exited) g_main_context_iteration(nullptr, TRUE);
     std::remove((folder + "/config.json").c_str());
     std::remove(folder.c_str());
   }
@@ -406,14 +410,14 @@
     REQUIRE(process != nullptr);
     g_subprocess_wait_async(
         process.get(), nullptr,
-        [](GObject*, GAsyncResult*, gpointer over) { *static_cast<bool*>(over) = true; }, &over);
+        [](GObject*, GAsyncResult*, gpointer exited) { *static_cast<bool*>(exited) = true; }, &exited);
   }
-  Peer& Client(const Texts& queries) { return world.Client(queries, port); }
-  SimulatedFleet& world;
+  TestConnection& ConnectClient(const Strings& queries) { return fleet.ConnectClient(queries, port); }
+  SimulatedFleet& fleet;
   std::string folder;
   std::uint16_t port = 0;
   net::ObjectPtr<GSubprocess> process;
-  bool over = false;
+  bool exited = false;
 };
 
 }  // namespace lynxgrade
--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -348,15 +348,15 @@
 // ---- The seam -------------------------------------------------------------------------------------------
 
 // Takes all that is sent and answers when it is told to.
-struct Silent final : proxy::Backends {
-  void Send(RequestId request, AttemptNumber attempt, ServerId member, std::shared_ptr<const proxy::Work>,
-            proxy::SendTimes) override {
+struct Silent final : proxy::Upstream {
+  void StartAttempt(RequestId request, AttemptNumber attempt, ServerId member,
+                    std::shared_ptr<const proxy::Statement>, proxy::AttemptTimeouts) override {
     sent.push_back({request, attempt, member});
   }
-  void Cancel(RequestId, AttemptNumber) override {}
-  void Drop(RequestId) override {}
-  void Probe(ServerId) override {}
-  void CloseIdle(ServerId) override {}
+  void CancelAttempt(RequestId, AttemptNumber) override {}
+  void CancelUnsentAttempts(RequestId) override {}
+  void StartHealthCheck(ServerId) override {}
+  void CloseIdleConnections(ServerId) override {}
   struct Sent {
     RequestId request;
     AttemptNumber attempt;
@@ -366,15 +366,15 @@
 };
 
 struct Told final : proxy::Client {
-  void Served(const proxy::Answer&) override { ++served; }
-  void Refused(Duration) override { ++refused; }
-  void Failed() override { ++failed; }
-  void Unusable() override { ++failed; }
+  void OnResponse(const proxy::Response&) override { ++served; }
+  void OnRejected(Duration) override { ++refused; }
+  void OnFailed() override { ++failed; }
+  void OnInvalidStatement() override { ++failed; }
   int served = 0, refused = 0, failed = 0;
 };
 
-struct Work final : proxy::Work {
-  std::string TextFor(Duration) const override { return "SELECT 1"; }
+struct Work final : proxy::Statement {
+  std::string TextWithBudget(Duration) const override { return "SELECT 1"; }
 };
 
 struct Seam {
@@ -389,18 +389,20 @@
         R"({"rev":3,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:9","az":"a","pod_group":1,)"
         R"("state":"Ready","capacity_hint":1.0}]})";
     Instance::Host host;
-    host.address = [this](ServerId, const net::Address& address) { ports.push_back(address.port); };
-    host.forget = [](ServerId) {};
+    host.set_server_address = [this](ServerId, const net::Address& address) {
+      ports.push_back(address.port);
+    };
+    host.remove_server = [](ServerId) {};
     instance = std::make_unique<Instance>(loop, config, setup, backends, host);
   }
   void Ask(Duration time, ClassIndex cls = kHistoryRead) {
-    proxy::Ask ask;
-    ask.event.group = GroupId(1);
-    ask.event.request_class = cls;
-    ask.event.session = "s1";
-    ask.event.time_left = time;
-    ask.work = std::make_shared<Work>();
-    instance->proxy().Take(std::move(ask), client, id);
+    proxy::Request request;
+    request.event.group = GroupId(1);
+    request.event.request_class = cls;
+    request.event.session = "s1";
+    request.event.time_left = time;
+    request.statement = std::make_shared<Work>();
+    instance->proxy().StartRequest(std::move(request), client, id);
   }
   void Pass(Duration time) {
     net::Timer end(loop);
@@ -420,18 +422,18 @@
 TEST_CASE("an instance serves through the data servers that its host gives it") {
   Seam seam;
   REQUIRE(seam.instance->Start());
-  CHECK(seam.instance->listed());
-  CHECK(seam.instance->Counted());
+  CHECK(seam.instance->has_listed_servers());
+  CHECK(seam.instance->IsCountedByPeers());
   CHECK(seam.ports == std::vector<int>{9});
   seam.Ask(Duration(1'000'000));
   REQUIRE(seam.backends.sent.size() == 1);
-  proxy::AttemptEnd end;
+  proxy::AttemptResult end;
   end.request = seam.backends.sent[0].request;
   end.attempt = seam.backends.sent[0].attempt;
   end.server = seam.backends.sent[0].member;
   end.outcome = Outcome::kOk;
-  end.answer.emplace();
-  static_cast<proxy::BackendEvents&>(seam.instance->proxy()).OnAttemptEnd(end);
+  end.response.emplace();
+  static_cast<proxy::UpstreamEvents&>(seam.instance->proxy()).OnAttemptFinished(end);
   CHECK(seam.client.served == 1);
 }
 
@@ -451,22 +453,22 @@
 TEST_CASE("an instance that is taken down while it holds an answer back fails nobody afterwards") {
   Seam seam;
   REQUIRE(seam.instance->Start());
-  proxy::Proxy::Waits waits;
-  waits.safe = [](GroupId, consistency::SessionKey, const std::function<void()>&) {
+  proxy::Proxy::ReplicationHooks hooks;
+  hooks.delay_response = [](GroupId, consistency::SessionKey, const std::function<void()>&) {
     return true;
   };  // it never is
-  seam.instance->proxy().SetWaits(std::move(waits));
+  seam.instance->proxy().SetReplicationHooks(std::move(hooks));
   seam.Ask(Duration(400000), kMatchWrite);
   REQUIRE(seam.backends.sent.size() == 1);
-  proxy::AttemptEnd end;
+  proxy::AttemptResult end;
   end.request = seam.backends.sent[0].request;
   end.attempt = seam.backends.sent[0].attempt;
   end.server = seam.backends.sent[0].member;
   end.outcome = Outcome::kOk;
   end.metadata.primary = true;
   end.metadata.position = seam.loop.Now();
-  end.answer.emplace();
-  static_cast<proxy::BackendEvents&>(seam.instance->proxy()).OnAttemptEnd(end);
+  end.response.emplace();
+  static_cast<proxy::UpstreamEvents&>(seam.instance->proxy()).OnAttemptFinished(end);
   CHECK(seam.client.served == 0);
   seam.instance.reset();
   seam.Pass(Duration(500000));  // past the end of the request
@@ -488,9 +490,9 @@
       auto settings = ParseProgramSettings(ScaleSettingsOf(spec, static_cast<int>(i), {0, 1}, 0));
       setup[i] = std::move(settings.value());
       Instance::Host host;
-      host.address = [](ServerId, const net::Address&) {};
-      host.forget = [](ServerId) {};
-      host.make_peers = [this, members_only](replication::ReplicationContext parts) {
+      host.set_server_address = [](ServerId, const net::Address&) {};
+      host.remove_server = [](ServerId) {};
+      host.make_replication_service = [this, members_only](replication::ReplicationContext parts) {
         parts.passes = [this](const std::string& address) {
           asked.insert(address);
           return !cut;
@@ -512,7 +514,7 @@
     for (int i = 0; i < 3000 && !holds(); ++i) Pass(Duration(10000));
     return holds();
   }
-  const replication::Traffic& Of(std::size_t i) const { return instance[i]->peers()->traffic(); }
+  const replication::Traffic& Of(std::size_t i) const { return instance[i]->replication()->traffic(); }
   static constexpr auto kMembers = static_cast<std::size_t>(replication::TrafficKind::kMembership);
   static constexpr auto kMarks = static_cast<std::size_t>(replication::TrafficKind::kWatermarks);
 
@@ -529,8 +531,9 @@
 
 TEST_CASE("an instance counts what it says by kind, and its host cuts its links") {
   Pair pair(false);
-  REQUIRE(pair.Until([&] { return pair.instance[0]->Counted() && pair.instance[1]->Counted(); }));
-  CHECK(pair.instance[0]->peers()->ReachableInstances() == 2);
+  REQUIRE(pair.Until(
+      [&] { return pair.instance[0]->IsCountedByPeers() && pair.instance[1]->IsCountedByPeers(); }));
+  CHECK(pair.instance[0]->replication()->ReachableInstances() == 2);
   for (const std::size_t kind : {Pair::kMembers, Pair::kMarks}) {
     CHECK(pair.Of(0).out[kind].packets > 0);
     CHECK(pair.Of(1).in[kind].packets > 0);
@@ -541,16 +544,16 @@
   CHECK(pair.asked.size() == 2);
   pair.cut = true;
   const auto out = pair.Of(0).out[Pair::kMarks].bytes;
-  CHECK(pair.Until([&] { return pair.instance[0]->peers()->ReachableInstances() == 1; }));
+  CHECK(pair.Until([&] { return pair.instance[0]->replication()->ReachableInstances() == 1; }));
   CHECK(pair.Of(0).out[Pair::kMarks].bytes == out);
   pair.cut = false;
-  CHECK(pair.Until([&] { return pair.instance[0]->peers()->ReachableInstances() == 2; }));
+  CHECK(pair.Until([&] { return pair.instance[0]->replication()->ReachableInstances() == 2; }));
   CHECK(pair.Until([&] { return pair.Of(0).out[Pair::kMarks].bytes > out; }));
 }
 
 TEST_CASE("where a host asks for membership alone, nothing is said of marks") {
   Pair pair(true);
-  REQUIRE(pair.Until([&] { return pair.instance[0]->peers()->ReachableInstances() == 2; }));
+  REQUIRE(pair.Until([&] { return pair.instance[0]->replication()->ReachableInstances() == 2; }));
   pair.Pass(Duration(300000));
   CHECK(pair.Of(0).out[Pair::kMembers].packets > 0);
   CHECK(pair.Of(0).out[Pair::kMarks].packets == 0);
