--- a/src/membership/death_verifier.h
+++ b/src/membership/death_verifier.h
@@ -1,5 +1,5 @@
-// Pings a member that was heard recently before it is declared dead. A report of its death may come from one
-// that cannot reach it over a broken link, or from the other side of a partition.
+// Pings a recently heard member before it is declared dead. A report of its death may come from a member
+// whose link to it is broken, or from the other side of a partition.
 #pragma once
 
 #include <map>
@@ -16,29 +16,32 @@
 class MemberTable;
 class PacketBuilder;
 
-// Declarations of death that are deferred until the member has been heard, or a timeout.
+// Holds the declarations of death that are deferred, each until the member is heard or a timeout expires. Not
+// thread-safe.
 class DeathVerifier {
  public:
-  // `period`: the protocol period. A member counts as recently heard for `recent_periods` of them; zero:
-  // never. So few of a large fleet have been heard recently that pinging them causes no burst.
-  DeathVerifier(Duration period, int recent_periods) : period_(period), recent_periods_(recent_periods) {}
-
-  // Whether the declaration of death `reported` has to wait, as the peer was heard recently.
-  bool Defer(TimePoint now, const Peer& peer, const proto::Member& reported);
-  // Pings the members whose death was deferred, and declares dead those that have not been heard in time.
+  // `period`: the protocol period. A member counts as recently heard for `recently_heard_periods` periods
+  // after its last packet; zero: never, which switches verification off. In a large fleet only few members
+  // have been heard recently, so their pings cause no burst.
+  DeathVerifier(Duration period, int recently_heard_periods)
+      : period_(period), recently_heard_periods_(recently_heard_periods) {}
+
+  // Defers the declaration of death `reported` if the peer was heard recently. Returns whether it did.
+  bool DeferDeath(TimePoint now, const Peer& peer, const proto::Member& reported);
+  // Pings the members whose declarations were deferred, and declares dead those that were not heard in time.
   void Tick(TimePoint now, MemberTable& members, const LocalHealth& local_health, PacketBuilder& packets,
             Outbox& outbox);
-  // Drops what was deferred.
+  // Discards the deferred declarations.
   void Clear() { deferred_.clear(); }
 
  private:
   struct DeferredDeath {
     proto::Member reported;
-    TimePoint at{};
+    TimePoint deferred_at{};
     bool pinged = false;
   };
   Duration period_;
-  int recent_periods_;
+  int recently_heard_periods_;
   std::map<std::string, DeferredDeath> deferred_;  // by member name
 };
 
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -8,15 +8,15 @@
 namespace lynxgrade::membership {
 namespace {
 
-// An answer is due within this part of a period, before others are requested.
+// An answer is due within a protocol period divided by this; after that indirect probes are requested.
 constexpr int kAckTimeoutDivisor = 3;
-// Members of this protocol version say when they have no answer either.
+// Members of this protocol version or a later one send Nacks.
 constexpr std::uint32_t kNackProtocolVersion = 1;
-// Periods between pings of dead members. Not scaled by local health: after a partition that is bad
-// everywhere, and joining again would take minutes.
+// Protocol periods between pings of dead members. Not scaled by local health: after a partition the local
+// health of all instances is bad, and it would take minutes until they find each other.
 constexpr int kDeadPingPeriods = 5;
-// The weight of a measurement is one in so many, as in RFC 6298.
-constexpr int kRoundTripSmoothing = 8;
+// A new measurement has the weight 1/8 in the smoothed round-trip time, as in RFC 6298.
+constexpr int kRoundTripSmoothingDivisor = 8;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
       schedule_(members, quorum_tracker, random) {}
 
 void FailureDetector::StartProbe(TimePoint now, Outbox& outbox) {
-  const Peer* peer = schedule_.Next(now);
+  const Peer* peer = schedule_.NextTarget(now);
   if (peer == nullptr) return;
   probe_ = Probe{.name = peer->member.name(), .nonce = packets_.DrawNonce(), .sent = now};
   packets_.SendPing(peer->member.address(), probe_->nonce, outbox, &peer->member);
@@ -48,7 +48,7 @@
   const bool repeat = options_.repeat_pings && (request || (!probe_->repeated && waited >= ack_timeout * 2));
   const std::string& address = target->member.address();
   if (repeat) {
-    // Where packets are lost this prevents most false suspicions, each of which would be gossiped.
+    // With packet loss this prevents most false suspicions, each of which would be gossiped.
     probe_->repeated = !request;
     packets_.SendPing(address, probe_->nonce, outbox, &target->member);
   }
@@ -80,7 +80,7 @@
   if (!probe_) return;
   const Probe probe = *std::exchange(probe_, std::nullopt);
   const int missing_nacks = probe.nack_capable_requests - probe.nacks;
-  local_health_.Degrade(probe.nack_capable_requests > 0 ? missing_nacks : 1);
+  local_health_.Adjust(probe.nack_capable_requests > 0 ? missing_nacks : 1);
   Peer* peer = members_.Find(probe.name);
   if (peer != nullptr && IsRunning(peer->member)) members_.Suspect(now, *peer);
 }
@@ -88,7 +88,7 @@
 void FailureDetector::HandleAck(TimePoint now, const proto::Packet& packet) {
   if (!probe_ || packet.ack().nonce() != probe_->nonce) return;
   Peer* peer = members_.Find(probe_->name);
-  // A later or earlier process at the probed one's address does not answer for it.
+  // An answer of an earlier or later process of the same name is no answer of the probed process.
   const bool is_other_process = peer != nullptr && packet.sender().name() == probe_->name &&
                                 packet.sender().incarnation_id() != peer->member.incarnation_id();
   if (is_other_process) return;
@@ -98,7 +98,7 @@
   RecordAcknowledgements(packet);
   UpdateRoundTrip(now, packet);
   probe_.reset();
-  local_health_.Degrade(-1);
+  local_health_.Adjust(-1);
 }
 
 void FailureDetector::HandleNack(const proto::Packet& packet) {
@@ -116,25 +116,25 @@
 }
 
 void FailureDetector::UpdateRoundTrip(TimePoint now, const proto::Packet& packet) {
-  // Of a repeated ping it is not known which one was answered (Karn's algorithm).
+  // For a repeated ping it is unknown which transmission was answered (Karn's algorithm).
   if (probe_->indirect || probe_->repeated || packet.sender().name() != probe_->name) return;
   Peer* peer = members_.Find(probe_->name);
   if (peer == nullptr) return;
   const Duration measured = now - probe_->sent;
   std::optional<Duration>& smoothed = peer->round_trip;
-  smoothed = smoothed ? *smoothed + (measured - *smoothed) / kRoundTripSmoothing : measured;
+  smoothed = smoothed ? *smoothed + (measured - *smoothed) / kRoundTripSmoothingDivisor : measured;
 }
 
 void FailureDetector::PingDeadMember(TimePoint now, Outbox& outbox) {
-  if (now < next_dead_ping_) return;
-  next_dead_ping_ = now + period_ * kDeadPingPeriods;
+  if (now < next_dead_ping_at_) return;
+  next_dead_ping_at_ = now + period_ * kDeadPingPeriods;
   std::vector<const Peer*> dead;
   for (const auto& [name, peer] : members_.peers()) {
     if (peer.member.state() == proto::Member::DEAD) dead.push_back(&peer);
   }
   if (dead.empty()) return;
   const Peer& peer = *dead[random_() % dead.size()];
-  // The ping carries its state: it refutes that, and the refutation spreads to all.
+  // The ping carries the member's state. A running member refutes it, and the refutation spreads by gossip.
   packets_.SendPing(peer.member.address(), packets_.DrawNonce(), outbox, &peer.member);
 }
 
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,8 +1,9 @@
-// SWIM's failure detector: one member is probed each protocol period. One that does not answer in time is
-// probed through some others, and suspected at the end of the period. As in Lifeguard, the others say when
-// they have no answer either, and silence of them all counts against this instance.
+// SWIM's failure detector: it probes one member in each protocol period. If the member does not answer its
+// ping in time, other members are requested to ping it; without any answer it is suspected at the end of the
+// period. As in Lifeguard, the requested members send a Nack if they have no answer either, and each missing
+// Nack lowers this instance's local health.
 //
-// One dead member is pinged now and then as well, so that a fleet that was partitioned joins again.
+// Dead members are pinged at a longer interval, so that the sides of an ended partition find each other.
 #pragma once
 
 #include <cstdint>
@@ -21,34 +22,34 @@
 
 namespace lynxgrade::membership {
 
-// How often and by whom a member is pinged within a period.
+// How a member is probed within a protocol period.
 struct ProbeOptions {
-  int indirect_probes = 3;   // members requested to ping one that does not answer
-  bool repeat_pings = true;  // an unanswered ping is sent again, twice within its period
+  int indirect_probes = 3;   // number of members requested to ping one that does not answer
+  bool repeat_pings = true;  // an unanswered ping is repeated twice within the period
 };
 
-// Holds the probe of the current period.
+// Holds the probe of the current period. Not thread-safe.
 class FailureDetector {
  public:
-  // `period`: the protocol period. The references outlive the detector.
+  // `period`: the protocol period. The references must outlive the detector.
   FailureDetector(Duration period, ProbeOptions options, MemberTable& members, LocalHealth& local_health,
                   QuorumTracker& quorum_tracker, PacketBuilder& packets, std::mt19937_64& random);
 
-  // Pings the next member.
+  // Starts the probe of a new period: pings the next member.
   void StartProbe(TimePoint now, Outbox& outbox);
-  // Repeats the ping, directly and through others, once it is due. To be called on each tick.
+  // Repeats the ping and requests indirect probes when they are due. To be called on each tick.
   void ContinueProbe(TimePoint now, Outbox& outbox);
-  // At the end of a period: suspects the member whose probe has not been answered.
+  // Ends the probe of a period: suspects the member if its probe has not been answered.
   void FinishProbe(TimePoint now);
-  // Ends the probe without a verdict.
+  // Ends the probe without a result.
   void CancelProbe() { probe_.reset(); }
 
-  // An answer to a ping, from the probed member or from another that has passed it on.
+  // Handles the answer to a ping, from the probed member or relayed by another member.
   void HandleAck(TimePoint now, const proto::Packet& packet);
-  // A member that was requested to ping the probed one has no answer.
+  // Handles the Nack of a member that was requested to ping the probed one and has no answer.
   void HandleNack(const proto::Packet& packet);
 
-  // Pings a dead member, drawn at random, once in a few periods. To be called on each tick.
+  // Pings a randomly drawn dead member every few periods. To be called on each tick.
   void PingDeadMember(TimePoint now, Outbox& outbox);
 
  private:
@@ -56,16 +57,16 @@
     std::string name;
     std::uint64_t nonce = 0;
     TimePoint sent{};
-    bool indirect = false;          // others have been requested
-    bool repeated = false;          // for the second time
-    int nack_capable_requests = 0;  // requests to members that say when they have no answer
-    int nacks = 0;
+    bool indirect = false;          // indirect probes have been requested; the ping was repeated with them
+    bool repeated = false;          // the ping has been repeated for the second time
+    int nack_capable_requests = 0;  // requests to members that send Nacks
+    int nacks = 0;                  // Nacks received
   };
 
   void RequestIndirectProbes(const std::string& address, Outbox& outbox);
-  // Notes the acknowledgements of an answer to the probe.
+  // Passes the view acknowledgements of an answer to the quorum tracker.
   void RecordAcknowledgements(const proto::Packet& packet);
-  // Includes the time that the answer to the probe took in its sender's round trip.
+  // Updates the member's smoothed round-trip time with that of the probe, if the probe allows to measure it.
   void UpdateRoundTrip(TimePoint now, const proto::Packet& packet);
 
   Duration period_;
@@ -77,7 +78,7 @@
   std::mt19937_64& random_;
   ProbeSchedule schedule_;
   std::optional<Probe> probe_;
-  TimePoint next_dead_ping_{};
+  TimePoint next_dead_ping_at_{};
 };
 
 }  // namespace lynxgrade::membership
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr std::size_t kMaxGossipPerPacket = 6;
-constexpr double kRetransmitMultiplier = 3;  // times log2 of the number of members
+// The maximum number of transmissions is this, times log2 of the number of members.
+constexpr double kRetransmitMultiplier = 3;
 
 }  // namespace
 
@@ -24,11 +25,11 @@
                     [](const auto& a, const auto& b) {
                       return std::tie(a->second, a->first) < std::tie(b->second, b->first);
                     });
-  const double limit = kRetransmitMultiplier * std::log2(static_cast<double>(peers.size()) + 2);
+  const double max_transmissions = kRetransmitMultiplier * std::log2(static_cast<double>(peers.size()) + 2);
   for (std::size_t i = 0; i < count; ++i) {
     const auto peer = peers.find(order[i]->first);
     if (peer != peers.end()) *packet.add_gossip() = peer->second.member;
-    if (++order[i]->second >= limit || peer == peers.end()) transmissions_.erase(order[i]);
+    if (++order[i]->second >= max_transmissions || peer == peers.end()) transmissions_.erase(order[i]);
   }
 }
 
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -1,4 +1,5 @@
-// Which members' news is still to be spread, piggybacked on packets that are sent anyway (SWIM, section 4.1).
+// The members whose state is still to be disseminated, piggybacked on packets that are sent anyway (SWIM,
+// section 4.1).
 #pragma once
 
 #include <map>
@@ -9,17 +10,18 @@
 
 namespace lynxgrade::membership {
 
-// Holds names only: the state that is sent is the present one.
+// Holds member names only: a packet gets the state that a member has when the packet is built. Not
+// thread-safe.
 class GossipQueue {
  public:
-  // Queues the state of this member, as it then is, afresh.
+  // Queues a member, or resets its count of transmissions if it is queued already.
   void Enqueue(const std::string& name) { transmissions_[name] = 0; }
-  // Adds the states that have been sent least often, and discards those that were sent often enough: some
-  // times the logarithm of the number of members.
+  // Adds the states of the members with the fewest transmissions to a packet. Discards a member after a
+  // number of transmissions that grows with the logarithm of the number of members.
   void AddTo(proto::Packet& packet, const PeerMap& peers);
 
  private:
-  std::map<std::string, int> transmissions_;  // by member, since it was queued
+  std::map<std::string, int> transmissions_;  // by member name, since it was last queued
 };
 
 }  // namespace lynxgrade::membership
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -9,18 +9,19 @@
 
 namespace lynxgrade::membership {
 
-// This instance's multiplier.
+// The multiplier of this instance. Not thread-safe.
 class LocalHealth {
  public:
-  // Zero as the maximum switches the multiplier off.
+  // With a maximum of zero timeouts do not depend on local health.
   explicit LocalHealth(int max_multiplier) : max_multiplier_(max_multiplier) {}
 
-  // Evidence that this instance is slow, or, where negative, that it is not.
-  void Degrade(int by) { multiplier_ = std::clamp(multiplier_ + by, 0, max_multiplier_); }
-  void DegradeFully() { Degrade(max_multiplier_); }
-  // A timeout as it is under the present health.
+  // Adds to the multiplier: a positive delta on evidence that this instance is slow, a negative one on
+  // evidence that it is not.
+  void Adjust(int delta) { multiplier_ = std::clamp(multiplier_ + delta, 0, max_multiplier_); }
+  void RaiseToMax() { Adjust(max_multiplier_); }
+  // Lengthens a timeout according to the current multiplier.
   Duration Scale(Duration timeout) const { return timeout * (multiplier_ + 1); }
-  // Zero for a healthy instance, else by how many times its timeouts are longer.
+  // Zero for a healthy instance. A timeout is lengthened to `1 + multiplier()` times its length.
   int multiplier() const { return multiplier_; }
 
  private:
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -5,8 +5,8 @@
 namespace lynxgrade::membership {
 namespace {
 
-// SWIM's precedence: a later incarnation, or a worse state of the same. A member itself is believed to be
-// alive whatever is reported of it, unless it has left.
+// SWIM's precedence: a higher incarnation number overrides, and so does a worse state of the same number. A
+// member that reports itself alive overrides a suspicion or death of any incarnation number, but no leave.
 bool Overrides(const proto::Member& reported, const proto::Member& known, ReportSource source) {
   const bool later_incarnation = reported.incarnation() > known.incarnation();
   const bool worse_state = reported.incarnation() == known.incarnation() && reported.state() > known.state();
@@ -42,11 +42,12 @@
   if (reported_state == proto::Member::ALIVE || self_.state() != proto::Member::ALIVE) return;
   if (reported_incarnation < self_.incarnation()) return;
   self_.set_incarnation(reported_incarnation + 1);
-  local_health_.Degrade(1);  // its answers came too late
+  local_health_.Adjust(1);  // the probes of others expired, so its answers were late
 }
 
-// Of two running processes of one name the one that started later stays. A later start of one that has ended
-// is due to a clock that was ahead: this process takes a later start still, or its reports would never apply.
+// Of two running processes of one name the one that started later is kept. If the other one has ended but
+// started later by its clock, that clock was ahead: this process moves its own start time beyond that one, as
+// its reports would never apply otherwise.
 ReportEffect MemberTable::ApplyReportOfDuplicate(const proto::Member& reported, ReportSource source) {
   if (reported.started_us() < self_.started_us()) {
     duplicate_name_reports_ += source == ReportSource::kMember ? 1 : 0;
@@ -65,7 +66,7 @@
 void MemberTable::ApplyReportOfPeer(TimePoint now, const proto::Member& reported, ReportSource source) {
   auto [it, is_new_name] = peers_.try_emplace(reported.name());
   Peer& peer = it->second;
-  // The seeds are searched on a new address only: a scan for each report is too much.
+  // Seeds are searched only when an address is new: a scan for each report would be too slow.
   const bool is_new_address = is_new_name || peer.member.address() != reported.address();
   if (is_new_address && std::erase(unheard_seeds_, reported.address()) > 0) ++change_count_;
   const bool is_new_process = is_new_name || reported.started_us() > peer.member.started_us();
@@ -74,15 +75,16 @@
       duplicate_name_reports_ += source == ReportSource::kMember ? 1 : 0;
       return;
     }
-    if (ConfirmsSuspicion(peer, reported)) return gossip_.Enqueue(reported.name());
+    if (TryConfirmSuspicion(peer, reported)) return gossip_.Enqueue(reported.name());
     if (!Overrides(reported, peer.member, source)) return;
     const bool is_death = reported.state() == proto::Member::DEAD && IsRunning(peer.member);
-    if (source == ReportSource::kGossip && is_death && death_verifier_.Defer(now, peer, reported)) return;
+    if (source == ReportSource::kGossip && is_death && death_verifier_.DeferDeath(now, peer, reported))
+      return;
   }
-  Replace(now, peer, reported, is_new_process);
+  ReplaceEntry(now, peer, reported, is_new_process);
 }
 
-bool MemberTable::ConfirmsSuspicion(Peer& peer, const proto::Member& reported) {
+bool MemberTable::TryConfirmSuspicion(Peer& peer, const proto::Member& reported) {
   const bool same_suspicion = reported.state() == proto::Member::SUSPECT && reported.suspected_by() != 0 &&
                               peer.member.state() == proto::Member::SUSPECT &&
                               reported.incarnation() == peer.member.incarnation();
@@ -91,9 +93,10 @@
   return true;
 }
 
-void MemberTable::Replace(TimePoint now, Peer& peer, const proto::Member& reported, bool is_new_process) {
+void MemberTable::ReplaceEntry(TimePoint now, Peer& peer, const proto::Member& reported,
+                               bool is_new_process) {
   RecordChange(reported.name());
-  if (is_new_process) peer.round_trip.reset();  // it may run on another machine
+  if (is_new_process) peer.round_trip.reset();  // the new process may run on another machine
   if (is_new_process || peer.member.state() != reported.state()) peer.state_changed_at = now;
   peer.member = reported;
   peer.suspectors.clear();
@@ -134,10 +137,10 @@
   peer->view = view;
 }
 
-void MemberTable::PostponeSuspicions(TimePoint now, Duration by) {
+void MemberTable::PostponeSuspicions(TimePoint now, Duration delay) {
   for (auto& [name, peer] : peers_) {
     if (peer.member.state() != proto::Member::SUSPECT) continue;
-    peer.state_changed_at = std::min(now, peer.state_changed_at + by);
+    peer.state_changed_at = std::min(now, peer.state_changed_at + delay);
   }
 }
 
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,6 +1,6 @@
-// All known members and the rules by which reports about them apply: SWIM's precedence of incarnation numbers
-// and suspicions (Das, Gupta, Motivala: SWIM, DSN 2002, section 4.2), and replacement of an earlier process
-// of a name by a later one.
+// All known members, and the rules by which a report about a member replaces what is known of it: SWIM's
+// precedence of incarnation numbers and suspicions (Das, Gupta, Motivala: SWIM, DSN 2002, section 4.2), and
+// replacement of a process by one of the same name that started later.
 #pragma once
 
 #include <cstddef>
@@ -18,73 +18,73 @@
 
 namespace lynxgrade::membership {
 
-// Where a report about a member comes from.
+// Who has sent a report about a member.
 enum class ReportSource {
   kMember,  // the member itself
   kGossip,  // another member
 };
 
-// What a report means for this instance itself.
+// The effect of a report on this instance's own membership.
 enum class ReportEffect {
   kNone,
-  kSuperseded,  // a running process of its name was started later
+  kSuperseded,  // another running process has this instance's name and started later
 };
 
-// This instance's own entry, and those of all others.
+// The entry of this instance and those of all others. Not thread-safe.
 class MemberTable {
  public:
-  // `seeds`: addresses of members to join by. The other arguments outlive the table.
+  // `seeds`: addresses at which members of the fleet are expected. The references must outlive the table.
   MemberTable(proto::Member self, std::vector<std::string> seeds, GossipQueue& gossip,
               LocalHealth& local_health, DeathVerifier& death_verifier);
 
-  // Applies what is reported of a member, which may be this instance.
+  // Applies a report about a member, which may be this instance.
   ReportEffect ApplyReport(TimePoint now, const proto::Member& reported, ReportSource source);
-  // Where another member does not hold this instance alive, with the incarnation number that it knows: takes
-  // a higher one, which refutes it.
+  // Refutes a report that this instance is not alive: raises its incarnation number above the reported one.
   void Refute(proto::Member::State reported_state, std::uint32_t reported_incarnation);
 
-  // Sets the state of one of `peers()` and queues it as gossip.
+  // Sets the state of a member of `peers()` and queues it as gossip.
   void SetState(TimePoint now, Peer& peer, proto::Member::State state);
-  // This instance suspects a running peer on its own evidence.
+  // Suspects a running peer because this instance's own probe of it has failed.
   void Suspect(TimePoint now, Peer& peer);
-  // Notes that a packet of the member itself arrived, sent while it had this view.
+  // Records the arrival of a packet that the member sent itself, and the digest of its view in it.
   void RecordPacket(TimePoint now, const proto::Member& sender, std::uint64_t view);
-  // Moves the start of all suspicions `by` later, to `now` at most.
-  void PostponeSuspicions(TimePoint now, Duration by);
-  // Removes the members that have been dead, or have left, for as long as `retention`; returns their names.
+  // Moves the start of all suspicions forward by this duration, but not beyond `now`.
+  void PostponeSuspicions(TimePoint now, Duration delay);
+  // Removes the members that died or left at least `retention` ago; returns their names.
   std::vector<std::string> RemoveExpired(TimePoint now, Duration retention);
-  // This instance leaves the fleet.
+  // Marks this instance as having left the fleet.
   void MarkSelfLeft() { self_.set_state(proto::Member::LEFT); }
 
   const proto::Member& self() const { return self_; }
   const PeerMap& peers() const { return peers_; }
   PeerMap& peers() { return peers_; }
-  // Null where there is no such peer.
+  // Null if there is no peer of this name.
   Peer* Find(const std::string& name);
   const Peer* Find(const std::string& name) const;
   // The number of peers that count as running.
   std::size_t RunningCount() const;
-  // Seeds at whose address no member has been heard of.
+  // Seed addresses at which no member is known.
   const std::vector<std::string>& unheard_seeds() const { return unheard_seeds_; }
 
-  // How often a running process with the name of another running one was heard of.
+  // Number of reports about a running process that has the name of another running one.
   std::uint64_t duplicate_name_reports() const { return duplicate_name_reports_; }
-  // Whether a running process of this instance's name was started later.
+  // Whether another running process has this instance's name and started later.
   bool superseded() const { return superseded_; }
 
-  // Rises with every change of `peers` or `unheard_seeds`, except that a peer was heard.
+  // Incremented by every change of `peers` or `unheard_seeds`. The arrival of a packet is no such change.
   std::uint64_t change_count() const { return change_count_; }
-  // Names of peers that were added, changed or removed since the last call, some perhaps repeatedly.
+  // Names of peers that were added, changed or removed since the last call; may contain duplicates.
   std::vector<std::string> DrainChangedNames() { return std::exchange(changed_names_, {}); }
-  // Whether the members that count as running may have changed since the last call; true on the first.
+  // Whether the set of running members may have changed since the last call; true on the first call.
   bool DrainRunningChanged() { return std::exchange(running_changed_, false); }
 
  private:
   ReportEffect ApplyReportOfDuplicate(const proto::Member& reported, ReportSource source);
   void ApplyReportOfPeer(TimePoint now, const proto::Member& reported, ReportSource source);
-  // Whether the report adds another member that suspects the peer.
-  static bool ConfirmsSuspicion(Peer& peer, const proto::Member& reported);
-  void Replace(TimePoint now, Peer& peer, const proto::Member& reported, bool is_new_process);
+  // Adds the report's suspector to those of the peer. Returns whether it confirms the known suspicion and its
+  // suspector is a new one.
+  static bool TryConfirmSuspicion(Peer& peer, const proto::Member& reported);
+  void ReplaceEntry(TimePoint now, Peer& peer, const proto::Member& reported, bool is_new_process);
   void RecordChange(const std::string& name);
 
   proto::Member self_;
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-// A sum of mixed incarnation ids, which are random: independent of their order.
+// The digest is a sum of hashed incarnation ids, so it does not depend on their order. The ids are random.
 void MembershipView::Refresh(const MemberTable& members) {
   const std::uint64_t self = members.self().incarnation_id();
   digest_ =
@@ -32,21 +32,21 @@
   std::ranges::sort(incarnation_ids_);
 }
 
-// A member that does not know the rule would find other managers, and two managers of one key make reads
-// stale. As the digest names them all instances of one view find the same.
+// A member without support for dedicated lease managers would select other ones, and two managers of one key
+// make stale reads possible. The digest includes them, so that all instances of a view select the same ones.
 void MembershipView::RefreshLeaseManagers(const MemberTable& members) {
   dedicated_lease_managers_.clear();
-  bool all_know = (capabilities_ & capability::kSupportsDedicatedLeaseManagers) != 0;
+  bool all_support = (capabilities_ & capability::kSupportsDedicatedLeaseManagers) != 0;
   if (options_.dedicated) dedicated_lease_managers_.push_back(members.self().incarnation_id());
   for (const auto& [name, peer] : members.peers()) {
     if (!IsRunning(peer.member)) continue;
-    const bool knows = (peer.member.capabilities() & capability::kSupportsDedicatedLeaseManagers) != 0;
-    all_know = all_know && (knows || !options_.require_support_by_all);
+    const bool supports = (peer.member.capabilities() & capability::kSupportsDedicatedLeaseManagers) != 0;
+    all_support = all_support && (supports || !options_.require_support_by_all);
     if (peer.member.dedicated_lease_manager()) {
       dedicated_lease_managers_.push_back(peer.member.incarnation_id());
     }
   }
-  if (!all_know) dedicated_lease_managers_.clear();
+  if (!all_support) dedicated_lease_managers_.clear();
 }
 
 }  // namespace lynxgrade::membership
--- a/src/membership/membership_view.h
+++ b/src/membership/membership_view.h
@@ -1,5 +1,5 @@
-// The members that count as running, the digest that names them, and those of them that manage the session
-// leases of all.
+// This instance's view of the fleet: the members that count as running, a digest that identifies this set,
+// and the dedicated lease managers among them.
 #pragma once
 
 #include <cstdint>
@@ -10,26 +10,26 @@
 
 namespace lynxgrade::membership {
 
-// Rules that each member of a view has to know before it may apply them: bits of `Member.capabilities`.
+// Bits of `Member.capabilities`: rules that an instance may only apply if the other members support them too.
 namespace capability {
 inline constexpr std::uint32_t kSupportsDedicatedLeaseManagers = 2;
 inline constexpr std::uint32_t kRelaysLeaseMessages = 4;
 }  // namespace capability
 
-// This process's part in the management of session leases.
+// The role of this process in the management of session leases.
 struct LeaseManagerOptions {
-  // This process manages leases for all. Dedicated lease managers count only in a view whose members all know
-  // them, and its digest names them.
+  // This process is a dedicated lease manager: it manages the session leases of all instances. Dedicated
+  // lease managers are used only in a view whose members all support them, and are part of its digest.
   bool dedicated = false;
-  // That rule. Without it, which is for tests alone, stale reads are possible.
+  // Enforces that rule. False for tests only: stale reads become possible.
   bool require_support_by_all = true;
 };
 
-// The view as of the last refresh.
+// The view as of the last refresh. Not thread-safe.
 class MembershipView {
  public:
-  // Instances whose fleets differ in size, or whose acknowledgements differ in validity, never have the same
-  // view.
+  // The fleet size and the validity of acknowledgements are part of the digest: instances that differ in one
+  // of them never have the same view.
   MembershipView(std::size_t fleet_size, Duration acknowledgement_validity, std::uint32_t capabilities,
                  LeaseManagerOptions options)
       : fleet_size_(fleet_size),
@@ -37,15 +37,15 @@
         capabilities_(capabilities),
         options_(options) {}
 
-  // Computes the view anew. Suspected members stay in it until they are declared dead: suspicions come and go
-  // where packets are lost.
+  // Computes the view from the member table. Suspected members belong to it until they are declared dead, as
+  // with packet loss suspicions are frequent and mostly refuted.
   void Refresh(const MemberTable& members);
 
   std::uint64_t digest() const { return digest_; }
-  // Of the members, this instance included, ascending.
+  // The incarnation ids of the members in ascending order, this instance included.
   const std::vector<std::uint64_t>& incarnation_ids() const { return incarnation_ids_; }
-  // The incarnation ids of the view's dedicated lease managers; empty where it has none, or not all members
-  // know them. The same in all instances of the view.
+  // The incarnation ids of the dedicated lease managers; empty if there are none, or not all members support
+  // them. All instances with the same view have the same ones.
   const std::vector<std::uint64_t>& dedicated_lease_managers() const { return dedicated_lease_managers_; }
 
  private:
--- a/src/membership/outgoing_packet.h
+++ b/src/membership/outgoing_packet.h
@@ -1,4 +1,4 @@
-// A packet that is to be sent, and to whom.
+// A packet to be sent, with its destination.
 #pragma once
 
 #include <string>
@@ -14,7 +14,7 @@
   proto::Packet packet;
 };
 
-// In the order of sending.
+// Packets to be sent, in this order.
 using Outbox = std::vector<OutgoingPacket>;
 
 }  // namespace lynxgrade::membership
--- a/src/membership/packet_builder.cpp
+++ b/src/membership/packet_builder.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr std::uint32_t kPacketVersion = 1;
-// In a ping, `block_acknowledgement_ages` of any content requests ages by block.
+// A ping requests ages by block if its `block_acknowledgement_ages` is not empty, whatever it contains.
 constexpr const char* kRequestAgesPerBlock = "b";
 
 }  // namespace
 
-AgeRequest AgeRequest::Of(const proto::Packet& packet) {
+AgeRequest AgeRequest::FromPacket(const proto::Packet& packet) {
   return {packet.sender().incarnation_id(), packet.view(),
           packet.block_acknowledgement_ages().empty() ? AgeFormat::kPerMember : AgeFormat::kPerBlock};
 }
--- a/src/membership/packet_builder.h
+++ b/src/membership/packet_builder.h
@@ -1,4 +1,4 @@
-// The parts that packets of several kinds have in common: the sender, gossip, and acknowledgements of views.
+// Builds the parts that several kinds of packets share: the sender, gossip, and view acknowledgements.
 #pragma once
 
 #include <cstdint>
@@ -14,46 +14,46 @@
 
 namespace lynxgrade::membership {
 
-// In which form an instance wants the ages of acknowledgements.
+// The form in which an instance requests the ages of view acknowledgements.
 enum class AgeFormat {
   kPerMember,
   kPerBlock,
 };
 
-// Whom an answer goes to, as far as its acknowledgement ages depend on it.
+// What the acknowledgement ages of an answer depend on: their requester, its view, and the requested form.
 struct AgeRequest {
-  std::uint64_t incarnation_id = 0;
-  std::uint64_t view = 0;  // digest
+  std::uint64_t incarnation_id = 0;  // of the requester
+  std::uint64_t view = 0;            // digest of the requester's view
   AgeFormat format = AgeFormat::kPerMember;
 
-  // What the sender of this ping, or ping request, wants.
-  static AgeRequest Of(const proto::Packet& packet);
+  // The request in a ping or ping request.
+  static AgeRequest FromPacket(const proto::Packet& packet);
 };
 
-// Reads the other parts of the protocol; owns nothing but the time.
+// Reads the member table and the quorum tracker, which it does not own. Not thread-safe.
 class PacketBuilder {
  public:
-  // The arguments outlive the builder. `random` draws the nonces.
+  // The arguments must outlive the builder. Nonces are drawn from `random`.
   PacketBuilder(const MemberTable& members, GossipQueue& gossip, const QuorumTracker& quorum_tracker,
                 std::mt19937_64& random)
       : members_(members), gossip_(gossip), quorum_tracker_(quorum_tracker), random_(random) {}
 
-  // The time at which the following packets are built.
+  // Sets the time at which the following packets are built.
   void SetTime(TimePoint now) { now_ = now; }
 
   // Adds this instance as the sender, its view, and gossip.
   void AddSenderAndGossip(proto::Packet& packet);
-  // Completes the packet by `AddSenderAndGossip`, and queues it.
+  // Completes the packet with `AddSenderAndGossip` and appends it to the outbox.
   void Send(OutgoingPacket packet, Outbox& outbox);
-  // Sends a ping, with the state of `subject` as its first gossip if that is not alive. The subject may be
-  // the receiver, which then can refute it.
+  // Sends a ping. If `subject` is not alive, its state is the first gossip of the packet: a subject that is
+  // the receiver can then refute it.
   void SendPing(const std::string& address, std::uint64_t nonce, Outbox& outbox,
                 const proto::Member* subject = nullptr);
-  // In a ping or ping request: in which form this instance wants the ages.
+  // Adds to a ping or ping request the form in which this instance requests the ages.
   void AddAgeFormat(proto::Packet& packet) const;
-  // In an answer: adds the ages of acknowledgements.
+  // Adds the requested ages of view acknowledgements to an answer.
   void AddAcknowledgementAges(const AgeRequest& request, proto::Packet& packet) const;
-  // By which an answer is matched with its ping.
+  // A nonce by which the answer to a ping is recognized.
   std::uint64_t DrawNonce() { return random_(); }
 
  private:
--- a/src/membership/ping_relay.h
+++ b/src/membership/ping_relay.h
@@ -1,4 +1,4 @@
-// The other side of indirect probes: pings a member on request of another, and passes its answer on.
+// The receiving side of indirect probes: pings a member at the request of another one and relays its answer.
 #pragma once
 
 #include <cstdint>
@@ -13,29 +13,29 @@
 
 namespace lynxgrade::membership {
 
-// Holds the requests that may still be answered.
+// Holds the requests that may still be answered. Not thread-safe.
 class PingRelay {
  public:
-  // `period`: the protocol period. The references outlive the relay.
+  // `period`: the protocol period. The references must outlive the relay.
   PingRelay(Duration period, const MemberTable& members, PacketBuilder& packets)
       : period_(period), members_(members), packets_(packets) {}
 
-  // Pings the member that the packet, received from `sender_address`, requests to ping.
+  // Handles a ping request received from `sender_address`: pings the member that it names.
   void HandlePingRequest(TimePoint now, const std::string& sender_address, const proto::Packet& packet,
                          Outbox& outbox);
-  // Passes an answer on to who requested the ping.
+  // Relays an answer to the requester of its ping; ignores answers to other pings.
   void HandleAck(const proto::Packet& packet, Outbox& outbox);
-  // Sends a Nack for each request whose answer is late, and forgets the outdated ones.
+  // Sends a Nack for each request whose answer is late, and discards expired requests.
   void Tick(TimePoint now, Outbox& outbox);
-  // Forgets all requests.
+  // Discards all requests.
   void Clear() { requests_.clear(); }
 
  private:
   struct Request {
-    std::string address;      // of the requester
-    std::uint64_t nonce = 0;  // likewise
-    TimePoint expires{};
-    TimePoint nack_due{};
+    std::string requester_address;
+    std::uint64_t requester_nonce = 0;  // the nonce of the ping request
+    TimePoint expires_at{};
+    TimePoint nack_due_at{};
     AgeRequest age_request;
     bool nack_sent = false;
   };
--- a/src/membership/probe_schedule.cpp
+++ b/src/membership/probe_schedule.cpp
@@ -6,20 +6,20 @@
 
 namespace lynxgrade::membership {
 
-const Peer* ProbeSchedule::Next(TimePoint now) {
+const Peer* ProbeSchedule::NextTarget(TimePoint now) {
   own_block_next_ = !own_block_next_ && quorum_tracker_.BlockAcknowledgementsSuffice(now);
   if (own_block_next_) {
-    if (const Peer* peer = NextOfOwnBlock()) return peer;
+    if (const Peer* peer = PopNextOfOwnBlock()) return peer;
   }
-  // The rest of a round may have ended since it was shuffled.
+  // All members that remain of a round may have stopped running since it was shuffled: then start a new one.
   for (int rounds = 0; rounds < 2; ++rounds) {
-    if (const Peer* peer = NextOf(round_)) return peer;
+    if (const Peer* peer = PopNextRunning(round_)) return peer;
     StartRound();
   }
   return nullptr;
 }
 
-const Peer* ProbeSchedule::NextOf(Round& round) {
+const Peer* ProbeSchedule::PopNextRunning(Round& round) {
   while (!round.empty()) {
     const Peer* peer = members_.Find(round.back());
     round.pop_back();
@@ -28,10 +28,10 @@
   return nullptr;
 }
 
-const Peer* ProbeSchedule::NextOfOwnBlock() {
-  if (const Peer* peer = NextOf(own_block_round_)) return peer;
+const Peer* ProbeSchedule::PopNextOfOwnBlock() {
+  if (const Peer* peer = PopNextRunning(own_block_round_)) return peer;
   StartOwnBlockRound();
-  return NextOf(own_block_round_);
+  return PopNextRunning(own_block_round_);
 }
 
 void ProbeSchedule::StartRound() {
--- a/src/membership/probe_schedule.h
+++ b/src/membership/probe_schedule.h
@@ -1,5 +1,5 @@
-// Which member is probed next: all in shuffled rounds (SWIM, section 4.3), so that each is probed within a
-// bounded time.
+// Selects the member to probe next: all members in shuffled rounds (SWIM, section 4.3), so that each one is
+// probed within a bounded time.
 #pragma once
 
 #include <random>
@@ -11,26 +11,26 @@
 
 namespace lynxgrade::membership {
 
-// The rest of the current rounds.
+// Holds the members that remain of the current rounds. Not thread-safe.
 class ProbeSchedule {
  public:
-  // The arguments outlive the schedule.
+  // The arguments must outlive the schedule.
   ProbeSchedule(const MemberTable& members, const QuorumTracker& quorum_tracker, std::mt19937_64& random)
       : members_(members), quorum_tracker_(quorum_tracker), random_(random) {}
 
-  // The next member that counts as running; null where there is none. Valid until a member is removed.
+  // The next member that counts as running; null if there is none. Valid until a member is removed.
   //
-  // While acknowledgements by block suffice every other probe goes to this instance's own block: a block's
-  // acknowledgements are aggregated by its members, from the answers of each other. Each member of the fleet
-  // is then probed within twice as many periods as there are members.
-  const Peer* Next(TimePoint now);
+  // While ages by block suffice, every second probe goes to a member of this instance's own block: the
+  // members of a block aggregate its acknowledgements from each other's answers. Each member of the fleet is
+  // then probed within twice as many periods as there are members.
+  const Peer* NextTarget(TimePoint now);
 
  private:
-  using Round = std::vector<std::string>;  // names that remain, the next last
+  using Round = std::vector<std::string>;  // member names that remain; the last one is probed next
 
-  // The next of this round that counts as running.
-  const Peer* NextOf(Round& round);
-  const Peer* NextOfOwnBlock();
+  // Removes names from the round until one counts as running, and returns it; null if none does.
+  const Peer* PopNextRunning(Round& round);
+  const Peer* PopNextOfOwnBlock();
   void StartRound();
   void StartOwnBlockRound();
 
--- a/src/membership/quorum_tracker.cpp
+++ b/src/membership/quorum_tracker.cpp
@@ -7,14 +7,17 @@
 namespace lynxgrade::membership {
 namespace {
 
-// Clocks of two instances may drift apart by one part in so many.
+// The rates of two clocks may differ by up to a tenth, so the hold-off after a change of view is a tenth
+// longer than the validity of the acknowledgements that have to expire.
 constexpr int kClockDriftDivisor = 10;
-// The fleet's share that may be missing from a nearly complete view is one in so many, or one instance.
+// A view is nearly complete if at most a tenth of the fleet is missing, or one instance.
 constexpr std::size_t kNearlyCompleteDivisor = 10;
-// Up to this size of a view the ages of all members are fewer bytes than the rest of a packet (some 80).
+// Up to this size of the view the ages of all members take fewer bytes than the rest of a packet (about 80),
+// and acknowledgements reach all members without probing those of the own block more often than others.
 constexpr std::size_t kMaxMembersWithoutBlocks = 64;
-// With less of the validity left an instance requests the ages of all members. A validity is three times as
-// long as they take to reach everybody, so they arrive before it ends.
+// If less than this share of the validity is left, an instance requests the ages of all members instead of
+// ages by block. The validity is three times as long as they take to reach all members, so they arrive before
+// it ends.
 constexpr int kMinValidityLeftPercent = 33;
 
 }  // namespace
@@ -43,7 +46,7 @@
 
 void QuorumTracker::RecordAcknowledgement(std::uint64_t incarnation_id, TimePoint pinged_at,
                                           std::uint64_t acknowledged_view) {
-  acknowledgements_.Record(incarnation_id, pinged_at, acknowledged_view);
+  acknowledgements_.RecordAcknowledgement(incarnation_id, pinged_at, acknowledged_view);
 }
 
 void QuorumTracker::MergeAcknowledgementAges(TimePoint pinged_at, std::uint64_t view, std::string_view ages) {
@@ -56,14 +59,14 @@
 }
 
 std::string QuorumTracker::AcknowledgementAges(TimePoint now, std::uint64_t view) const {
-  return acknowledgements_.Ages(now, view);
+  return acknowledgements_.EncodeAges(now, view);
 }
 
 std::string QuorumTracker::BlockAcknowledgementAges(TimePoint now, std::uint64_t view,
                                                     std::uint64_t requester) const {
-  // The answer that carries the ages is this instance's own acknowledgement.
+  // The answer that contains the ages is an acknowledgement of this instance itself.
   const auto self_acknowledged_at = AcknowledgedView(now) != 0 ? std::optional(now) : std::nullopt;
-  return acknowledgements_.BlockAges(now, view, requester, self_acknowledged_at);
+  return acknowledgements_.EncodeBlockAges(now, view, requester, self_acknowledged_at);
 }
 
 bool QuorumTracker::BlockAcknowledgementsSuffice(TimePoint now) const {
@@ -84,7 +87,7 @@
 
 QuorumTracker::Assessment QuorumTracker::Assess(TimePoint now) {
   acknowledgements_.DiscardExpired(now);
-  std::vector<TimePoint> counted;  // from when the acknowledgement of each other member counts
+  std::vector<TimePoint> counted;  // start of the validity of each acknowledgement of another member
   for (const std::optional<TimePoint> time : acknowledgements_.ValidTimesOfOthers(now)) {
     if (time || !options_.acknowledgements_required) counted.push_back(time.value_or(now));
   }
@@ -94,11 +97,12 @@
   Assessment assessment;
   if (agreeing > half) {
     const std::size_t missing = options_.fleet_size - std::min(options_.fleet_size, agreeing);
-    const std::size_t few = std::max<std::size_t>(1, options_.fleet_size / kNearlyCompleteDivisor);
-    assessment.state = missing == 0     ? QuorumState::kComplete
-                       : missing <= few ? QuorumState::kNearlyComplete
-                                        : QuorumState::kMajority;
-    // A majority lasts until the acknowledgement of the half-th newest expires.
+    const std::size_t max_missing = std::max<std::size_t>(1, options_.fleet_size / kNearlyCompleteDivisor);
+    assessment.state = missing == 0             ? QuorumState::kComplete
+                       : missing <= max_missing ? QuorumState::kNearlyComplete
+                                                : QuorumState::kMajority;
+    // With this instance itself the newest `half` acknowledgements make a majority, so it lasts until the
+    // oldest of these expires.
     if (half > 0) {
       const auto nth = counted.begin() + static_cast<std::ptrdiff_t>(half) - 1;
       std::ranges::nth_element(counted, nth, std::greater<>());
--- a/src/membership/quorum_tracker.h
+++ b/src/membership/quorum_tracker.h
@@ -1,10 +1,10 @@
-// How much of the fleet shares this instance's view, as far as that is proven.
+// Proves how much of the fleet shares this instance's view.
 //
 // A network partition cannot be distinguished from crashes, so a view is compared with the configured size of
-// the fleet, never with the number of instances seen. An instance acknowledges one view at a time, on each
-// answer to a ping, and none for a while after its view changed: for as long as its former acknowledgements
-// may still count. So each instance counts for one view at a time whatever links are cut, and two views
-// cannot both have a majority.
+// the fleet, never with the number of instances seen. In each answer to a ping an instance acknowledges one
+// view or none. After a change of its view it acknowledges none until its former acknowledgements have
+// expired. So each instance counts for at most one view at a time, whichever links are cut, and two views
+// never have a majority at the same time.
 #pragma once
 
 #include <chrono>
@@ -22,13 +22,13 @@
 
 namespace lynxgrade::membership {
 
-// Not thread-safe; free of sockets and clocks. Times are those of one clock, ascending. May be copied, to
-// assess it without a change to the original.
+// Not thread-safe; uses no sockets and no clock. Times passed to it are those of one clock and never
+// decrease. May be copied, for an assessment that leaves the original unchanged.
 class QuorumTracker {
  public:
   struct Options {
-    std::uint64_t self = 0;                       // this instance's incarnation id
-    std::size_t fleet_size = 1;                   // this instance included
+    std::uint64_t self = 0;                       // incarnation id of this instance
+    std::size_t fleet_size = 1;                   // configured number of instances, this one included
     Duration validity = std::chrono::seconds(5);  // of an acknowledgement, from when its ping was sent
     bool acknowledgements_required = true;        // false: members of the view count without one
   };
@@ -38,65 +38,68 @@
   // The result of an assessment.
   struct Assessment {
     QuorumState state = QuorumState::kUnknown;
-    TimePoint since{};                          // when the state was first assessed
-    std::optional<TimePoint> majority_until{};  // until when a majority is proven; absent: it needs no proof
-    std::uint64_t view = 0;                     // the digest of the assessed view
+    TimePoint since{};  // time of the first assessment that had this state
+    // When the proof of the majority expires. Absent without a majority, and in a fleet of one.
+    std::optional<TimePoint> majority_until{};
+    std::uint64_t view = 0;  // digest of the assessed view
   };
 
-  // The state is unknown from `now` until the acknowledgements of an earlier process have expired.
+  // The state is unknown from `now` until the acknowledgements of an earlier process of this instance have
+  // expired.
   QuorumTracker(Options options, TimePoint now);
 
-  // The current view: `incarnation_ids` are ascending and include this instance's; views of one digest have
-  // the same members.
+  // Sets the current view. `incarnation_ids` are in ascending order and include this instance's; views with
+  // the same digest have the same members.
   void UpdateView(TimePoint now, std::uint64_t digest, const std::vector<std::uint64_t>& incarnation_ids);
-  // To be called after a pause of the process that ended at `now`: others may have agreed on another view
-  // meanwhile, and what this instance had acknowledged may still count.
+  // To be called when the process resumes at `now` after a pause. Discards all acknowledgements, as the
+  // others may have agreed on another view meanwhile, and acknowledges none until its own former ones have
+  // expired.
   void ResetAfterPause(TimePoint now);
 
-  // The answer of an instance to a ping sent at `pinged_at`: it acknowledges the view of this digest; zero:
-  // none.
+  // Records the answer of an instance to a ping sent at `pinged_at`. `acknowledged_view` is the digest of the
+  // view that it acknowledges; zero: it acknowledges none.
   void RecordAcknowledgement(std::uint64_t incarnation_id, TimePoint pinged_at,
                              std::uint64_t acknowledged_view);
-  // Acknowledgements of others that such an answer passes on: ViewAcknowledgements::MergeAges,
+  // Merges the ages of acknowledgements that are in such an answer: ViewAcknowledgements::MergeAges,
   // MergeBlockAges.
   void MergeAcknowledgementAges(TimePoint pinged_at, std::uint64_t view, std::string_view ages);
   void MergeBlockAcknowledgementAges(TimePoint pinged_at, std::uint64_t view, std::string_view ages);
-  // What an answer at `now` passes on to an instance of the view `view`: ViewAcknowledgements::Ages,
-  // BlockAges.
+  // The ages of acknowledgements for an answer at `now` to an instance with the view `view`:
+  // ViewAcknowledgements::EncodeAges, EncodeBlockAges.
   std::string AcknowledgementAges(TimePoint now, std::uint64_t view) const;
   std::string BlockAcknowledgementAges(TimePoint now, std::uint64_t view, std::uint64_t requester) const;
-  // Whether ages aggregated by block are enough for this instance at `now`: the view is large, and all of it
-  // is proven for long enough.
+  // Whether this instance may request ages by block at `now`: its view is large, and the acknowledgements of
+  // all members are valid for long enough.
   bool BlockAcknowledgementsSuffice(TimePoint now) const;
-  // The incarnation ids of this instance's own block, ascending. Valid until the view changes.
+  // The incarnation ids of this instance's own block, in ascending order. Valid until the view changes.
   std::span<const std::uint64_t> OwnBlock() const { return acknowledgements_.OwnBlock(); }
 
   // The digest of the current view.
   std::uint64_t view() const { return acknowledgements_.view(); }
   // The number of members of the current view.
   std::size_t member_count() const { return acknowledgements_.incarnation_ids().size(); }
-  // The members of the current view, ascending.
+  // The incarnation ids of the members of the current view, in ascending order.
   const std::vector<std::uint64_t>& incarnation_ids() const { return acknowledgements_.incarnation_ids(); }
-  // The view that this instance acknowledges at `now`; zero: none, as its acknowledgement of another may
-  // count.
+  // The digest of the view that this instance acknowledges at `now`; zero: none, as its acknowledgement of
+  // another view may still count.
   std::uint64_t AcknowledgedView(TimePoint now) const;
 
-  // Until when every other member of the view is known to acknowledge it. Absent where one does not, or this
-  // instance acknowledges none at `now`.
+  // The time until which all other members of the view are known to acknowledge it. Absent if one does not,
+  // or this instance itself acknowledges no view at `now`.
   std::optional<TimePoint> AllAcknowledgedUntil(TimePoint now) const;
 
-  // The state at `now`. No acknowledgement counts for longer than its validity, also if the process was
-  // paused.
+  // Assesses the state at `now`. Expired acknowledgements never count, not even before a pause of the process
+  // is detected.
   Assessment Assess(TimePoint now);
 
  private:
-  // How long after a change of view this instance acknowledges none.
+  // The time after a change of view during which this instance acknowledges no view.
   Duration HoldOff() const;
 
   Options options_;
   ViewAcknowledgements acknowledgements_;
-  TimePoint acknowledges_from_;  // before that this instance acknowledges no view
-  TimePoint discovery_ends_;     // before that some instances in reach may not have been heard yet
+  TimePoint acknowledges_from_;  // this instance acknowledges no view before this time
+  TimePoint discovery_ends_;     // instances in reach may not have been heard yet before this time
   QuorumState state_ = QuorumState::kUnknown;
   TimePoint state_since_;
 };
--- a/src/membership/suspicion_timers.h
+++ b/src/membership/suspicion_timers.h
@@ -1,5 +1,6 @@
-// How long a suspicion lasts before the suspected member is declared dead: SWIM's suspicion mechanism with
-// Lifeguard's timeout, which is long for a suspicion of one member and shrinks as others confirm it.
+// The time from a suspicion until the suspected member is declared dead: SWIM's suspicion mechanism with
+// Lifeguard's timeout, which is long for a single suspector and shrinks as other members confirm the
+// suspicion.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +12,27 @@
 
 namespace lynxgrade::membership {
 
-// Timeouts and confirmations of suspicions.
+// Timeouts and confirmations of suspicions. Periods are protocol periods.
 struct SuspicionOptions {
-  double min_timeout_periods = 3;  // times log10 of the number of members, where that is above 1
-  double max_timeout_factor = 6;   // times that, for a suspicion that nobody has confirmed; 1: not longer
-  int confirmations = 3;           // by as many other members, after which the timeout is the minimum
-  int recently_heard_periods =
-      15;  // a member heard within so many periods is pinged before it is declared dead
+  // The minimum timeout, multiplied by log10 of the number of members if that is above 1.
+  double min_timeout_periods = 3;
+  // Factor of the minimum that gives the timeout of an unconfirmed suspicion. 1: confirmations have no
+  // effect.
+  double max_timeout_factor = 6;
+  // Number of confirming members at which the timeout is the minimum.
+  int confirmations = 3;
+  // A member heard within this number of periods is pinged before it is declared dead; 0: never.
+  int recently_heard_periods = 15;
 };
 
-// When a suspicion began and who has confirmed it is in the member table.
+// The start of a suspicion and its suspectors are in the member table. Not thread-safe.
 class SuspicionTimers {
  public:
-  // `period`: the protocol period. `members` outlives the timers.
+  // `period`: the protocol period. `members` must outlive the timers.
   SuspicionTimers(Duration period, SuspicionOptions options, MemberTable& members)
       : period_(period), options_(options), members_(members) {}
 
-  // Declares the members dead whose suspicion has timed out, or defers it by the verifier.
+  // Declares the members dead whose suspicion timeout has expired, unless the verifier defers this.
   void ExpireSuspicions(TimePoint now, DeathVerifier& death_verifier);
 
  private:
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -7,10 +7,10 @@
 namespace lynxgrade::membership {
 namespace {
 
-// Each member pings one other a period, so the number of those that have an acknowledgement doubles. So many
-// periods more for the first ping and for the members that are pinged last.
-constexpr double kExtraSpreadPeriods = 2;
-// Members of this protocol version send Nacks: the least that this code speaks.
+// Each member pings one other per period, so the number of members that know of an acknowledgement doubles in
+// each period. Two more periods allow for the first ping and for the members that are pinged last.
+constexpr double kAdditionalSpreadPeriods = 2;
+// The lowest protocol version that includes Nacks, which this code always sends.
 constexpr std::uint32_t kMinProtocolVersion = 1;
 
 }  // namespace
@@ -36,9 +36,9 @@
 
 Duration Swim::ValidityOf(const Options& options) {
   const double spread_periods =
-      std::log2(static_cast<double>(std::max<std::size_t>(1, options.fleet_size))) + kExtraSpreadPeriods;
-  return Duration(static_cast<std::int64_t>(options.acknowledgements.validity_spreads * spread_periods *
-                                            static_cast<double>(options.period.count())));
+      std::log2(static_cast<double>(std::max<std::size_t>(1, options.fleet_size))) + kAdditionalSpreadPeriods;
+  return Duration(static_cast<std::int64_t>(options.acknowledgements.validity_per_spread_time *
+                                            spread_periods * static_cast<double>(options.period.count())));
 }
 
 proto::Member Swim::WithOptions(proto::Member self, const Options& options) {
@@ -49,7 +49,7 @@
 }
 
 void Swim::Tick(TimePoint now, Outbox& outbox) {
-  if (next_period_ == TimePoint{}) Join(now, outbox);
+  if (next_period_at_ == TimePoint{}) JoinFleet(now, outbox);
   packets_.SetTime(now);
   DetectStall(now);
   RefreshView(now);
@@ -57,7 +57,7 @@
   failure_detector_.ContinueProbe(now, outbox);
   failure_detector_.PingDeadMember(now, outbox);
   death_verifier_.Tick(now, members_, local_health_, packets_, outbox);
-  if (now < next_period_) return;
+  if (now < next_period_at_) return;
   FinishPeriod(now);
   failure_detector_.StartProbe(now, outbox);
   if (!unheard_seeds().empty()) {
@@ -66,18 +66,19 @@
   }
 }
 
-void Swim::Join(TimePoint now, Outbox& outbox) {
-  // Instances that start together probe at different times.
+void Swim::JoinFleet(TimePoint now, Outbox& outbox) {
+  // A random offset, so that instances that start together probe at different times.
   const auto period = static_cast<std::uint64_t>(std::max<std::int64_t>(1, options_.period.count()));
-  next_period_ = now + Duration(static_cast<std::int64_t>(random_() % period));
+  next_period_at_ = now + Duration(static_cast<std::int64_t>(random_() % period));
   for (const std::string& seed : unheard_seeds()) packets_.SendPing(seed, packets_.DrawNonce(), outbox);
 }
 
-// A process that was paused did not receive answers. What it had begun to hold against others meanwhile is
-// void, and for a while it considers itself the slow one.
+// While the process was paused it could not receive answers, so unanswered probes and running suspicions are
+// no evidence against the other members: probes are cancelled and suspicions postponed. The local health
+// multiplier is set to its maximum, as this instance itself is the slow one.
 void Swim::DetectStall(TimePoint now) {
-  const bool is_first_tick = last_tick_ == TimePoint{};
-  const Duration since_last_tick = now - std::exchange(last_tick_, now);
+  const bool is_first_tick = last_tick_at_ == TimePoint{};
+  const Duration since_last_tick = now - std::exchange(last_tick_at_, now);
   if (is_first_tick) {
     quorum_tracker_.ResetAfterPause(now);
     return;
@@ -88,9 +89,9 @@
   failure_detector_.CancelProbe();
   ping_relay_.Clear();
   death_verifier_.Clear();
-  local_health_.DegradeFully();
+  local_health_.RaiseToMax();
   members_.PostponeSuspicions(now, since_last_tick);
-  next_period_ = now + options_.period / 2;
+  next_period_at_ = now + options_.period / 2;
 }
 
 void Swim::RefreshView(TimePoint now) {
@@ -101,8 +102,9 @@
 
 void Swim::FinishPeriod(TimePoint now) {
   failure_detector_.FinishProbe(now);
-  // Missed periods are not made up for: the answers may still be unread in the socket.
-  next_period_ = std::max(next_period_ + local_health_.Scale(options_.period), now + options_.period / 2);
+  // Missed periods are skipped rather than made up for: answers may still be unread in the socket.
+  next_period_at_ =
+      std::max(next_period_at_ + local_health_.Scale(options_.period), now + options_.period / 2);
   anti_entropy_.StartPeriod();
   suspicion_timers_.ExpireSuspicions(now, death_verifier_);
   for (const std::string& name : members_.RemoveExpired(now, options_.dead_retention)) {
@@ -135,14 +137,14 @@
 }
 
 void Swim::HandlePing(const std::string& sender_address, const proto::Packet& packet, Outbox& outbox) {
-  // A sender that is suspected or dead here learns it with the answer, and can refute it.
+  // If the sender is suspected or dead here, the answer tells it so, and it can refute that.
   const Peer* sender = members_.Find(packet.sender().name());
   if (sender != nullptr && sender->member.state() != proto::Member::ALIVE) {
     gossip_.Enqueue(packet.sender().name());
   }
   OutgoingPacket ack{sender_address, {}};
   ack.packet.mutable_ack()->set_nonce(packet.ping().nonce());
-  packets_.AddAcknowledgementAges(AgeRequest::Of(packet), ack.packet);
+  packets_.AddAcknowledgementAges(AgeRequest::FromPacket(packet), ack.packet);
   packets_.Send(std::move(ack), outbox);
 }
 
--- a/src/membership/view_acknowledgements.cpp
+++ b/src/membership/view_acknowledgements.cpp
@@ -34,7 +34,7 @@
     if (block == 0) continue;
     for (std::size_t i = block_starts_[block - 1]; i < block_starts_[block]; ++i) block_of_[i] = block - 1;
   }
-  // Aggregates of the former view say nothing of single members.
+  // Block ages of the former view are discarded, as the new blocks have other members.
   block_acknowledgements_.assign(blocks, TimePoint{});
 }
 
@@ -57,8 +57,8 @@
 
 std::optional<TimePoint> ViewAcknowledgements::AcknowledgedAt(std::size_t index) const {
   const Acknowledgement& own = acknowledgements_[index];
-  const TimePoint of_block = block_acknowledgements_[block_of_[index]];
-  if (of_block > own.at) return of_block;
+  const TimePoint block_acknowledged_at = block_acknowledgements_[block_of_[index]];
+  if (block_acknowledged_at > own.at) return block_acknowledged_at;
   if (own.at == TimePoint{} || own.view != view_) return std::nullopt;
   return own.at;
 }
@@ -78,13 +78,13 @@
   if (!acknowledged_at || now < *acknowledged_at || now - *acknowledged_at > validity_) {
     return kNoAcknowledgement;
   }
-  // Rounded up: an age that is passed on never gets younger.
+  // Rounded up, so that an age never decreases when it is passed on.
   return static_cast<unsigned char>(((now - *acknowledged_at) * kAgeUnits + validity_ - Duration(1)) /
                                     validity_);
 }
 
-void ViewAcknowledgements::Record(std::uint64_t incarnation_id, TimePoint pinged_at,
-                                  std::uint64_t acknowledged_view) {
+void ViewAcknowledgements::RecordAcknowledgement(std::uint64_t incarnation_id, TimePoint pinged_at,
+                                                 std::uint64_t acknowledged_view) {
   const std::size_t index = IndexOf(incarnation_id);
   Acknowledgement& known =
       index < incarnation_ids_.size() ? acknowledgements_[index] : outside_view_[incarnation_id];
@@ -98,7 +98,7 @@
   if (acknowledged_at > acknowledgements_[index].at) acknowledgements_[index] = {acknowledged_at, view_};
 }
 
-std::string ViewAcknowledgements::Ages(TimePoint now, std::uint64_t view) const {
+std::string ViewAcknowledgements::EncodeAges(TimePoint now, std::uint64_t view) const {
   if (view != view_) return {};
   std::string ages(incarnation_ids_.size(), static_cast<char>(kNoAcknowledgement));
   for (std::size_t i = 0; i < incarnation_ids_.size(); ++i) {
@@ -112,8 +112,8 @@
   for (std::size_t i = 0; i < ages.size(); ++i) MergeAge(i, pinged_at, static_cast<unsigned char>(ages[i]));
 }
 
-std::string ViewAcknowledgements::BlockAges(TimePoint now, std::uint64_t view, std::uint64_t requester,
-                                            std::optional<TimePoint> self_acknowledged_at) const {
+std::string ViewAcknowledgements::EncodeBlockAges(TimePoint now, std::uint64_t view, std::uint64_t requester,
+                                                  std::optional<TimePoint> self_acknowledged_at) const {
   const std::size_t requester_index = IndexOf(requester);
   if (view != view_ || requester_index == incarnation_ids_.size()) return {};
   std::string ages;
--- a/tests/membership/membership_fleet_size_test.cpp
+++ b/tests/membership/membership_fleet_size_test.cpp
@@ -1,4 +1,4 @@
-// How fast fleets of different sizes converge, with and without packet loss, and what they send.
+// Convergence times and traffic of simulated fleets of different sizes, with and without packet loss.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -20,13 +20,13 @@
 using Group = SimulatedNetwork::Group;
 constexpr double kNever = SimulatedNetwork::kNever;
 
-// Of one run, or the mean of some; times in seconds.
+// The result of one run, or the mean of several ones. Times are in seconds.
 struct Convergence {
-  double complete = 0;     // from the start until the view of all is complete
-  double death_known = 0;  // from a death until all know it
-  double partitioned = 0;  // from a partition until both sides have their quorum states
-  double healed = 0;       // from its end until the view of all is complete
-  double bytes_per_s = 0;  // of each member, while nothing happens
+  double complete = 0;     // from the start until all nodes have a complete view
+  double death_known = 0;  // from a death until all other nodes have declared it
+  double partitioned = 0;  // from a partition until both sides have the right quorum states
+  double healed = 0;       // from the end of the partition until all nodes have a complete view
+  double bytes_per_s = 0;  // sent by each node, without faults
   int false_deaths = 0;
   int conflicting_majorities = 0;
 
@@ -53,7 +53,7 @@
   network.measure_false_deaths = count <= 64;
   Convergence result;
   result.complete = SecondsUntilComplete(network);
-  network.Advance(kSecond * (count > 64 ? 150 : 10));  // until gossip of the start has ended
+  network.Advance(kSecond * (count > 64 ? 150 : 10));  // until the gossip about the start has ended
   network.settle_time = Duration{0};
   network.statistics = {};
   network.Advance(kSecond * 10);
@@ -89,7 +89,7 @@
   return mean;
 }
 
-TEST_CASE("fleets of any size prove their quorum states and detect a death within seconds") {
+TEST_CASE("fleets of 3 to 64 nodes reach their quorum states and detect a death within seconds") {
   for (const std::size_t count : {3, 16, 64}) {
     CAPTURE(count);
     const Convergence mean = MeanOfRuns(count, 0, count > 16 ? 1 : 2);
@@ -103,16 +103,16 @@
 }
 
 TEST_CASE("at 30 % packet loss few running members are declared dead") {
-  int with = 0;
-  int without = 0;
+  int with_extensions = 0;
+  int without_extensions = 0;
   for (const std::size_t count : {8, 16}) {
-    with += MeanOfRuns(count, 30, 2).false_deaths;
-    without += MeanOfRuns(count, 30, 2, Extensions::kOff).false_deaths;
+    with_extensions += MeanOfRuns(count, 30, 2).false_deaths;
+    without_extensions += MeanOfRuns(count, 30, 2, Extensions::kOff).false_deaths;
   }
-  CHECK(with * 4 <= without);
+  CHECK(with_extensions * 4 <= without_extensions);
 }
 
-// By hand: the table and the curves of docs/design/members.md.
+// Run manually: the table and the curves of docs/design/members.md.
 TEST_CASE("curves" * doctest::skip()) {
   for (const std::size_t count : {3, 8, 16, 64}) {
     for (const int loss_percent : {0, 30}) MeanOfRuns(count, loss_percent, 3);
@@ -120,28 +120,29 @@
 }
 TEST_CASE("curve at 300" * doctest::skip()) { MeanOfRuns(300, 0, 1); }
 
-int NumberFromEnvironment(const char* name, int otherwise) {
+int NumberFromEnvironment(const char* name, int default_value) {
   const char* text = std::getenv(name);
-  return text != nullptr ? std::atoi(text) : otherwise;
+  return text != nullptr ? std::atoi(text) : default_value;
 }
 
 std::vector<std::size_t> SizesFromEnvironment() {
   const char* sizes = std::getenv("SIZES");
   std::vector<std::size_t> counts;
   for (std::string text = sizes != nullptr ? sizes : "16 64"; !text.empty();) {
-    std::size_t used = 0;
-    counts.push_back(std::stoul(text, &used));
-    text.erase(0, used);
+    std::size_t parsed = 0;
+    counts.push_back(std::stoul(text, &parsed));
+    text.erase(0, parsed);
   }
   return counts;
 }
 
-// What a complete fleet does in some seconds with no death.
+// Measurements of a complete fleet without deaths.
 struct CompleteFleetMeasurement {
-  std::vector<double> seconds_left;  // of the acknowledgements of all, ascending; -1: not all acknowledge
-  int lapses = 0;                    // how often a node's view ceased to be complete
-  int incomplete = 0;                // measurements of a node at which it was not
-  double cpu_share = 0;              // of a node
+  // Remaining validity of the acknowledgements of all members, ascending; -1 if not all members acknowledge.
+  std::vector<double> seconds_left;
+  int lapses = 0;        // number of times that the view of a node ceased to be complete
+  int incomplete = 0;    // number of measurements of a node without a complete view
+  double cpu_share = 0;  // share of a core that a node uses
 };
 
 CompleteFleetMeasurement MeasureCompleteFleet(SimulatedNetwork& network, int seconds) {
@@ -166,9 +167,10 @@
   return result;
 }
 
-// By hand: how long a large fleet takes to be complete after the start and after a restart of one node; then
-// how often a node is not, how long the acknowledgements of all are still valid, and bytes. By the
-// environment: SIZES, LOSS (percent), SEED, SETTLE_S before the measurement, MEASURE_S of it.
+// Run manually. Measures the time until a large fleet is complete after its start and after the restart of
+// one node; then the number of nodes without a complete view, the remaining validity of acknowledgements, and
+// traffic. Environment variables: SIZES (numbers of nodes), LOSS (percent), SEED, SETTLE_S (seconds before
+// the measurement), MEASURE_S (seconds of the measurement).
 TEST_CASE("curves of whole fleets" * doctest::skip()) {
   for (const std::size_t count : SizesFromEnvironment()) {
     SimulatedNetwork network(count, static_cast<std::uint64_t>(NumberFromEnvironment("SEED", 1)));
@@ -178,7 +180,7 @@
     const double start = SecondsUntilComplete(network);
     network.Advance(kSecond * 10);
     network.StartNode(1);
-    network.Advance(kSecond * 2);  // until another node has noticed
+    network.Advance(kSecond * 2);  // until another node has detected the restart
     const double restart = 2 + SecondsUntilComplete(network);
     network.Advance(kSecond * NumberFromEnvironment("SETTLE_S", 60));
     network.statistics = {};
@@ -186,11 +188,10 @@
     const CompleteFleetMeasurement measured = MeasureCompleteFleet(network, seconds);
     const std::vector<double>& left = measured.seconds_left;
     std::printf(
-        "%zu, %d %%: complete after a start %.2f s, a restart %.2f s; incomplete %d times, %.4f %% of the "
-        "time; "
-        "left of the validity (%.2f s): least %.2f, 1st %.2f, 50th %.2f s; %.0f bytes/s; answers with the "
-        "ages "
-        "of all %d, by block %d; cpu %.5f\n",
+        "%zu nodes, %d %% loss: complete after a start %.2f s, a restart %.2f s; incomplete %d times, %.4f "
+        "%% of the "
+        "time; remaining validity (of %.2f s): min %.2f, 1st percentile %.2f, 50th %.2f s; %.0f bytes/s; "
+        "answers with ages per member %d, by block %d; cpu %.5f\n",
         count, network.loss_percent, start, restart, measured.lapses,
         100.0 * measured.incomplete / static_cast<double>(left.size()),
         1e-6 * static_cast<double>(network.nodes[0]->acknowledgement_validity().count()), left[0],
@@ -201,7 +202,7 @@
   }
 }
 
-TEST_CASE("a large complete fleet stays complete on ages by block, and each node still pings each other") {
+TEST_CASE("a large fleet stays complete with ages by block, and each node still pings all others") {
   constexpr std::size_t kCount = 100;
   SimulatedNetwork network(kCount, 1);
   network.measure_false_deaths = false;
@@ -215,7 +216,7 @@
     network.statistics = {};
     int lapses = 0;
     const TimePoint start = network.now;
-    // Every other probe goes to the own block, and two rounds include each pair for certain.
+    // Every second probe goes to the own block, so each pair is certain to be included within two rounds.
     for (int i = 0; i < 4 * 10 * static_cast<int>(kCount) / 5; ++i) {
       network.Advance(kTick * 10);
       lapses += network.AllInState(all, QuorumState::kComplete) ? 0 : 1;
@@ -228,24 +229,24 @@
   }
 }
 
-TEST_CASE("a quiet fleet of 300 sends at most twice the bytes per member of one of 16") {
-  // Without gossip: that of the start lasts for two minutes at 300.
+TEST_CASE("a complete fleet of 300 sends at most twice the bytes per member of one of 16") {
+  // Gossip is not counted: that about the start lasts for two minutes with 300 nodes.
   const auto bytes_per_member = [](std::size_t count) {
     SimulatedNetwork network(count, 1);
     network.measure_false_deaths = false;
     network.measure_every = 20;
     REQUIRE(SecondsUntilComplete(network) < kNever);
-    network.Advance(kSecond * 3);  // until ages by block are as old as usual
+    network.Advance(kSecond * 3);  // until ages by block have their usual values
     network.statistics = {};
     network.Advance(kSecond);
     CHECK(network.AllInState(Range(0, count), QuorumState::kComplete));
     return static_cast<double>(network.statistics.bytes - network.statistics.gossip_bytes) /
            static_cast<double>(count);
   };
-  const double few = bytes_per_member(16);
-  const double many = bytes_per_member(300);
-  MESSAGE("bytes a second: ", few, " at 16, ", many, " at 300");
-  CHECK(many <= few * 2);
+  const double with_16_nodes = bytes_per_member(16);
+  const double with_300_nodes = bytes_per_member(300);
+  MESSAGE("bytes per second and member: ", with_16_nodes, " at 16, ", with_300_nodes, " at 300");
+  CHECK(with_300_nodes <= with_16_nodes * 2);
 }
 
 TEST_CASE("a fleet of two versions is complete at each step of a rolling update") {
@@ -272,8 +273,7 @@
     }
     CHECK(lapses == 0);
     const Statistics& statistics = network.statistics;
-    // Nodes of the former version get the ages of all from everybody, as does each node that pings one of
-    // them.
+    // Nodes of the former version get and send ages per member, never by block.
     if (updated < kCount) {
       CHECK(statistics.answers_with_ages > static_cast<int>(kCount - updated) * 10 * 5 * 9 / 10);
     }
--- a/tests/membership/membership_partition_test.cpp
+++ b/tests/membership/membership_partition_test.cpp
@@ -1,4 +1,4 @@
-// Partitions of a simulated fleet: quorum states, conflicting majorities and false deaths.
+// Network partitions of a simulated fleet: quorum states, conflicting majorities and false deaths.
 #include <doctest/doctest.h>
 
 #include <cstddef>
@@ -50,14 +50,14 @@
   }
 }
 
-TEST_CASE("instances whose views differ find out in which members, until they agree") {
+TEST_CASE("nodes with different views list the members that differ, until the views are the same") {
   SimulatedNetwork network(7, 1);
   network.Advance(kSecond * 20);
   for (const auto& node : network.nodes) CHECK(node->differences().empty());
   network.Partition({{0, 1, 2, 3}, {4, 5, 6}});
   network.Advance(kSecond * 15);
   network.Heal();
-  std::set<std::string> differing;  // as the first side has them, against the other
+  std::set<std::string> differing;  // names of the members that nodes of the first side list
   for (int i = 0; i < 500; ++i) {
     network.Advance(kTick);
     for (const std::size_t node : {0, 1, 2, 3}) {
@@ -66,22 +66,20 @@
       }
     }
   }
-  std::string all;
-  for (const std::string& name : differing) all += name;
-  CHECK(all.find("n5") != std::string::npos);
+  CHECK(differing.contains("n5"));
   network.Advance(kSecond * 20);
   for (const auto& node : network.nodes) CHECK(node->differences().empty());
 }
 
 enum class DeathVerification { kOn, kOff };
 
-// One node reaches both sides of a partition, in turns with another. Returns the number of false deaths.
+// Nodes 2 and 3 alternate in reaching both sides of a partition. Returns the number of false deaths.
 int FalseDeathsBetweenSides(std::uint64_t seed, DeathVerification verification) {
   SimulatedNetwork network(7, seed);
   if (verification == DeathVerification::kOff) network.options.suspicion.recently_heard_periods = 0;
   for (std::size_t i = 0; i < 7; ++i) network.StartNode(i);
   network.Advance(kSecond * 20);
-  network.settle_time = kSecond * 5;  // a node that changes sides has to find the other again
+  network.settle_time = kSecond * 5;  // time for a node that changes sides to find the other side again
   for (int turn = 0; turn < 6; ++turn) {
     network.Heal();
     network.Partition(turn % 2 == 0 ? std::vector<Group>{{0, 1, 2}, {4, 5, 6}}
@@ -91,20 +89,21 @@
   return network.statistics.false_deaths;
 }
 
-TEST_CASE("few members in reach are declared dead by gossip of those who cannot reach them") {
-  int with = 0;
-  int without = 0;
+TEST_CASE("with death verification few reachable members are declared dead by gossip of the other side") {
+  int with_verification = 0;
+  int without_verification = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    with += FalseDeathsBetweenSides(seed, DeathVerification::kOn);
-    without += FalseDeathsBetweenSides(seed, DeathVerification::kOff);
+    with_verification += FalseDeathsBetweenSides(seed, DeathVerification::kOn);
+    without_verification += FalseDeathsBetweenSides(seed, DeathVerification::kOff);
   }
-  MESSAGE("false deaths in 8 times 72 s: ", with, "; without verification: ", without);
-  CHECK(with * 4 <= without);
-  CHECK(without > 0);
+  MESSAGE("false deaths in 8 runs of 72 s: ", with_verification,
+          "; without verification: ", without_verification);
+  CHECK(with_verification * 4 <= without_verification);
+  CHECK(without_verification > 0);
 }
 
-// Two sides that do not reach each other, and nodes that reach both: each side sees more than half alive.
-// Returns the number of moments with two majorities.
+// Two sides that do not reach each other, and nodes that reach both, so that each side sees more than half of
+// the fleet alive. Returns the number of measurements at which two views had a majority.
 int ConflictingMajoritiesOfBridgedSides(std::uint64_t seed, QuorumBasis basis) {
   SimulatedNetwork network(7, seed, Extensions::kOn, basis);
   network.Advance(kSecond * 20);
@@ -123,18 +122,18 @@
   return network.statistics.conflicting_majorities;
 }
 
-TEST_CASE("no two views have a majority, also where nodes reach both sides of a partition or change sides") {
+TEST_CASE("at most one view has a majority when nodes reach both sides of a partition or change sides") {
   int seen_alive = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
     CHECK(ConflictingMajoritiesOfBridgedSides(seed, QuorumBasis::kAcknowledgements) == 0);
     seen_alive += ConflictingMajoritiesOfBridgedSides(seed, QuorumBasis::kSeenAlive);
   }
-  // Otherwise the scenario would not show the difference.
+  // Without acknowledgements the scenario does produce conflicting majorities.
   CHECK(seen_alive > 0);
 }
 
-TEST_CASE("flapping and one-way links leave no two views with a majority") {
+TEST_CASE("at most one view has a majority with flapping and one-way links") {
   const Group three = Range(5, 8);
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     CAPTURE(seed);
--- a/tests/membership/membership_process_fault_test.cpp
+++ b/tests/membership/membership_process_fault_test.cpp
@@ -1,4 +1,4 @@
-// Processes of a simulated fleet that are paused, short of CPU, restarted with a wrong clock, or share a
+// Faulty processes in a simulated fleet: paused, starved of CPU, restarted with a wrong clock, or sharing a
 // name.
 #include <doctest/doctest.h>
 
@@ -12,7 +12,7 @@
 namespace lynxgrade::membership {
 namespace {
 
-TEST_CASE("a paused process claims no majority when it resumes, and declares nobody dead") {
+TEST_CASE("a process that resumes after a pause claims no majority and declares no member dead") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     for (const Duration pause : {kSecond, kSecond * 10}) {
       CAPTURE(seed);
@@ -20,7 +20,8 @@
       network.Advance(kSecond * 20);
       network.paused_until[3] = network.now + pause;
       network.Advance(pause);
-      // Before its first tick, by its clock alone: what was proven has expired.
+      // Before the first tick the pause is not detected yet, but acknowledgements have expired after a long
+      // one.
       CHECK(IsMajority(network.QuorumStateOf(3)) == (pause < kValidityOfEight));
       network.Advance(kTick);
       CHECK(network.QuorumStateOf(3) == QuorumState::kUnknown);
@@ -39,7 +40,7 @@
   }
 }
 
-// One of eight processes runs for a part of the time only, and 10 % of the packets are lost. Returns the
+// One of eight processes gets CPU for a part of the time only, and 10 % of the packets are lost. Returns the
 // number of false deaths.
 int FalseDeathsWithStarvedProcess(std::uint64_t seed, Extensions extensions) {
   SimulatedNetwork network(8, seed, extensions);
@@ -53,25 +54,25 @@
   return network.statistics.false_deaths;
 }
 
-TEST_CASE("a process short of CPU declares few members dead, unlike one without Lifeguard's extensions") {
-  int with = 0;
-  int without = 0;
+TEST_CASE("with Lifeguard's extensions a process starved of CPU causes few false deaths") {
+  int with_extensions = 0;
+  int without_extensions = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    with += FalseDeathsWithStarvedProcess(seed, Extensions::kOn);
-    without += FalseDeathsWithStarvedProcess(seed, Extensions::kOff);
+    with_extensions += FalseDeathsWithStarvedProcess(seed, Extensions::kOn);
+    without_extensions += FalseDeathsWithStarvedProcess(seed, Extensions::kOff);
   }
-  MESSAGE("false deaths in 8 times 18 s: ", with, "; without: ", without);
-  CHECK(with * 4 <= without);
-  CHECK(without > 0);
+  MESSAGE("false deaths in 8 runs of 18 s: ", with_extensions, "; without extensions: ", without_extensions);
+  CHECK(with_extensions * 4 <= without_extensions);
+  CHECK(without_extensions > 0);
 }
 
-TEST_CASE("a process that restarts with a clock an hour behind joins again") {
+TEST_CASE("a process that restarts with its clock an hour behind rejoins the fleet") {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     CAPTURE(seed);
     SimulatedNetwork network(5, seed);
     network.Advance(kSecond * 15);
     REQUIRE(network.AllInState(Range(0, 5), QuorumState::kComplete));
-    network.StartNode(2, -kSecond * 3600);  // while the others still hold its former process to be alive
+    network.StartNode(2, -kSecond * 3600);  // the others still consider its former process alive
     network.Advance(kSecond * 30);
     CHECK(network.AllInState(Range(0, 5), QuorumState::kComplete));
     for (const std::size_t i : {0, 1, 3, 4}) {
@@ -81,10 +82,10 @@
   }
 }
 
-TEST_CASE("of two running processes of one name the earlier is superseded, and the duplicate is counted") {
+TEST_CASE("of two running processes with one name the earlier is superseded, and duplicates are counted") {
   SimulatedNetwork network(6, 3);
   network.Advance(kSecond * 2);
-  network.StartNode(5, {}, 1);  // a second n1, later
+  network.StartNode(5, {}, 1);  // a second process named n1, started later
   network.Advance(kSecond * 20);
   for (const std::size_t i : {0, 2, 3, 4}) {
     CHECK(network.nodes[i]->peers().at("n1").member.incarnation_id() ==
--- a/tests/membership/quorum_tracker_property_test.cpp
+++ b/tests/membership/quorum_tracker_property_test.cpp
@@ -1,5 +1,5 @@
-// Trackers that ping each other under drawn scripts: none claims that all acknowledge its view unless each
-// has done so within the validity.
+// Property test of quorum trackers that ping each other under generated scripts: a tracker never claims that
+// all members acknowledge its view unless each of them has done so within the validity.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -21,8 +21,8 @@
 
 enum class Clocks { kExact, kDrifting };
 
-// Ten trackers, which hold three views of nine of them and pause. The simulation knows what each has truly
-// acknowledged.
+// Ten trackers, which switch between three views of nine members each, and pause. The simulation records
+// which view each one has acknowledged and when.
 class TrackerSimulation {
  public:
   static constexpr std::size_t kNodes = 10;
@@ -49,7 +49,7 @@
     }
   }
 
-  // Each node pings one other. A message takes up to twelve steps, mostly less than one.
+  // Each node pings another one. A message arrives within twelve steps, mostly within one.
   void Step() {
     SendPings();
     for (const double end = us_ + kStepUs; us_ < end; us_ += kStepUs / 5) {
@@ -59,15 +59,16 @@
     }
   }
 
-  // One action of a script, and some steps.
-  void Act(std::uint8_t kind, std::uint8_t a, std::uint8_t b) {
-    const std::size_t node = a % kNodes;
+  // Applies one action of a script, and runs some steps. `target` selects the node, `argument` a view or a
+  // number.
+  void ApplyAction(std::uint8_t kind, std::uint8_t target, std::uint8_t argument) {
+    const std::size_t node = target % kNodes;
     switch (kind % 8) {
       case 0:
-        UpdateView(node, b % 3);
+        UpdateView(node, argument % 3);
         break;
-      case 1:  // neighbours at once: a block, or some of it
-        for (std::size_t i = node; i < node + 1 + a / 32 && i < kNodes; ++i) UpdateView(i, b % 3);
+      case 1:  // consecutive nodes: a block or a part of it
+        for (std::size_t i = node; i < node + 1 + target / 32 && i < kNodes; ++i) UpdateView(i, argument % 3);
         break;
       case 2:
         nodes_[node].ResetAfterPause(LocalTime(node));
@@ -83,18 +84,18 @@
         unable_to_receive_.clear();
         break;
       case 6:
-        loss_percent_ = b % 60;
+        loss_percent_ = argument % 60;
         break;
       default:
-        VisitView(node, b);
+        ChangeViewAndBack(node, argument);
     }
-    // Now and then until all acknowledge a view again.
-    for (int i = b % 2 == 0 ? 50 : b % 16; i >= 0; --i) Step();
+    // In half of the cases long enough until all acknowledge a view again.
+    for (int i = argument % 2 == 0 ? 50 : argument % 16; i >= 0; --i) Step();
   }
 
-  // Moments at which a node claimed that all acknowledge its view, and of these members for which it was not
-  // so.
+  // Number of times that a node claimed that all members acknowledge its view.
   int claims() const { return claims_; }
+  // Number of members in these claims that had not acknowledged the view within the validity.
   int false_claims() const { return false_claims_; }
 
  private:
@@ -107,7 +108,7 @@
     bool by_block = false;
   };
   struct Answer {
-    Ping to;
+    Ping ping;
     std::uint64_t acknowledged_view = 0;
     std::uint64_t view = 0;
     std::string ages;
@@ -123,11 +124,11 @@
     if (!std::ranges::binary_search(views_[view], IncarnationIdOf(node))) return;
     nodes_[node].UpdateView(LocalTime(node), view + 1, views_[view]);
   }
-  // Changes the view of a node and back again, with what it received in between.
-  void VisitView(std::size_t node, std::uint8_t b) {
+  // Changes the view of a node and back again, with some steps in between.
+  void ChangeViewAndBack(std::size_t node, std::uint8_t argument) {
     const std::uint64_t view = nodes_[node].view();
-    UpdateView(node, b % 3);
-    for (int i = b / 3 % 4; i >= 0; --i) Step();
+    UpdateView(node, argument % 3);
+    for (int i = argument / 3 % 4; i >= 0; --i) Step();
     if (view > 0) UpdateView(node, view - 1);
   }
   double DrawArrival() {
@@ -168,11 +169,11 @@
         answers_.push_back(answer);
         continue;
       }
-      if (unable_to_receive_.contains(answer.to.from)) continue;
-      QuorumTracker& node = nodes_[answer.to.from];
-      node.RecordAcknowledgement(IncarnationIdOf(answer.to.to), answer.to.sent, answer.acknowledged_view);
-      node.MergeAcknowledgementAges(answer.to.sent, answer.view, answer.ages);
-      node.MergeBlockAcknowledgementAges(answer.to.sent, answer.view, answer.block_ages);
+      if (unable_to_receive_.contains(answer.ping.from)) continue;
+      QuorumTracker& node = nodes_[answer.ping.from];
+      node.RecordAcknowledgement(IncarnationIdOf(answer.ping.to), answer.ping.sent, answer.acknowledged_view);
+      node.MergeAcknowledgementAges(answer.ping.sent, answer.view, answer.ages);
+      node.MergeBlockAcknowledgementAges(answer.ping.sent, answer.view, answer.block_ages);
     }
   }
 
@@ -185,7 +186,7 @@
       for (const std::uint64_t incarnation_id : nodes_[i].incarnation_ids()) {
         if (incarnation_id == IncarnationIdOf(i)) continue;
         const auto known = acknowledged_us_.find({incarnation_id - 1, nodes_[i].view()});
-        // Its age, if each part of it was counted by the slowest clock.
+        // The age in real time; the check counts it by the slowest clock.
         const double age_us = known == acknowledged_us_.end() ? 1e18 : us_ - known->second;
         false_claims_ += age_us * slowest_rate_ > kValidityUs + 50 ? 1 : 0;
       }
@@ -204,26 +205,27 @@
   std::vector<Answer> answers_;
   std::set<std::size_t> unable_to_answer_;
   std::set<std::size_t> unable_to_receive_;
-  std::map<std::pair<std::size_t, std::uint64_t>, double> acknowledged_us_;  // last, by node and view
+  std::map<std::pair<std::size_t, std::uint64_t>, double> acknowledged_us_;  // last time, by node and view
   int claims_ = 0;
   int false_claims_ = 0;
 };
 
-TEST_CASE("nobody claims that all acknowledge its view when one has not within the validity") {
+TEST_CASE(
+    "no tracker claims that all members acknowledge its view if one has not done so within the validity") {
   long claims = 0;
-  CHECK(rc::check("drawn scripts",
+  CHECK(rc::check("generated scripts",
                   [&](const std::vector<std::tuple<std::uint8_t, std::uint8_t, std::uint8_t>>& script,
                       std::uint64_t seed, bool drifting) {
                     TrackerSimulation simulation(seed, drifting ? Clocks::kDrifting : Clocks::kExact);
                     for (int i = 0; i < 60; ++i) simulation.Step();
-                    for (const auto& [kind, a, b] : script) {
-                      simulation.Act(kind, a, b);
+                    for (const auto& [kind, target, argument] : script) {
+                      simulation.ApplyAction(kind, target, argument);
                       RC_ASSERT(simulation.false_claims() == 0);
                     }
                     claims += simulation.claims();
                   }));
-  MESSAGE("moments at which one claimed so: ", claims);
-  CHECK(claims > 10000);  // otherwise it shows nothing
+  MESSAGE("claims: ", claims);
+  CHECK(claims > 10000);  // with fewer claims the test would show nothing
 }
 
 }  // namespace
--- a/tests/membership/simulated_network.cpp
+++ b/tests/membership/simulated_network.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration kLinkDelay{300};
 constexpr std::uint64_t kMaxExtraDelayUs = 2000;
-constexpr std::uint64_t kDuplicateOneIn = 20;  // datagrams
+constexpr std::uint64_t kDuplicateOneIn = 20;  // one in 20 datagrams is delivered twice
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 }
 
 bool SimulatedNetwork::Datagram::operator>(const Datagram& other) const {
-  return std::tie(arrives, order) > std::tie(other.arrives, other.order);
+  return std::tie(arrives_at, order) > std::tie(other.arrives_at, other.order);
 }
 
 SimulatedNetwork::SimulatedNetwork(std::size_t count, std::uint64_t seed, Extensions extensions,
@@ -94,8 +94,8 @@
 }
 
 void SimulatedNetwork::DeliverDue(Outbox& outbox) {
-  std::vector<Datagram> unread;  // in the socket of a paused process
-  while (!in_flight_.empty() && in_flight_.top().arrives <= now) {
+  std::vector<Datagram> unread;  // datagrams in the sockets of paused processes
+  while (!in_flight_.empty() && in_flight_.top().arrives_at <= now) {
     const Datagram datagram = in_flight_.top();
     in_flight_.pop();
     if (nodes[datagram.to] == nullptr) continue;
