--- a/src/durability/file_descriptor.h
+++ b/src/durability/file_descriptor.h
@@ -1,4 +1,4 @@
-// Ownership of a file descriptor: closed when it goes out of scope.
+// An owned file descriptor, which is closed when its owner goes out of scope.
 #pragma once
 
 #include <unistd.h>
@@ -7,10 +7,11 @@
 
 namespace lynxgrade::durability {
 
+// Owns at most one descriptor. Not thread-safe.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
-  // Takes ownership of `descriptor`; a negative one means that none is held.
+  // Takes ownership of `descriptor`; a negative value stands for none.
   explicit FileDescriptor(int descriptor) : descriptor_(descriptor) {}
   ~FileDescriptor() { Close(); }
   FileDescriptor(const FileDescriptor&) = delete;
--- a/src/durability/log_writer_thread.cpp
+++ b/src/durability/log_writer_thread.cpp
@@ -24,19 +24,20 @@
   const char* operation = "";
   switch (error.operation) {
     case WriteError::Operation::kCreateFile:
-      operation = "making a file";
+      operation = "creating";
       break;
     case WriteError::Operation::kWrite:
-      operation = "a write";
+      operation = "writing";
       break;
     case WriteError::Operation::kSync:
-      operation = "a sync";
+      operation = "syncing";
       break;
     case WriteError::Operation::kRename:
-      operation = "a rename";
+      operation = "renaming";
       break;
   }
-  return std::string(operation) + " in " + folder + " failed: " + std::strerror(error.error_number);
+  return std::string(operation) + " a state file in " + folder +
+         " failed: " + std::strerror(error.error_number);
 }
 
 LogWriterThread::LogWriterThread(net::Loop& loop, std::string folder, CommitMode commit,
@@ -48,23 +49,23 @@
     thread_.request_stop();
     thread_.join();
   }
-  if (wake_.valid()) loop_.poller().Remove(wake_.get());
+  if (progress_event_.valid()) loop_.poller().Remove(progress_event_.get());
 }
 
 tl::expected<void, StartError> LogWriterThread::Start() {
-  wake_ = FileDescriptor(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC));
-  if (!wake_.valid()) {
-    return tl::unexpected(
-        StartError{StartErrorCode::kStateWrite,
-                   {},
-                   std::string("no descriptor for the state's thread: ") + std::strerror(errno)});
+  progress_event_ = FileDescriptor(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC));
+  if (!progress_event_.valid()) {
+    return tl::unexpected(StartError{
+        StartErrorCode::kStateWrite,
+        {},
+        std::string("the eventfd of the log writer thread cannot be created: ") + std::strerror(errno)});
   }
-  loop_.poller().Add(wake_.get(), EPOLLIN, *this);
-  thread_ = std::jthread([this](const std::stop_token& stop) { Run(stop); });
+  loop_.poller().Add(progress_event_.get(), EPOLLIN, *this);
+  thread_ = std::jthread([this](const std::stop_token& stop) { RunWriter(stop); });
   return {};
 }
 
-// ---- On the main loop -----------------------------------------------------------------------------------
+// ---- On the thread of the main loop ---------------------------------------------------------------------
 
 LogWriterThread::Ticket LogWriterThread::Submit(WriteJob job) {
   const Ticket ticket = ++last_submitted_;
@@ -73,7 +74,7 @@
     shared_.queued_bytes += job.bytes.size();
     shared_.queue.emplace_back(ticket, std::move(job));
   }
-  changed_.notify_one();
+  shared_changed_.notify_one();
   return ticket;
 }
 
@@ -95,51 +96,52 @@
 
 LogWriterThread::WaitResult LogWriterThread::WaitForAll(std::chrono::steady_clock::duration timeout) {
   std::unique_lock lock(mutex_);
-  const bool decided = changed_.wait_for(
+  const bool finished = shared_changed_.wait_for(
       lock, timeout, [this] { return shared_.completed >= last_submitted_ || shared_.error; });
-  if (!decided) return WaitResult::kTimedOut;
+  if (!finished) return WaitResult::kTimedOut;
   return shared_.error ? WaitResult::kFailed : WaitResult::kCompleted;
 }
 
 void LogWriterThread::OnEvents(std::uint32_t /*events*/) {
   std::uint64_t count = 0;
-  while (read(wake_.get(), &count, sizeof count) > 0) {
+  while (read(progress_event_.get(), &count, sizeof count) > 0) {
   }
   on_progress_();
 }
 
 // ---- On the writer thread -------------------------------------------------------------------------------
 
-void LogWriterThread::Run(const std::stop_token& stop) {
+void LogWriterThread::RunWriter(const std::stop_token& stop) {
   while (true) {
     Jobs jobs;
     {
       std::unique_lock lock(mutex_);
-      changed_.wait(lock, stop, [this] { return !shared_.queue.empty(); });
+      shared_changed_.wait(lock, stop, [this] { return !shared_.queue.empty(); });
       if (shared_.queue.empty()) return;
       jobs.swap(shared_.queue);
       shared_.queued_bytes = 0;
     }
     const Ticket last = jobs.back().first;
-    const std::optional<WriteError> error = ExecuteAll(std::move(jobs));
+    const std::optional<WriteError> error = ExecuteJobs(std::move(jobs));
     {
       const std::lock_guard lock(mutex_);
-      // After an error `completed` stays: the main loop abandons the log first and releases the waiters then.
+      // After an error `completed` does not advance: the main loop first abandons the log, then calls the
+      // callbacks that wait.
       if (error) {
         shared_.error = error;
       } else {
         shared_.completed = last;
       }
     }
-    changed_.notify_all();
-    const std::uint64_t one = 1;
-    // Fails only if the counter is full, and then the main loop has been woken already.
-    [[maybe_unused]] const ssize_t written = write(wake_.get(), &one, sizeof one);
+    shared_changed_.notify_all();
+    const std::uint64_t increment = 1;
+    // Fails only if the eventfd's counter is at its maximum, and then the main loop has been woken already.
+    [[maybe_unused]] const ssize_t written = write(progress_event_.get(), &increment, sizeof increment);
   }
 }
 
-// Joins the bytes of appends that follow each other, so that they cost one write and one sync.
-std::optional<WriteError> LogWriterThread::ExecuteAll(Jobs jobs) {
+// Combines consecutive appends, so that they need one write and one sync.
+std::optional<WriteError> LogWriterThread::ExecuteJobs(Jobs jobs) {
   while (!jobs.empty()) {
     WriteJob job = std::move(jobs.front().second);
     jobs.pop_front();
@@ -148,12 +150,12 @@
       job.bytes += jobs.front().second.bytes;
       jobs.pop_front();
     }
-    if (const auto error = Execute(job)) return error;
+    if (const auto error = ExecuteJob(job)) return error;
   }
   return std::nullopt;
 }
 
-std::optional<WriteError> LogWriterThread::Execute(const WriteJob& job) {
+std::optional<WriteError> LogWriterThread::ExecuteJob(const WriteJob& job) {
   switch (job.kind) {
     case WriteJob::Kind::kAppend:
       if (!file_.valid()) return std::nullopt;
@@ -206,7 +208,7 @@
   if (std::rename(unfinished.c_str(), finished.c_str()) != 0) {
     return SystemError(WriteError::Operation::kRename);
   }
-  // The new name is durable once the folder is.
+  // The new name is durable once the folder has been synced.
   const FileDescriptor folder(open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (folder.valid()) fsync(folder.get());
   return std::nullopt;
--- a/src/durability/log_writer_thread.h
+++ b/src/durability/log_writer_thread.h
@@ -1,7 +1,8 @@
 // The thread that writes the files of the state folder.
 //
-// The main loop submits jobs and is notified on its own thread when they are done. All jobs that wait are
-// taken as one group: one write and, with CommitMode::kDisk, one sync for all of their bytes.
+// The main loop submits jobs and is notified on its own thread when they have been executed. The thread takes
+// all queued jobs at once (group commit): consecutive appends share one write and, with CommitMode::kDisk,
+// one sync.
 #pragma once
 
 #include <condition_variable>
@@ -29,64 +30,65 @@
   Operation operation = Operation::kWrite;
   int error_number = 0;  // errno
 };
-// One plain sentence, without a full stop.
+// One sentence for the log, without a full stop.
 std::string Describe(const WriteError& error, const std::string& folder);
 
+// An operation on the state files. The current file is the one that was created last.
 struct WriteJob {
   enum class Kind {
-    kAppend,          // writes `bytes` to the present file
-    kCreateFile,      // starts the unfinished file of `generation` and writes `bytes` to it
-    kFinishFile,      // syncs and renames the present file, and removes all others
-    kCloseFile,       // closes the present file
-    kRemoveAllFiles,  // removes all state files and closes the present one
+    kAppend,          // writes `bytes` to the current file
+    kCreateFile,      // creates the unfinished file of `generation` and writes `bytes` to it
+    kFinishFile,      // syncs the current file, renames it to its finished name, and removes all others
+    kCloseFile,       // closes the current file
+    kRemoveAllFiles,  // removes all state files and closes the current one
   };
   Kind kind = Kind::kAppend;
   std::string bytes{};
-  std::uint64_t generation = 0;
+  std::uint64_t generation = 0;  // kCreateFile
 };
 
-// Owns the thread, the present file and the queue between both threads. Every method is for the main loop's
-// thread.
+// Owns the thread, the current file and the job queue. Public methods are for the main loop's thread only.
 // NOLINTNEXTLINE(cppcoreguidelines-virtual-class-destructor): it is final
 class LogWriterThread final : private net::Poller::Handler {
  public:
   // Numbers jobs in the order of their submission, from one.
   using Ticket = std::uint64_t;
 
-  // `on_progress` is called on the main loop after jobs have been done or have failed.
+  // `on_progress` is called on the thread of the main loop after jobs have been completed or have failed.
   LogWriterThread(net::Loop& loop, std::string folder, CommitMode commit, std::function<void()> on_progress);
-  // Waits until all submitted jobs are done.
+  // Blocks until all submitted jobs have been executed.
   ~LogWriterThread();
   LogWriterThread(const LogWriterThread&) = delete;
   LogWriterThread& operator=(const LogWriterThread&) = delete;
 
-  // Starts the thread. To be called once, before anything is submitted.
+  // Starts the thread. To be called once, before the first Submit. Fails with kStateWrite.
   tl::expected<void, StartError> Start();
 
+  // Queues a job and returns its ticket.
   Ticket Submit(WriteJob job);
-  // Drops the jobs that the thread has not begun.
+  // Discards the jobs that the thread has not started.
   void DiscardQueued();
 
-  // The ticket of the last job submitted; zero if there was none.
+  // The ticket of the last submitted job; zero if there is none.
   Ticket last_submitted() const { return last_submitted_; }
-  // All jobs up to this ticket are done.
+  // All jobs up to this ticket have been completed.
   Ticket completed() const;
 
   struct Progress {
     Ticket completed = 0;
-    std::size_t queued_bytes = 0;     // that the thread has not begun to write
-    std::optional<WriteError> error;  // the newest one since the last call
+    std::size_t queued_bytes = 0;     // bytes of the jobs that the thread has not started
+    std::optional<WriteError> error;  // the last error since the previous call
   };
   Progress FetchProgress();
 
   enum class WaitResult { kCompleted, kFailed, kTimedOut };
-  // Blocks until all submitted jobs are done, one has failed, or `timeout` has passed.
+  // Blocks until all submitted jobs have been completed, one has failed, or `timeout` has expired.
   WaitResult WaitForAll(std::chrono::steady_clock::duration timeout);
 
  private:
   using Jobs = std::deque<std::pair<Ticket, WriteJob>>;
 
-  // What both threads use; guarded by `mutex_`.
+  // Data used by both threads; guarded by `mutex_`.
   struct Shared {
     Jobs queue;
     std::size_t queued_bytes = 0;
@@ -94,13 +96,13 @@
     std::optional<WriteError> error;
   };
 
-  // On the main loop.
+  // On the thread of the main loop.
   void OnEvents(std::uint32_t events) override;
 
   // On the writer thread.
-  void Run(const std::stop_token& stop);
-  std::optional<WriteError> ExecuteAll(Jobs jobs);
-  std::optional<WriteError> Execute(const WriteJob& job);
+  void RunWriter(const std::stop_token& stop);
+  std::optional<WriteError> ExecuteJobs(Jobs jobs);
+  std::optional<WriteError> ExecuteJob(const WriteJob& job);
   std::optional<WriteError> CreateFile(std::uint64_t generation);
   std::optional<WriteError> WriteAll(std::string_view bytes);
   std::optional<WriteError> FinishFile();
@@ -111,17 +113,17 @@
   const CommitMode commit_;
   std::function<void()> on_progress_;
   Ticket last_submitted_ = 0;
-  FileDescriptor wake_;  // eventfd: wakes the main loop
+  FileDescriptor progress_event_;  // eventfd that wakes the main loop
 
   mutable std::mutex mutex_;
-  std::condition_variable_any changed_;
+  std::condition_variable_any shared_changed_;  // notified by both threads
   Shared shared_;
 
-  // The writer thread's alone.
+  // The current file, used on the writer thread only.
   FileDescriptor file_;
   std::uint64_t file_generation_ = 0;
 
-  std::jthread thread_;  // last: it is joined before what it uses is destroyed
+  std::jthread thread_;  // the last member, so that it is joined before the ones that it uses are destroyed
 };
 
 }  // namespace lynxgrade::durability
--- a/src/durability/record_format.cpp
+++ b/src/durability/record_format.cpp
@@ -10,12 +10,13 @@
 
 constexpr std::string_view kMagic = "LYNXGRST";
 constexpr std::size_t kChecksumSize = sizeof(std::uint64_t);
-constexpr std::size_t kHeaderBody = kHeaderSize - kChecksumSize;  // bytes covered by the checksum
-constexpr std::size_t kRecordBody = kRecordSize - kChecksumSize;
-constexpr std::size_t kTypeFieldSize = 4;  // one byte, padded with zeros
+constexpr std::size_t kHeaderBodySize = kHeaderSize - kChecksumSize;  // bytes covered by the checksum
+constexpr std::size_t kRecordBodySize = kRecordSize - kChecksumSize;  // bytes covered by the checksum
+constexpr std::size_t kTypeFieldSize = 4;  // the type is one byte, padded with zeros
+// 2^64 divided by the golden ratio, which spreads the indices over all bits of the checksum seed.
 constexpr std::uint64_t kIndexMultiplier = 0x9E3779B97F4A7C15ull;
 
-// The types as stored. Every type from kSnapshotEnd on carries the time up to which the log is complete.
+// The stored values of the record types. Every type from kSnapshotEnd on has a complete-through time.
 enum class RecordType : std::uint8_t {
   kWatermark = 1,
   kTimeline = 2,
@@ -26,12 +27,13 @@
   kContinuedIn = 7,
 };
 
-// The fields of a record in their stored order. Those that a type has no use for are zero.
+// The fields of a record in their stored order. Fields that a record type does not use are zero.
 struct StoredRecord {
   std::uint8_t type = 0;
-  std::uint32_t server = 0;   // kWatermark (zero: not known), kTimeline
+  std::uint32_t server = 0;   // kWatermark: server or zero if unknown; kTimeline: primary
   std::uint64_t subject = 0;  // kWatermark: session; kTimeline: group; kContinuedIn: generation
-  TimePoint time{};           // kTimeline: since
+  // kWatermark, kConservativePosition: position; kTimeline: since; later types: the complete-through time.
+  TimePoint time{};
   TimePoint replicated_until{};
   TimePoint confirmed{};
 };
@@ -47,7 +49,7 @@
   AppendLittleEndian(out, std::int64_t{time.time_since_epoch().count()});
 }
 
-// Reads integers one after another; the caller has checked that the bytes suffice.
+// Reads consecutive integers. The caller has checked that there are enough bytes.
 class LittleEndianReader {
  public:
   explicit LittleEndianReader(std::string_view bytes) : bytes_(bytes) {}
@@ -68,7 +70,7 @@
   std::string_view bytes_;
 };
 
-// Ties a record to its file and its position there.
+// The seed depends on the file and the index, so a record at another place has a wrong checksum.
 std::uint64_t ChecksumSeed(const FileHeader& header, std::uint64_t index) {
   return header.instance_hash ^ (header.generation << 32) ^ index * kIndexMultiplier;
 }
@@ -77,22 +79,22 @@
   return XXH3_64bits_withSeed(body.data(), body.size(), ChecksumSeed(header, index));
 }
 
-StoredRecord Store(RecordType type, TimePoint time) {
+StoredRecord MakeStoredRecord(RecordType type, TimePoint time) {
   StoredRecord stored;
   stored.type = static_cast<std::uint8_t>(type);
   stored.time = time;
   return stored;
 }
 
-StoredRecord ToStored(const WatermarkRecord& record) {
-  StoredRecord stored = Store(RecordType::kWatermark, record.watermark.position);
+StoredRecord ToStoredRecord(const WatermarkRecord& record) {
+  StoredRecord stored = MakeStoredRecord(RecordType::kWatermark, record.watermark.position);
   stored.server = record.watermark.server ? static_cast<std::uint32_t>(*record.watermark.server) : 0;
   stored.subject = static_cast<std::uint64_t>(record.session);
   return stored;
 }
 
-StoredRecord ToStored(const TimelineRecord& record) {
-  StoredRecord stored = Store(RecordType::kTimeline, record.since);
+StoredRecord ToStoredRecord(const TimelineRecord& record) {
+  StoredRecord stored = MakeStoredRecord(RecordType::kTimeline, record.since);
   stored.server = static_cast<std::uint32_t>(record.primary);
   stored.subject = static_cast<std::uint64_t>(record.group);
   stored.replicated_until = record.replicated_until;
@@ -100,33 +102,33 @@
   return stored;
 }
 
-StoredRecord ToStored(const ConservativePositionRecord& record) {
-  return Store(RecordType::kConservativePosition, record.position);
+StoredRecord ToStoredRecord(const ConservativePositionRecord& record) {
+  return MakeStoredRecord(RecordType::kConservativePosition, record.position);
 }
 
-StoredRecord ToStored(const SnapshotEndRecord& record) {
-  return Store(RecordType::kSnapshotEnd, record.time);
+StoredRecord ToStoredRecord(const SnapshotEndRecord& record) {
+  return MakeStoredRecord(RecordType::kSnapshotEnd, record.time);
 }
 
-StoredRecord ToStored(const CompleteThroughRecord& record) {
-  return Store(RecordType::kCompleteThrough, record.time);
+StoredRecord ToStoredRecord(const CompleteThroughRecord& record) {
+  return MakeStoredRecord(RecordType::kCompleteThrough, record.time);
 }
 
-StoredRecord ToStored(const CleanShutdownRecord& record) {
-  return Store(RecordType::kCleanShutdown, record.time);
+StoredRecord ToStoredRecord(const CleanShutdownRecord& record) {
+  return MakeStoredRecord(RecordType::kCleanShutdown, record.time);
 }
 
-StoredRecord ToStored(const ContinuedInRecord& record) {
-  StoredRecord stored = Store(RecordType::kContinuedIn, record.time);
+StoredRecord ToStoredRecord(const ContinuedInRecord& record) {
+  StoredRecord stored = MakeStoredRecord(RecordType::kContinuedIn, record.time);
   stored.subject = record.generation;
   return stored;
 }
 
-StoredRecord ToStored(const UnknownRecord& record) {
-  return Store(static_cast<RecordType>(record.type), record.time);
+StoredRecord ToStoredRecord(const UnknownRecord& record) {
+  return MakeStoredRecord(static_cast<RecordType>(record.type), record.time);
 }
 
-Record FromStored(const StoredRecord& stored) {
+Record FromStoredRecord(const StoredRecord& stored) {
   switch (static_cast<RecordType>(stored.type)) {
     case RecordType::kWatermark: {
       const auto server = stored.server == 0 ? std::nullopt : std::optional(ServerId(stored.server));
@@ -149,7 +151,7 @@
   return UnknownRecord{stored.type, stored.time};
 }
 
-StoredRecord DecodeStored(std::string_view body) {
+StoredRecord DecodeStoredRecord(std::string_view body) {
   LittleEndianReader reader(body);
   StoredRecord stored;
   stored.type = reader.Read<std::uint8_t>();
@@ -168,7 +170,7 @@
   if (type >= RecordType::kSnapshotEnd) contents.complete_through = stored.time;
   contents.clean_shutdown = type == RecordType::kCleanShutdown;
   contents.continued_in = type == RecordType::kContinuedIn ? std::optional(stored.subject) : std::nullopt;
-  contents.records.push_back(FromStored(stored));
+  contents.records.push_back(FromStoredRecord(stored));
 }
 
 }  // namespace
@@ -183,13 +185,13 @@
   AppendLittleEndian(body, header.boot_id_hash);
   AppendLittleEndian(body, header.generation);
   AppendTime(body, header.created);
-  body.resize(kHeaderBody, '\0');
+  body.resize(kHeaderBodySize, '\0');
   out += body;
   AppendLittleEndian(out, StableHash(body));
 }
 
 void AppendRecord(std::string& out, const FileHeader& header, std::uint64_t index, const Record& record) {
-  const StoredRecord stored = std::visit([](const auto& typed) { return ToStored(typed); }, record);
+  const StoredRecord stored = std::visit([](const auto& typed) { return ToStoredRecord(typed); }, record);
   std::string body;
   AppendLittleEndian(body, stored.type);
   body.resize(kTypeFieldSize, '\0');
@@ -205,8 +207,8 @@
 tl::expected<FileHeader, StateFileError> DecodeHeader(std::string_view file) {
   if (file.size() < kHeaderSize) return tl::unexpected(StateFileError::kTooShort);
   if (!file.starts_with(kMagic)) return tl::unexpected(StateFileError::kNotAStateFile);
-  const auto checksum = LittleEndianReader(file.substr(kHeaderBody)).Read<std::uint64_t>();
-  if (checksum != StableHash(file.substr(0, kHeaderBody))) {
+  const auto checksum = LittleEndianReader(file.substr(kHeaderBodySize)).Read<std::uint64_t>();
+  if (checksum != StableHash(file.substr(0, kHeaderBodySize))) {
     return tl::unexpected(StateFileError::kHeaderDamaged);
   }
   LittleEndianReader reader(file.substr(kMagic.size()));
@@ -227,10 +229,10 @@
   FileContents contents;
   std::string_view rest = file.substr(std::min(kHeaderSize, file.size()));
   for (std::uint64_t index = 0; rest.size() >= kRecordSize; ++index) {
-    const std::string_view body = rest.substr(0, kRecordBody);
-    const auto checksum = LittleEndianReader(rest.substr(kRecordBody)).Read<std::uint64_t>();
+    const std::string_view body = rest.substr(0, kRecordBodySize);
+    const auto checksum = LittleEndianReader(rest.substr(kRecordBodySize)).Read<std::uint64_t>();
     if (checksum != RecordChecksum(body, header, index)) break;
-    AddRecord(contents, DecodeStored(body));
+    AddRecord(contents, DecodeStoredRecord(body));
     rest.remove_prefix(kRecordSize);
   }
   contents.last_record_torn = !rest.empty() && rest.size() < kRecordSize;
--- a/src/durability/record_format.h
+++ b/src/durability/record_format.h
@@ -1,9 +1,10 @@
-// Binary format of the durable state: a header and records of fixed size, each with a checksum that also
-// covers the record's position in its file.
+// Binary format of the state files: a header and records of fixed size, each with a checksum that also covers
+// the position of the record in its file.
 //
-// Encodes and decodes bytes only: no files, no clock. All integers are little-endian; times and log positions
-// are microseconds since 1970. A file holds a snapshot (timelines, watermarks, then SnapshotEndRecord) and
-// after it the records appended since. Decoding stops at the first record whose checksum does not match.
+// Encodes and decodes bytes only; uses no files and no clock. All integers are little-endian; times and log
+// positions are microseconds since 1970. A file holds a snapshot (timelines and watermarks, up to a
+// SnapshotEndRecord), followed by the records appended since. Decoding stops at the first record whose
+// checksum does not match.
 #pragma once
 
 #include <cstdint>
@@ -23,26 +24,26 @@
 inline constexpr std::size_t kRecordSize = 48;  // bytes
 
 struct FileHeader {
-  std::uint64_t instance_hash = 0;  // of the name of the instance that wrote the file
-  std::uint64_t boot_id_hash = 0;   // of the machine's boot in which it was written
-  std::uint64_t generation = 0;     // grows by one with each file of the instance
+  std::uint64_t instance_hash = 0;  // hash of the name of the instance that wrote the file
+  std::uint64_t boot_id_hash = 0;   // hash of the boot id of the machine when the file was created
+  std::uint64_t generation = 0;     // incremented with each file of the instance
   TimePoint created{};
 };
 
-// The newest answered write of a session.
+// The newest write of a session that has been answered.
 struct WatermarkRecord {
   consistency::SessionKey session{};
   consistency::WriteWatermark watermark;
   bool operator==(const WatermarkRecord&) const = default;
 };
 
-// The present timeline of a group: its primary, and what is known of it.
+// The current timeline of a group: its primary, and the log positions known of it.
 struct TimelineRecord {
   GroupId group{};
   ServerId primary{};
-  LogPosition since{};             // first position reported as primary
-  LogPosition replicated_until{};  // position up to which it was known to have replicated before that
-  LogPosition confirmed{};         // newest position reported as primary
+  LogPosition since{};             // first position that the server reported as primary
+  LogPosition replicated_until{};  // position up to which it had replicated before it became the primary
+  LogPosition confirmed{};         // newest position that it reported as primary
   bool operator==(const TimelineRecord&) const = default;
 };
 
@@ -64,20 +65,20 @@
   bool operator==(const CompleteThroughRecord&) const = default;
 };
 
-// The instance shut down by itself and answered no write afterwards.
+// The instance shut down cleanly and answered no write after this record.
 struct CleanShutdownRecord {
   TimePoint time{};
   bool operator==(const CleanShutdownRecord&) const = default;
 };
 
-// Later records are in the file of `generation`, whether that file has been finished or not.
+// All later records are in the file of `generation`, which may be finished or unfinished.
 struct ContinuedInRecord {
   std::uint64_t generation = 0;
   TimePoint time{};
   bool operator==(const ContinuedInRecord&) const = default;
 };
 
-// A record with a valid checksum whose type this version does not know. Recovery skips it.
+// A record with a valid checksum and a type that this version does not know. Recovery ignores it.
 struct UnknownRecord {
   std::uint8_t type = 0;
   TimePoint time{};
@@ -89,36 +90,38 @@
 
 // Why a state file cannot be used.
 enum class StateFileError {
-  kUnreadable,       // it cannot be opened, or is larger than any state file
-  kTooShort,         // shorter than a header
-  kNotAStateFile,    // another program's
-  kUnknownVersion,   // of a later version of this program
-  kHeaderDamaged,    // the header's checksum does not match
-  kOtherInstance,    // written by an instance of another name
-  kSnapshotDamaged,  // no SnapshotEndRecord before the first invalid record
+  kUnreadable,       // the file cannot be opened, or is larger than any state file
+  kTooShort,         // the file is shorter than a header
+  kNotAStateFile,    // the file does not start with the magic number
+  kUnknownVersion,   // the format version or the record size is not that of this version of the program
+  kHeaderDamaged,    // the checksum of the header does not match
+  kOtherInstance,    // the file was written by an instance of another name
+  kSnapshotDamaged,  // there is no SnapshotEndRecord before the first invalid record
 };
 
-// A hash that is the same in every process: names of instances and boots are stored as it.
+// A hash that is the same in every process. Instance names and boot ids are stored hashed.
 std::uint64_t StableHash(std::string_view text);
 
+// Appends an encoded header.
 void AppendHeader(std::string& out, const FileHeader& header);
-// `index` is the number of records that precede this one in the file of `header`.
+// Appends an encoded record. `index` is the number of records before it in the file that `header` begins.
 void AppendRecord(std::string& out, const FileHeader& header, std::uint64_t index, const Record& record);
 
 // Decodes the header at the beginning of `file`. The errors are kTooShort, kNotAStateFile, kHeaderDamaged and
 // kUnknownVersion.
 tl::expected<FileHeader, StateFileError> DecodeHeader(std::string_view file);
 
-// The records of one file, up to the first one that is invalid.
+// The records of one file, up to the first invalid one.
 struct FileContents {
   std::vector<Record> records;
   bool snapshot_complete = false;
   bool last_record_torn = false;                // the file ends within a record
-  std::uint64_t damaged_bytes = 0;              // from the first invalid record on
-  std::optional<TimePoint> complete_through{};  // newest time of a record that states one
+  std::uint64_t damaged_bytes = 0;              // number of bytes from the first invalid record on
+  std::optional<TimePoint> complete_through{};  // time of the last record that has a complete-through time
   bool clean_shutdown = false;                  // the last record is a CleanShutdownRecord
   std::optional<std::uint64_t> continued_in{};  // generation, if the last record is a ContinuedInRecord
 };
+// Decodes the records of `file`, whose header is `header`.
 FileContents DecodeRecords(std::string_view file, const FileHeader& header);
 
 }  // namespace lynxgrade::durability
--- a/src/durability/recovery.cpp
+++ b/src/durability/recovery.cpp
@@ -11,7 +11,7 @@
 namespace lynxgrade::durability {
 namespace {
 
-constexpr std::size_t kMaxFileSize = 8ull << 30;  // bytes; larger than any state that is written
+constexpr std::size_t kMaxFileSize = 8ull << 30;  // bytes; no state file is that large
 
 struct DecodedFile {
   FileHeader header;
@@ -48,10 +48,11 @@
   if (continuation.complete_through) contents.complete_through = continuation.complete_through;
 }
 
-// Whether every answered write has reached the file. Bytes given to the kernel outlive a killed process, and
-// answers waited for that, so a torn record then means that the machine went down. What the kernel had not
-// written does not outlive the machine; where answers waited for the disk, a torn record belongs to a write
-// that was not answered.
+// Whether the file holds every answered write. With CommitMode::kKernel answers wait until the kernel has the
+// bytes, which survive a killed process: a file of the current boot is complete unless its last record is
+// torn, which shows that the machine went down. Bytes that the kernel has not written to the disk are lost
+// when the machine goes down. With CommitMode::kDisk answers wait for the disk, so a torn record belongs to
+// an unanswered write.
 bool IsEveryAnswerWritten(const DecodedFile& file, std::uint64_t boot_id_hash, CommitMode commit) {
   const bool same_boot = boot_id_hash != 0 && file.header.boot_id_hash == boot_id_hash;
   return (same_boot && !file.contents.last_record_torn) || commit == CommitMode::kDisk ||
@@ -65,13 +66,13 @@
     case StateFileError::kTooShort:
       return "is too short for a header";
     case StateFileError::kNotAStateFile:
-      return "is not state of this program";
+      return "is not a state file of this program";
     case StateFileError::kUnknownVersion:
-      return "is of a version that is not known here";
+      return "has a format version that this program does not support";
     case StateFileError::kHeaderDamaged:
       return "has a damaged header";
     case StateFileError::kOtherInstance:
-      return "is the state of another instance";
+      return "was written by another instance";
     case StateFileError::kSnapshotDamaged:
       return "is damaged before the end of its snapshot";
   }
@@ -79,17 +80,18 @@
 }
 
 std::string DescribeRecovered(const RecoveryReport& report) {
-  std::string text = report.path + " holds " + std::to_string(report.records) + " records";
-  if (report.last_record_torn) text += ", the last one torn";
+  std::string text =
+      "state file " + report.path + " holds " + std::to_string(report.records) + " valid records";
+  if (report.last_record_torn) text += " and a torn last record";
   if (report.damaged_bytes > 0) {
-    text += ", then " + std::to_string(report.damaged_bytes) + " bytes that are damaged";
+    text += ", followed by " + std::to_string(report.damaged_bytes) + " damaged bytes";
   }
-  if (report.continuation_missing) text += ", and the file that continues them is missing";
-  if (!report.complete) text += "; writes answered after its last complete-through record are not known";
+  if (report.continuation_missing) text += "; the file in which it continues is missing or unusable";
+  if (!report.complete) text += "; writes answered after its last complete-through record may be missing";
   return text;
 }
 
-// Passes one record to the guard. Records that only describe the file say nothing to it.
+// Passes one record to the guard. Records that only describe the file contain nothing for it.
 class RecordApplier {
  public:
   explicit RecordApplier(consistency::SessionConsistencyGuard& guard) : guard_(guard) {}
@@ -117,29 +119,29 @@
 std::string Describe(const RecoveryReport& report) {
   switch (report.outcome) {
     case RecoveryReport::Outcome::kFolderUnreadable:
-      return "the folder " + report.path + " cannot be read (" + report.system_error + ")";
+      return "state folder " + report.path + " cannot be read: " + report.system_error;
     case RecoveryReport::Outcome::kNoState:
-      return "the folder " + report.path + " holds no state";
+      return "state folder " + report.path + " holds no finished state file";
     case RecoveryReport::Outcome::kFileUnusable:
-      return report.path + " " + std::string(DescribeFileError(report.file_error));
+      return "state file " + report.path + " " + std::string(DescribeFileError(report.file_error));
     case RecoveryReport::Outcome::kRecovered:
       break;
   }
   return DescribeRecovered(report);
 }
 
-// An older finished file lacks what was answered after it and cannot say so: only the newest one is used.
-RecoveredState Recover(const std::string& folder, const std::string& instance_name,
-                       std::uint64_t boot_id_hash, CommitMode commit) {
+// Only the newest finished file is used: an older one lacks writes answered after it.
+RecoveredState RecoverState(const std::string& folder, const std::string& instance_name,
+                            std::uint64_t boot_id_hash, CommitMode commit) {
   RecoveredState recovered;
   RecoveryReport& report = recovered.report;
   report.path = folder;
   const StateFileList list = ListStateFiles(folder);
-  std::optional<std::uint64_t> newest;
+  std::optional<std::uint64_t> newest_finished;
   for (const StateFile& file : list.files) {
     recovered.generation = std::max(recovered.generation, file.generation);
     if (file.status == StateFileStatus::kFinished) {
-      newest = std::max(newest.value_or(file.generation), file.generation);
+      newest_finished = std::max(newest_finished.value_or(file.generation), file.generation);
     }
   }
   if (list.error) {
@@ -147,11 +149,11 @@
     report.system_error = list.error.message();
     return recovered;
   }
-  if (!newest) {
+  if (!newest_finished) {
     report.outcome = RecoveryReport::Outcome::kNoState;
     return recovered;
   }
-  report.path = StateFilePath(folder, *newest, StateFileStatus::kFinished);
+  report.path = StateFilePath(folder, *newest_finished, StateFileStatus::kFinished);
   auto file = ReadFinishedFile(report.path, instance_name);
   if (!file) {
     report.outcome = RecoveryReport::Outcome::kFileUnusable;
--- a/src/durability/snapshot_encoder.cpp
+++ b/src/durability/snapshot_encoder.cpp
@@ -5,7 +5,8 @@
 namespace lynxgrade::durability {
 namespace {
 
-constexpr std::size_t kBucketsPerPart = 2048;  // of the watermark table
+// Buckets of the watermark table that are encoded at once, so that no turn of the main loop takes long.
+constexpr std::size_t kBucketsPerPart = 2048;
 
 }  // namespace
 
--- a/src/durability/snapshot_encoder.h
+++ b/src/durability/snapshot_encoder.h
@@ -10,18 +10,18 @@
 
 namespace lynxgrade::durability {
 
-// Encodes one file after another, counting records and bytes of the present one. Pure bytes: no files.
+// Encodes one file after another, and counts the records and bytes of the current one. Accesses no files.
 class FileEncoder {
  public:
-  // What the headers of all its files have in common; the next file has the generation after `generation`.
+  // Sets what the headers of all files share. The next file gets the generation after `generation`.
   void SetIdentity(std::uint64_t instance_hash, std::uint64_t boot_id_hash, std::uint64_t generation);
   // Starts the file of the next generation and returns its encoded header.
   std::string BeginFile(TimePoint created);
-  // Appends the next record of the present file to `out`.
+  // Appends the next record of the current file to `out`.
   void Append(std::string& out, const Record& record);
 
   std::uint64_t generation() const { return header_.generation; }
-  // Bytes encoded for the present file so far.
+  // Bytes encoded for the current file so far.
   std::uint64_t file_bytes() const { return file_bytes_; }
 
  private:
@@ -30,19 +30,19 @@
   std::uint64_t file_bytes_ = 0;
 };
 
-// Copies the watermark table into a file a part at a time, so that the main loop is never blocked for long.
-// Watermarks that change meanwhile are appended to the same file as records of their own.
+// Encodes the watermark table in parts, so that the main loop is not blocked for long. Watermarks that change
+// meanwhile are appended to the same file as separate records.
 class SnapshotEncoder {
  public:
-  // Both must outlive it.
+  // The arguments must outlive the encoder.
   SnapshotEncoder(const consistency::SessionConsistencyGuard& guard, FileEncoder& encoder)
       : guard_(guard), encoder_(encoder) {}
 
   void Begin() { next_bucket_ = 0; }
   void Cancel() { next_bucket_.reset(); }
   bool in_progress() const { return next_bucket_.has_value(); }
-  // Encodes the next part of the table; the last one ends the snapshot. Watermarks that are no longer guarded
-  // at `now` are left out. Requires in_progress().
+  // Encodes the next part of the table; the last one ends the snapshot. Watermarks older than the write
+  // retention at `now` are left out. Requires in_progress().
   std::string EncodeNextPart(TimePoint now);
 
  private:
--- a/src/durability/write_ahead_log.cpp
+++ b/src/durability/write_ahead_log.cpp
@@ -26,14 +26,15 @@
       snapshot_(guard, encoder_),
       tick_timer_(loop),
       snapshot_timer_(loop),
-      writer_(loop, settings_.folder, settings_.commit, [this] { ReleaseDurable(writer_.completed()); }) {}
+      writer_(loop, settings_.folder, settings_.commit,
+              [this] { ReleaseDurableWaits(writer_.completed()); }) {}
 
 tl::expected<void, StartError> WriteAheadLog::Open() {
   if (mkdir(settings_.folder.c_str(), kFolderMode) != 0 && errno != EEXIST) {
     return tl::unexpected(StartError{StartErrorCode::kStateFolder, settings_.folder, std::strerror(errno)});
   }
   const std::uint64_t boot_id_hash = CurrentBootIdHash();
-  recovered_ = Recover(settings_.folder, instance_name_, boot_id_hash, settings_.commit);
+  recovered_ = RecoverState(settings_.folder, instance_name_, boot_id_hash, settings_.commit);
   encoder_.SetIdentity(StableHash(instance_name_), boot_id_hash, recovered_.generation);
   return writer_.Start();
 }
@@ -51,14 +52,15 @@
       cause = Describe(writer_.FetchProgress().error.value_or(WriteError{}), settings_.folder);
       break;
     case LogWriterThread::WaitResult::kTimedOut:
-      cause = "the disk does not answer";
+      cause = "the snapshot in " + settings_.folder + " was not written within " +
+              std::to_string(kStartTimeout.count()) + " s";
       break;
   }
   writing_ = false;
   return tl::unexpected(StartError{StartErrorCode::kStateWrite, settings_.folder, cause});
 }
 
-void WriteAheadLog::Append(const Record& record) {
+void WriteAheadLog::AppendRecord(const Record& record) {
   std::string bytes;
   encoder_.Append(bytes, record);
   writer_.Submit(AppendJob(std::move(bytes)));
@@ -67,40 +69,40 @@
 void WriteAheadLog::AppendWatermark(consistency::SessionKey session,
                                     const consistency::WriteWatermark& watermark) {
   if (!writing_) return;
-  Append(WatermarkRecord{session, watermark});
+  AppendRecord(WatermarkRecord{session, watermark});
 }
 
 void WriteAheadLog::AppendTimelines() {
   if (!writing_) return;
   for (const auto& [group, timeline] : guard_.timelines()) {
     if (!timeline.primary()) continue;
-    Append(TimelineRecord{group, *timeline.primary(), timeline.since(), timeline.replicated_through(),
-                          timeline.confirmed()});
+    AppendRecord(TimelineRecord{group, *timeline.primary(), timeline.since(), timeline.replicated_through(),
+                                timeline.confirmed()});
   }
 }
 
-bool WriteAheadLog::NotifyWhenDurable(Callback durable) {
+bool WriteAheadLog::NotifyWhenDurable(Callback on_durable) {
   if (durable_ticket_ >= writer_.last_submitted()) return false;
-  waits_.push_back({writer_.last_submitted(), std::move(durable), loop_.Now() + settings_.wait_timeout});
+  waits_.push_back({writer_.last_submitted(), std::move(on_durable), loop_.Now() + settings_.wait_timeout});
   return true;
 }
 
 void WriteAheadLog::RecordCleanShutdown() {
   if (!writing_) return;
-  Append(CleanShutdownRecord{loop_.Now()});
+  AppendRecord(CleanShutdownRecord{loop_.Now()});
   writer_.Submit({WriteJob::Kind::kCloseFile, {}, 0});
   writing_ = false;
 }
 
-// Begins a new file. Until its snapshot is finished the former file counts: its last record says that it
-// continues in the new one, which gets all later records.
+// Starts a new file. Until its snapshot is finished, recovery uses the former file, whose last record refers
+// to the new one: all later records are written there.
 void WriteAheadLog::BeginSnapshot() {
-  if (writing_) Append(ContinuedInRecord{encoder_.generation() + 1, loop_.Now()});
+  if (writing_) AppendRecord(ContinuedInRecord{encoder_.generation() + 1, loop_.Now()});
   std::string header = encoder_.BeginFile(loop_.Now());
   writer_.Submit({WriteJob::Kind::kCreateFile, std::move(header), encoder_.generation()});
   writing_ = true;
   if (const auto position = guard_.watermark_table().newest_evicted()) {
-    Append(ConservativePositionRecord{*position});
+    AppendRecord(ConservativePositionRecord{*position});
   }
   AppendTimelines();
   snapshot_.Begin();
@@ -115,20 +117,21 @@
     snapshot_timer_.ScheduleAfter(Duration{0}, [this] { ContinueSnapshot(); });
     return;
   }
-  Append(SnapshotEndRecord{loop_.Now()});
+  AppendRecord(SnapshotEndRecord{loop_.Now()});
   writer_.Submit({WriteJob::Kind::kFinishFile, {}, encoder_.generation()});
 }
 
 void WriteAheadLog::HandleTick() {
   ExtendDeadlinesByLoopStall();
-  next_tick_ = loop_.Now() + kTickInterval;
-  tick_timer_.ScheduleAt(next_tick_, [this] { HandleTick(); });
+  next_tick_at_ = loop_.Now() + kTickInterval;
+  tick_timer_.ScheduleAt(next_tick_at_, [this] { HandleTick(); });
   const LogWriterThread::Progress progress = writer_.FetchProgress();
-  ReleaseDurable(progress.completed);
-  ReleaseTimedOut();
-  if (progress.error) return Abandon(Describe(*progress.error, settings_.folder));
+  ReleaseDurableWaits(progress.completed);
+  ReleaseTimedOutWaits();
+  if (progress.error) return AbandonLog(Describe(*progress.error, settings_.folder));
   if (writing_ && progress.queued_bytes > kMaxQueuedBytes) {
-    return Abandon("the disk writes less than is appended");
+    return AbandonLog("more than " + std::to_string(kMaxQueuedBytes >> 20) + " MiB are queued for " +
+                      settings_.folder + ": the disk is slower than the appends");
   }
   if (writing_) {
     AppendCompleteThrough();
@@ -137,19 +140,19 @@
   }
 }
 
-// While this process was stopped, or its loop was busy, the disk had no chance to be observed: that time must
-// not let answers out before their writes are durable.
+// While the process was paused or its loop was blocked, completed writes could not be noticed. That time must
+// not count towards the wait timeout, or answers would go out before their writes are known to be durable.
 void WriteAheadLog::ExtendDeadlinesByLoopStall() {
-  const Duration late = next_tick_ == TimePoint{} ? Duration{0} : loop_.Now() - next_tick_;
+  const Duration late = next_tick_at_ == TimePoint{} ? Duration{0} : loop_.Now() - next_tick_at_;
   if (late <= kTickInterval) return;
   for (PendingWait& wait : waits_) wait.deadline += late;
 }
 
 void WriteAheadLog::AppendCompleteThrough() {
-  if (loop_.Now() - last_complete_through_ < kCompleteThroughInterval) return;
-  last_complete_through_ = loop_.Now();
-  Append(CompleteThroughRecord{loop_.Now()});
-  // A snapshot has to make the file smaller, which it does not if most records are of live sessions.
+  if (loop_.Now() - last_complete_through_at_ < kCompleteThroughInterval) return;
+  last_complete_through_at_ = loop_.Now();
+  AppendRecord(CompleteThroughRecord{loop_.Now()});
+  // A snapshot is only useful if it makes the file much smaller, so not if most records are of live sessions.
   const std::uint64_t live_bytes = kRecordSize * guard_.watermark_table().size();
   if (encoder_.file_bytes() > settings_.snapshot_bytes && !snapshot_.in_progress() &&
       encoder_.file_bytes() > 2 * live_bytes) {
@@ -157,31 +160,34 @@
   }
 }
 
-void WriteAheadLog::ReleaseDurable(LogWriterThread::Ticket completed) {
+void WriteAheadLog::ReleaseDurableWaits(LogWriterThread::Ticket completed) {
   durable_ticket_ = std::max(durable_ticket_, completed);
-  while (!waits_.empty() && waits_.front().ticket <= durable_ticket_) ReleaseFirst();
+  while (!waits_.empty() && waits_.front().ticket <= durable_ticket_) ReleaseFirstWait();
 }
 
-// A disk that hangs must not delay answers without limit.
-void WriteAheadLog::ReleaseTimedOut() {
+// A disk that hangs must not delay answers indefinitely.
+void WriteAheadLog::ReleaseTimedOutWaits() {
   while (!waits_.empty() && waits_.front().deadline <= loop_.Now()) {
     if (wait_timeouts_++ == 0) {
-      spdlog::error("durability: a write did not become durable in time; answers go out without waiting");
+      spdlog::error(
+          "durability: write not durable within the wait timeout; answering without waiting; "
+          "wait_timeout_ms={}",
+          settings_.wait_timeout.count() / 1000);
     }
-    ReleaseFirst();
+    ReleaseFirstWait();
   }
 }
 
-void WriteAheadLog::ReleaseFirst() {
-  const Callback durable = std::move(waits_.front().durable);
+void WriteAheadLog::ReleaseFirstWait() {
+  const Callback on_durable = std::move(waits_.front().on_durable);
   waits_.pop_front();
-  durable();
+  on_durable();
 }
 
 // The files no longer hold every answered write. They are removed before anything else is answered, as a
-// later start would take them for complete.
-void WriteAheadLog::Abandon(const std::string& cause) {
-  spdlog::error("durability: {}; state files are removed, retry_after_s={}", cause,
+// later start would consider them complete.
+void WriteAheadLog::AbandonLog(const std::string& cause) {
+  spdlog::error("durability: {}; removing the state files; retry_after_s={}", cause,
                 kRetryAfterFailure.count() / 1000000);
   writing_ = false;
   snapshot_.Cancel();
--- a/src/durability/write_ahead_log.h
+++ b/src/durability/write_ahead_log.h
@@ -1,8 +1,8 @@
-// The durable state of this instance: a write-ahead log of what it knows of sessions and primary timelines.
+// The durable state of this instance: a write-ahead log of session watermarks and primary timelines.
 //
-// Appends a record for each answered write and reports when it is durable, so that the answer can go out. The
-// log is rewritten as a snapshot once it has grown. If the disk fails, the files are removed, answers go out
-// without waiting, and a new log is begun later: state that lacks answered writes must never be recovered.
+// Each write is appended before it is answered, and its answer goes out once the record is durable. The log
+// is replaced by a snapshot once it has grown. If the disk fails, the state files are removed, answers go out
+// without waiting, and a new log is started later: state that lacks answered writes must never be recovered.
 #pragma once
 
 #include <cstdint>
@@ -21,64 +21,67 @@
 
 namespace lynxgrade::durability {
 
-// To be used on the main loop's thread alone.
+// Must be used on the thread of the main loop only.
 class WriteAheadLog {
  public:
   using Callback = std::function<void()>;
 
-  // `loop` and `guard` must outlive it.
+  // `loop` and `guard` must outlive the log.
   WriteAheadLog(net::Loop& loop, DurabilitySettings settings, std::string instance_name,
                 consistency::SessionConsistencyGuard& guard);
-  // Waits for the writer thread to write what was appended.
+  // Blocks until the writer thread has written everything that was appended.
   ~WriteAheadLog() = default;
   WriteAheadLog(const WriteAheadLog&) = delete;
   WriteAheadLog& operator=(const WriteAheadLog&) = delete;
 
-  // Makes the folder, recovers what it holds and starts the writer thread.
+  // Creates the folder if it is missing, recovers its state and starts the writer thread. Fails with
+  // kStateFolder or kStateWrite.
   tl::expected<void, StartError> Open();
-  // What Open has found.
+  // The state that Open has recovered.
   const RecoveredState& recovered() const { return recovered_; }
-  // Writes a snapshot of what the guard knows and blocks until it is durable, for some seconds at most. To be
-  // called after Open and before anything is answered: from then on the folder holds every answered write.
+  // Writes a snapshot of the guard's state and blocks until it is durable, for 5 s at most. To be called
+  // after Open and before the first answer: from then on the folder holds every answered write. Fails with
+  // kStateWrite.
   tl::expected<void, StartError> StartWriting();
 
+  // Appends the watermark of a session.
   void AppendWatermark(consistency::SessionKey session, const consistency::WriteWatermark& watermark);
-  // Appends the present timeline of every group. To be called when one has changed.
+  // Appends the current timeline of every group. To be called when one has changed.
   void AppendTimelines();
-  // Calls `durable` once all that was appended so far is durable, or the wait has timed out. False: it is
-  // durable already, or nothing is being written, and `durable` is not called.
-  bool NotifyWhenDurable(Callback durable);
-  // Ends the log. To be called after the last answer has gone out.
+  // Calls `on_durable` once all records appended so far are durable, or the wait has timed out. Returns
+  // false, and does not call it, if they are durable already or nothing is being written.
+  bool NotifyWhenDurable(Callback on_durable);
+  // Appends the record of a clean shutdown and closes the file. To be called after the last answer was sent.
   void RecordCleanShutdown();
 
   // Whether records are being written: false before StartWriting, after a failure and after the shutdown.
   bool is_writing() const { return writing_; }
-  // Answers that went out because their wait had timed out.
+  // Number of answers that went out because their wait timed out.
   std::uint64_t wait_timeouts() const { return wait_timeouts_; }
 
  private:
   static constexpr Duration kCompleteThroughInterval{100'000};
   static constexpr Duration kTickInterval = kCompleteThroughInterval / 2;
   static constexpr Duration kRetryAfterFailure{30'000'000};
-  static constexpr std::chrono::seconds kStartTimeout{5};
+  static constexpr std::chrono::seconds kStartTimeout{5};  // for the snapshot of StartWriting
   static constexpr std::size_t kMaxQueuedBytes = 64u << 20;
 
   struct PendingWait {
     LogWriterThread::Ticket ticket = 0;
-    Callback durable;
+    Callback on_durable;
     TimePoint deadline{};
   };
 
-  void Append(const Record& record);
+  void AppendRecord(const Record& record);
   void BeginSnapshot();
   void ContinueSnapshot();
   void HandleTick();
   void ExtendDeadlinesByLoopStall();
   void AppendCompleteThrough();
-  void ReleaseDurable(LogWriterThread::Ticket completed);
-  void ReleaseTimedOut();
-  void ReleaseFirst();
-  void Abandon(const std::string& cause);
+  void ReleaseDurableWaits(LogWriterThread::Ticket completed);
+  void ReleaseTimedOutWaits();
+  void ReleaseFirstWait();
+  void AbandonLog(const std::string& cause);
 
   net::Loop& loop_;
   const DurabilitySettings settings_;
@@ -89,11 +92,11 @@
   SnapshotEncoder snapshot_;
   bool writing_ = false;
   LogWriterThread::Ticket durable_ticket_ = 0;
-  std::deque<PendingWait> waits_;  // by ticket
+  std::deque<PendingWait> waits_;  // in ascending order of tickets
   net::Timer tick_timer_;
   net::Timer snapshot_timer_;
-  TimePoint last_complete_through_{};
-  TimePoint next_tick_{};
+  TimePoint last_complete_through_at_{};
+  TimePoint next_tick_at_{};
   TimePoint failed_at_{};
   std::uint64_t wait_timeouts_ = 0;
   LogWriterThread writer_;
--- a/tests/durability/durability_test.cpp
+++ b/tests/durability/durability_test.cpp
@@ -1,4 +1,4 @@
-// Recovery of what an earlier incarnation left, intact or damaged, and the write-ahead log on a real folder.
+// Recovery of intact and damaged state files, and the write-ahead log on a real folder.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 
@@ -32,17 +32,17 @@
   ~TemporaryFolder() { fs::remove_all(path); }
   TemporaryFolder(const TemporaryFolder&) = delete;
   TemporaryFolder& operator=(const TemporaryFolder&) = delete;
-  void Put(const std::string& name, const std::string& bytes) const {
+  void WriteFile(const std::string& name, const std::string& bytes) const {
     std::ofstream(path + "/" + name, std::ios::binary) << bytes;
   }
-  std::string Get(const std::string& name) const {
+  std::string ReadFile(const std::string& name) const {
     std::ifstream file(path + "/" + name, std::ios::binary);
     return {std::istreambuf_iterator<char>(file), {}};
   }
   std::string path;
 };
 
-consistency::Options Everywhere() {
+consistency::Options ConsistencyOptions() {
   consistency::Options options;
   options.scope = consistency::Scope::kEverywhere;
   options.write_retention = Duration(30'000'000);
@@ -56,17 +56,17 @@
 }
 
 std::uint64_t NameHash() {
-  // The header of a file that the log itself wrote says how a name is hashed.
+  // Read from the header of a file that the log itself has written.
   static const std::uint64_t kHash = [] {
     TemporaryFolder folder;
     net::Loop loop;
-    consistency::SessionConsistencyGuard consistency_guard(SessionSettings(), Everywhere());
+    consistency::SessionConsistencyGuard consistency_guard(SessionSettings(), ConsistencyOptions());
     DurabilitySettings settings;
     settings.folder = folder.path;
     WriteAheadLog log(loop, settings, kInstanceName, consistency_guard);
     REQUIRE(log.Open());
     REQUIRE(log.StartWriting());
-    const auto header = DecodeHeader(folder.Get("sessions-1"));
+    const auto header = DecodeHeader(folder.ReadFile("sessions-1"));
     REQUIRE(header);
     return header->instance_hash;
   }();
@@ -77,7 +77,7 @@
   return {consistency::SessionKey(session), {TimeAt(ms), ServerId(1)}};
 }
 
-// A file as an incarnation leaves it: a snapshot of two watermarks and a timeline, then more records.
+// A state file with a snapshot of two watermarks and a timeline, followed by more records.
 std::string EncodedFile(std::uint64_t boot_id_hash = kBootIdHash) {
   const FileHeader header{NameHash(), boot_id_hash, 5, TimeAt(0)};
   std::string file;
@@ -95,94 +95,100 @@
 }
 
 TEST_CASE(
-    "recovery: a log cut at any byte yields a prefix of its records, and is never complete with a torn one") {
+    "recovery: a log truncated at any byte yields a prefix of its records, and is incomplete if one is "
+    "torn") {
   const std::string file = EncodedFile();
   const std::size_t snapshot = kHeaderSize + 4 * kRecordSize;
   for (std::size_t cut = 0; cut <= file.size(); ++cut) {
     CAPTURE(cut);
     TemporaryFolder folder;
-    folder.Put("sessions-5", file.substr(0, cut));
-    const RecoveredState found = Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel);
-    CHECK(found.records.size() == (cut < snapshot ? 0 : (cut - kHeaderSize) / kRecordSize));
+    folder.WriteFile("sessions-5", file.substr(0, cut));
+    const RecoveredState recovered =
+        RecoverState(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel);
+    CHECK(recovered.records.size() == (cut < snapshot ? 0 : (cut - kHeaderSize) / kRecordSize));
     const bool boundary = cut >= snapshot && (cut - kHeaderSize) % kRecordSize == 0;
-    CHECK(found.complete == boundary);
-    if (cut >= snapshot && cut < file.size() - kRecordSize) CHECK(*found.complete_through == TimeAt(12));
-    if (cut < snapshot) CHECK_FALSE(found.complete_through);
-    CHECK_FALSE(Describe(found.report).empty());
+    CHECK(recovered.complete == boundary);
+    if (cut >= snapshot && cut < file.size() - kRecordSize) CHECK(*recovered.complete_through == TimeAt(12));
+    if (cut < snapshot) CHECK_FALSE(recovered.complete_through);
+    CHECK_FALSE(Describe(recovered.report).empty());
   }
 }
 
-TEST_CASE("recovery: a flipped bit loses the records that follow it, and the state is not complete") {
+TEST_CASE("recovery: a flipped bit loses its record and all later ones, and the state is incomplete") {
   const std::string file = EncodedFile();
-  for (std::size_t at = 0; at < file.size(); ++at) {
-    CAPTURE(at);
+  for (std::size_t offset = 0; offset < file.size(); ++offset) {
+    CAPTURE(offset);
     std::string bytes = file;
-    bytes[at] = static_cast<char>(bytes[at] ^ 16);
+    bytes[offset] = static_cast<char>(bytes[offset] ^ 16);
     TemporaryFolder folder;
-    folder.Put("sessions-5", bytes);
-    const RecoveredState found = Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kDisk);
-    CHECK_FALSE(found.complete);
-    for (const Record& record : found.records) CHECK_FALSE(std::holds_alternative<UnknownRecord>(record));
-    CHECK(found.records.size() < 7);
+    folder.WriteFile("sessions-5", bytes);
+    const RecoveredState recovered = RecoverState(folder.path, kInstanceName, kBootIdHash, CommitMode::kDisk);
+    CHECK_FALSE(recovered.complete);
+    for (const Record& record : recovered.records) CHECK_FALSE(std::holds_alternative<UnknownRecord>(record));
+    CHECK(recovered.records.size() < 7);
   }
 }
 
-TEST_CASE("recovery: each fault of the folder is described in one sentence and yields no records") {
+TEST_CASE("recovery: each fault of the folder or its file is described in one line and yields no records") {
   std::string future = EncodedFile();
-  future[8] = 9;  // the checksum does not match, so it counts as damaged
+  future[8] = 9;  // another format version, but the checksum is not updated, so the header counts as damaged
   struct Case {
     const char* name;
-    std::string bytes, says;
+    std::string bytes, description;
   };
   std::string foreign_magic = EncodedFile();
   foreign_magic[0] = 'X';
-  for (const Case& c : {Case{"sessions-5", foreign_magic, "not state of this program"},
-                        Case{"sessions-5", future, "damaged header"}, Case{"sessions-5", "", "too short"},
-                        Case{"other", EncodedFile(), "holds no state"},
-                        Case{"sessions-5.new", EncodedFile(), "holds no state"}}) {
-    CAPTURE(c.says);
+  for (const Case& c : {Case{"sessions-5", foreign_magic, "is not a state file of this program"},
+                        Case{"sessions-5", future, "has a damaged header"},
+                        Case{"sessions-5", "", "is too short for a header"},
+                        Case{"other", EncodedFile(), "holds no finished state file"},
+                        Case{"sessions-5.new", EncodedFile(), "holds no finished state file"}}) {
+    CAPTURE(c.description);
     TemporaryFolder folder;
-    folder.Put(c.name, c.bytes);
-    const RecoveredState found = Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel);
-    CHECK(Describe(found.report).find(c.says) != std::string::npos);
-    CHECK(Describe(found.report).find('\n') == std::string::npos);
-    CHECK(found.records.empty());
-    CHECK_FALSE(found.complete);
+    folder.WriteFile(c.name, c.bytes);
+    const RecoveredState recovered =
+        RecoverState(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel);
+    CHECK(Describe(recovered.report).find(c.description) != std::string::npos);
+    CHECK(Describe(recovered.report).find('\n') == std::string::npos);
+    CHECK(recovered.records.empty());
+    CHECK_FALSE(recovered.complete);
   }
   TemporaryFolder folder;
-  folder.Put("sessions-5", EncodedFile());
-  CHECK(Describe(Recover(folder.path, "n2", kBootIdHash, CommitMode::kKernel).report)
-            .find("another instance") != std::string::npos);
-  CHECK(Describe(Recover(folder.path + "/nowhere", kInstanceName, kBootIdHash, CommitMode::kKernel).report)
-            .find("cannot be read") != std::string::npos);
+  folder.WriteFile("sessions-5", EncodedFile());
+  CHECK(Describe(RecoverState(folder.path, "n2", kBootIdHash, CommitMode::kKernel).report)
+            .find("was written by another instance") != std::string::npos);
+  CHECK(
+      Describe(RecoverState(folder.path + "/nowhere", kInstanceName, kBootIdHash, CommitMode::kKernel).report)
+          .find("cannot be read") != std::string::npos);
 }
 
-TEST_CASE("recovery: after a reboot of the machine only a log committed to disk is complete") {
+TEST_CASE("recovery: after a reboot of the machine only a log with commit mode kDisk is complete") {
   TemporaryFolder folder;
-  folder.Put("sessions-5", EncodedFile());
-  CHECK(Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel).complete);
-  const RecoveredState other = Recover(folder.path, kInstanceName, kBootIdHash + 1, CommitMode::kKernel);
-  CHECK_FALSE(other.complete);
-  CHECK(*other.complete_through == TimeAt(14));
-  CHECK(other.records.size() == 7);
-  CHECK(Recover(folder.path, kInstanceName, kBootIdHash + 1, CommitMode::kDisk).complete);
+  folder.WriteFile("sessions-5", EncodedFile());
+  CHECK(RecoverState(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel).complete);
+  const RecoveredState after_reboot =
+      RecoverState(folder.path, kInstanceName, kBootIdHash + 1, CommitMode::kKernel);
+  CHECK_FALSE(after_reboot.complete);
+  CHECK(*after_reboot.complete_through == TimeAt(14));
+  CHECK(after_reboot.records.size() == 7);
+  CHECK(RecoverState(folder.path, kInstanceName, kBootIdHash + 1, CommitMode::kDisk).complete);
 }
 
-TEST_CASE("recovery: an older file does not replace a newer one that is damaged") {
+TEST_CASE("recovery: an older file is not used in place of a damaged newer one") {
   TemporaryFolder folder;
-  folder.Put("sessions-4", EncodedFile());
-  folder.Put("sessions-5", EncodedFile().substr(0, 100));
-  CHECK(Recover(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel).records.empty());
+  folder.WriteFile("sessions-4", EncodedFile());
+  folder.WriteFile("sessions-5", EncodedFile().substr(0, 100));
+  CHECK(RecoverState(folder.path, kInstanceName, kBootIdHash, CommitMode::kKernel).records.empty());
 }
 
 consistency::SessionKey KeyNumber(std::uint64_t number) {
   return consistency::SessionKeyOf(GroupId(1), std::to_string(number));
 }
 
-// A log on a real folder, and the main loop that it needs.
+// A write-ahead log on a real folder, with its main loop.
 struct RunningLog {
   explicit RunningLog(const std::string& folder, std::size_t snapshot_bytes = 1u << 20)
-      : consistency_guard(SessionSettings(), Everywhere()),
+      : consistency_guard(SessionSettings(), ConsistencyOptions()),
         log(loop, SettingsFor(folder, snapshot_bytes), kInstanceName, consistency_guard) {
     started = log.Open();
     if (started) {
@@ -202,19 +208,19 @@
     consistency_guard.LearnWatermark(std::nullopt, KeyNumber(key), watermark);
     log.AppendWatermark(KeyNumber(key), watermark);
   }
-  void Until(const std::function<bool()>& condition) {
-    bool late = false;
-    net::Timer limit(loop);
+  void RunUntil(const std::function<bool()>& condition) {
+    bool timed_out = false;
+    net::Timer timeout(loop);
     net::Timer poll(loop);
-    limit.ScheduleAfter(Duration(20'000'000), [&] { late = true; });
-    std::function<void()> again = [&] { poll.ScheduleAfter(Duration(1000), again); };
-    again();
-    while (!condition() && !late) g_main_context_iteration(nullptr, TRUE);
+    timeout.ScheduleAfter(Duration(20'000'000), [&] { timed_out = true; });
+    std::function<void()> schedule_poll = [&] { poll.ScheduleAfter(Duration(1000), schedule_poll); };
+    schedule_poll();
+    while (!condition() && !timed_out) g_main_context_iteration(nullptr, TRUE);
     REQUIRE(condition());
   }
   void WaitUntilDurable() {
     bool durable = false;
-    if (log.NotifyWhenDurable([&] { durable = true; })) Until([&] { return durable; });
+    if (log.NotifyWhenDurable([&] { durable = true; })) RunUntil([&] { return durable; });
   }
   net::Loop loop;
   consistency::SessionConsistencyGuard consistency_guard;
@@ -222,7 +228,7 @@
   tl::expected<void, StartError> started;
 };
 
-TEST_CASE("log: after a crash every durable write is recovered, and snapshots keep the folder to one file") {
+TEST_CASE("log: after a crash every durable write is recovered, and snapshots leave one file in the folder") {
   TemporaryFolder folder;
   const LogPosition now =
       LogPosition(std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()));
@@ -234,46 +240,46 @@
       running.Write(1 + i % 50, now + Duration(1000) * static_cast<std::int64_t>(i));
       if (i % 100 == 99) running.WaitUntilDurable();
     }
-    running.Until(
+    running.RunUntil(
         [&] { return !fs::exists(folder.path + "/sessions-1"); });  // replaced by a later generation
     running.Write(999, now);
     running.WaitUntilDurable();
   }
-  RunningLog next(folder.path);
-  CHECK(next.log.recovered().complete);
-  CHECK(next.consistency_guard.watermark_table().Find(KeyNumber(999)).watermark);
-  CHECK(next.consistency_guard.watermark_table().Find(KeyNumber(50)).watermark->position >=
+  RunningLog restarted(folder.path);
+  CHECK(restarted.log.recovered().complete);
+  CHECK(restarted.consistency_guard.watermark_table().Find(KeyNumber(999)).watermark);
+  CHECK(restarted.consistency_guard.watermark_table().Find(KeyNumber(50)).watermark->position >=
         now + Duration(1000) * 1999);
   CHECK(std::distance(fs::directory_iterator(folder.path), {}) == 1);
 }
 
-TEST_CASE("log: after a clean shutdown the state is complete even across a reboot") {
+TEST_CASE("log: after a clean shutdown the state is complete, even after a reboot") {
   TemporaryFolder folder;
   {
     RunningLog running(folder.path);
     running.Write(5, TimeAt(10));
     running.log.RecordCleanShutdown();
   }
-  CHECK(Recover(folder.path, kInstanceName, CurrentBootIdHash() + 1, CommitMode::kKernel).complete);
+  CHECK(RecoverState(folder.path, kInstanceName, CurrentBootIdHash() + 1, CommitMode::kKernel).complete);
 }
 
-TEST_CASE("log: on a full disk waits are released, and no file is left that could pass for complete") {
+TEST_CASE("log: if the disk is full, waits are released and the state files are removed") {
   TemporaryFolder folder;
   RunningLog running(folder.path);
   REQUIRE(running.started);
   std::signal(SIGXFSZ, SIG_IGN);
   rlimit before{};
   REQUIRE(getrlimit(RLIMIT_FSIZE, &before) == 0);
-  rlimit small = before;
-  small.rlim_cur = 4096;
-  REQUIRE(setrlimit(RLIMIT_FSIZE, &small) == 0);
+  rlimit limited = before;
+  limited.rlim_cur = 4096;
+  REQUIRE(setrlimit(RLIMIT_FSIZE, &limited) == 0);
   for (std::uint64_t i = 0; i < 200; ++i) running.Write(i + 1, TimeAt(static_cast<std::int64_t>(i)));
   bool released = false;
   REQUIRE(running.log.NotifyWhenDurable([&] { released = true; }));
-  running.Until([&] { return released && !running.log.is_writing(); });
+  running.RunUntil([&] { return released && !running.log.is_writing(); });
   setrlimit(RLIMIT_FSIZE, &before);
-  running.Until([&] { return fs::is_empty(folder.path); });
-  CHECK_FALSE(Recover(folder.path, kInstanceName, CurrentBootIdHash(), CommitMode::kKernel).complete);
+  running.RunUntil([&] { return fs::is_empty(folder.path); });
+  CHECK_FALSE(RecoverState(folder.path, kInstanceName, CurrentBootIdHash(), CommitMode::kKernel).complete);
 }
 
 }  // namespace
--- a/tests/durability/former_version_test.cpp
+++ b/tests/durability/former_version_test.cpp
@@ -1,4 +1,5 @@
-// Files written by the version 04cc240: they are read as before, and the same records make the same bytes.
+// Compatibility with state files written by the version 04cc240: they are still read, and the same records
+// are still written with the same bytes.
 #include <doctest/doctest.h>
 
 #include <fstream>
@@ -68,14 +69,15 @@
 TEST_CASE("a folder that the former version left after a clean shutdown is recovered complete") {
   const auto header = DecodeHeader(ReadFixture("sessions-1"));
   REQUIRE(header);
-  const RecoveredState found = Recover(DURABILITY_FIXTURES, "n1", header->boot_id_hash, CommitMode::kKernel);
-  CHECK(found.complete);
-  CHECK(found.generation == 1);
+  const RecoveredState recovered =
+      RecoverState(DURABILITY_FIXTURES, "n1", header->boot_id_hash, CommitMode::kKernel);
+  CHECK(recovered.complete);
+  CHECK(recovered.generation == 1);
   const TimePoint shutdown{Duration(1'796'290'749'864'028)};
   const std::vector<Record> expected = {TimelineRecord{GroupId{2}, ServerId{1}, At(1), At(1), At(10)},
                                         SnapshotEndRecord{shutdown}, Watermark(102, 20, ServerId{1}),
                                         Watermark(103, 21, std::nullopt), CleanShutdownRecord{shutdown}};
-  CHECK(found.records == expected);
+  CHECK(recovered.records == expected);
 }
 
 }  // namespace
