--- a/src/admin/admin_client.cpp
+++ b/src/admin/admin_client.cpp
@@ -9,11 +9,11 @@
 namespace lynxgrade::admin {
 namespace {
 
-constexpr guint kTimeoutSeconds = 3;  // of each step: connect, send, receive
+constexpr guint kTimeoutSeconds = 3;  // of each connect, send and receive
 constexpr std::size_t kMaxResponseBytes = 2u << 20;
 constexpr std::size_t kReadBytes = 4096;
 
-tl::expected<std::string, AdminError> ReceiveAll(GInputStream* stream, const std::string& address) {
+tl::expected<std::string, AdminError> ReceiveResponse(GInputStream* stream, const std::string& address) {
   net::ErrorSlot error;
   std::string response;
   std::array<char, kReadBytes> buffer{};
@@ -35,17 +35,18 @@
 std::string Describe(const AdminError& error) {
   switch (error.code) {
     case AdminErrorCode::kUnreachable:
-      return "nobody answers at " + error.address + ": " + error.cause;
+      return "cannot connect to the pooler's admin address " + error.address + ": " + error.cause;
     case AdminErrorCode::kSendFailed:
-      return "the question to " + error.address + " was not taken: " + error.cause;
+      return "cannot send the query to " + error.address + ": " + error.cause;
     case AdminErrorCode::kResponseIncomplete:
-      return "no whole answer came from " + error.address + ": " + error.cause;
+      return "the response from " + error.address + " is incomplete: " + error.cause;
     case AdminErrorCode::kResponseTooLong:
-      return "the answer from " + error.address + " does not end";
+      return "the response from " + error.address + " is longer than " + std::to_string(kMaxResponseBytes) +
+             " bytes";
     case AdminErrorCode::kResponseMalformed:
-      return "what came is not an answer of a pooler";
+      return "the response is not a JSON object: the admin address is not that of a pooler";
     case AdminErrorCode::kResponseIncompatible:
-      return "the answer is of another version of the program";
+      return "the response lacks expected fields: the pooler runs another version of the program";
     case AdminErrorCode::kRejected:
       break;
   }
@@ -67,7 +68,7 @@
   if (!g_output_stream_write_all(out, line.data(), line.size(), nullptr, nullptr, error.out())) {
     return tl::unexpected(AdminError{AdminErrorCode::kSendFailed, text, error.message()});
   }
-  return ReceiveAll(g_io_stream_get_input_stream(G_IO_STREAM(connection.get())), text);
+  return ReceiveResponse(g_io_stream_get_input_stream(G_IO_STREAM(connection.get())), text);
 }
 
 }  // namespace lynxgrade::admin
--- a/src/admin/admin_client.h
+++ b/src/admin/admin_client.h
@@ -1,4 +1,4 @@
-// Client of a running pooler's admin address on the same machine.
+// Client for the admin address of a running pooler on the same machine.
 #pragma once
 
 #include <string>
@@ -10,8 +10,9 @@
 
 namespace lynxgrade::admin {
 
-// Sends the query of this name and returns the response as it came, a JSON text. Blocks for some seconds at
-// most.
+// Sends the query of this name and returns the response unchanged, a JSON text. Blocks until the connection
+// is closed; a connect, send or receive that takes longer than 3 s fails. Fails with kUnreachable,
+// kSendFailed, kResponseIncomplete or kResponseTooLong.
 tl::expected<std::string, AdminError> SendQuery(const net::Address& address, std::string_view name);
 
 }  // namespace lynxgrade::admin
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -4,7 +4,7 @@
 
 namespace lynxgrade::admin {
 
-// The server owns it; Close() destroys it and is the last thing that a callback does.
+// Owned by the server. CloseConnection destroys it, so a callback does nothing after that call.
 // NOLINTNEXTLINE(cppcoreguidelines-virtual-class-destructor): it is final
 class AdminServer::QueryConnection final : private net::Connection::Owner {
  public:
@@ -13,7 +13,7 @@
         connection_(net::Connection::Adopt(server.loop_, std::move(socket), *this, kMaxQueryBytes,
                                            kMaxResponseBytes)),
         timeout_(server.loop_) {
-    timeout_.ScheduleAfter(kConnectionTimeout, [this] { server_.Close(this); });
+    timeout_.ScheduleAfter(kConnectionTimeout, [this] { server_.CloseConnection(this); });
   }
   ~QueryConnection() { connection_->Close(); }
   QueryConnection(const QueryConnection&) = delete;
@@ -25,21 +25,22 @@
     const std::string text(in.Linearize());
     const auto line_end = text.find('\n');
     if (line_end == std::string::npos) {
-      if (text.size() >= kMaxQueryBytes) server_.Close(this);
+      if (text.size() >= kMaxQueryBytes) server_.CloseConnection(this);
       return;
     }
     in.Consume(text.size());
     if (responded_) return;
     responded_ = true;
-    if (!connection_->Write(Respond(text.substr(0, line_end)) + "\n")) return server_.Close(this);
+    const std::string response = ResponseTo(text.substr(0, line_end)) + "\n";
+    if (!connection_->Write(response)) return server_.CloseConnection(this);
     connection_->ShutdownSending();
   }
   void OnEndOfStream() override {
-    if (!responded_ || connection_->all_written()) server_.Close(this);
+    if (!responded_ || connection_->all_written()) server_.CloseConnection(this);
   }
-  void OnDisconnected() override { server_.Close(this); }
+  void OnDisconnected() override { server_.CloseConnection(this); }
 
-  std::string Respond(const std::string& query) const {
+  std::string ResponseTo(const std::string& query) const {
     const auto handler = server_.handlers_.find(query);
     if (handler == server_.handlers_.end()) return R"({"error":"nothing answers to this here"})";
     return handler->second();
@@ -56,16 +57,16 @@
       handlers_(std::move(handlers)),
       listener_(
           loop, [this] { return connections_.size() < kMaxConnections; },
-          [this](net::ObjectPtr<GSocket> socket) { Accept(std::move(socket)); }) {}
+          [this](net::ObjectPtr<GSocket> socket) { AcceptConnection(std::move(socket)); }) {}
 
 AdminServer::~AdminServer() = default;
 
-void AdminServer::Accept(net::ObjectPtr<GSocket> socket) {
+void AdminServer::AcceptConnection(net::ObjectPtr<GSocket> socket) {
   auto connection = std::make_unique<QueryConnection>(*this, std::move(socket));
   QueryConnection* const key = connection.get();
   connections_.emplace(key, std::move(connection));
 }
 
-void AdminServer::Close(QueryConnection* connection) { connections_.erase(connection); }
+void AdminServer::CloseConnection(QueryConnection* connection) { connections_.erase(connection); }
 
 }  // namespace lynxgrade::admin
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,7 +1,7 @@
-// Answers operators' queries about this instance on an admin address, which the settings keep on loopback.
+// Serves operators' queries about this instance on an admin address, which the settings restrict to loopback.
 //
-// One connection carries one query: a line with its name; the response follows, and the connection is closed.
-// Any user of the machine may query; nothing can be changed.
+// A connection carries one query, which is a line with its name. The server sends the response and closes the
+// connection. Every user of the machine may query; queries change nothing.
 #pragma once
 
 #include <functional>
@@ -16,13 +16,13 @@
 
 namespace lynxgrade::admin {
 
-// Owns its listener and the connections on it. To be used on the main loop's thread.
+// Owns its listener and the connections accepted on it. Must be used on the thread of the main loop.
 class AdminServer {
  public:
-  // Makes the response to a query, a JSON text without a line feed.
+  // Returns the response to a query, a JSON text without a line feed.
   using Handler = std::function<std::string()>;
 
-  // `handlers` is by name of the query. `loop` must outlive it.
+  // `handlers` are by query name. `loop` must outlive the server.
   AdminServer(net::Loop& loop, std::map<std::string, Handler> handlers);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
@@ -34,13 +34,13 @@
 
  private:
   class QueryConnection;  // NOLINT(cppcoreguidelines-virtual-class-destructor): it is final
-  static constexpr std::size_t kMaxConnections = 4;
+  static constexpr std::size_t kMaxConnections = 4;  // of operators; clients do not connect here
   static constexpr std::size_t kMaxQueryBytes = 64;
-  static constexpr std::size_t kMaxResponseBytes = 1u << 20;  // suffices for some thousand instances
-  static constexpr Duration kConnectionTimeout{1'000'000};    // for sending the query and taking the response
+  static constexpr std::size_t kMaxResponseBytes = 1u << 20;  // suffices for several thousand instances
+  static constexpr Duration kConnectionTimeout{1'000'000};    // for the query and the whole response
 
-  void Accept(net::ObjectPtr<GSocket> socket);
-  void Close(QueryConnection* connection);
+  void AcceptConnection(net::ObjectPtr<GSocket> socket);
+  void CloseConnection(QueryConnection* connection);
 
   net::Loop& loop_;
   std::map<std::string, Handler> handlers_;
--- a/src/admin/peers_table.cpp
+++ b/src/admin/peers_table.cpp
@@ -10,21 +10,22 @@
 
 using Json = nlohmann::json;
 
-std::string Text(const Json& json, const char* field) { return json.at(field).get<std::string>(); }
+std::string StringField(const Json& json, const char* field) { return json.at(field).get<std::string>(); }
 
-// The quorum state and the view that this instance is in.
+// The line about the instance that was queried: its quorum state, its view and its local health.
 std::string FormatSummary(const Json& json) {
   const Json& proven = json.at("proven_s");
   return fmt::format(
       "instance {} of {}: {} for {:.1f} s, {}; view {} with {} instances; doubts itself {} of {}\n",
-      Text(json, "name"), json.at("size").get<int>(), Text(json, "part"), json.at("for_s").get<double>(),
+      StringField(json, "name"), json.at("size").get<int>(), StringField(json, "part"),
+      json.at("for_s").get<double>(),
       proven.is_null() ? std::string("nothing proven")
                        : fmt::format("proven for {:.1f} s more", proven.get<double>()),
-      Text(json, "view"), json.at("in_view").get<int>(), json.at("doubt").get<int>(),
+      StringField(json, "view"), json.at("in_view").get<int>(), json.at("doubt").get<int>(),
       json.at("most_doubt").get<int>());
 }
 
-// Counts of the session leases.
+// The line about the session leases.
 std::string FormatLeases(const Json& leases) {
   const auto count = [&leases](const char* field) { return leases.at(field).get<std::uint64_t>(); };
   std::string managers = "all own";
@@ -50,7 +51,7 @@
     differences += (differences.empty() ? "" : ", ") + name.get<std::string>();
   }
   const Json& heard = peer.at("heard_s");
-  return FormatRow(Text(peer, "name"), Text(peer, "address"), Text(peer, "state"),
+  return FormatRow(StringField(peer, "name"), StringField(peer, "address"), StringField(peer, "state"),
                    fmt::format("{:.1f}", peer.at("for_s").get<double>()),
                    heard.is_null() ? std::string("never") : fmt::format("{:.1f}", heard.get<double>()),
                    peer.at("same_view").get<bool>() ? "same" : "other", differences);
--- a/src/admin/peers_table.h
+++ b/src/admin/peers_table.h
@@ -1,4 +1,4 @@
-// The response to the query `peers` as a table for operators.
+// Formats the response to the query `peers` as a table for operators.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace lynxgrade::admin {
 
-// `response` is the JSON text that a pooler has sent. The errors are kResponseMalformed,
-// kResponseIncompatible and kRejected.
+// `response` is the JSON text that a pooler has sent. Fails with kResponseMalformed, kResponseIncompatible or
+// kRejected.
 tl::expected<std::string, AdminError> FormatPeersTable(std::string_view response);
 
 }  // namespace lynxgrade::admin
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -1,5 +1,5 @@
-// Operators' queries to a running pooler: the server on a real socket, the table, and the command line of the
-// program itself.
+// Operators' queries to a running pooler: the admin server on a real socket, the table, and the command line
+// of the program.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -22,12 +22,12 @@
   RunningServer() : server(loop, {{"peers", [this] { return ++queries, response; }}}) {
     REQUIRE(server.Listen({"127.0.0.1", 0}));
   }
-  void Until(const std::function<bool()>& condition) {
+  void RunUntil(const std::function<bool()>& condition) {
     for (int i = 0; i < 200000 && !condition(); ++i) g_main_context_iteration(nullptr, TRUE);
     REQUIRE(condition());
   }
-  // Queries as the command line does, from a thread of its own.
-  tl::expected<std::string, AdminError> Query(const std::string& name) {
+  // Sends a query as the command line does. Runs in a thread of its own, as it blocks.
+  tl::expected<std::string, AdminError> QueryFromThread(const std::string& name) {
     tl::expected<std::string, AdminError> result;
     std::atomic<bool> finished = false;
     std::thread client([&] {
@@ -35,7 +35,7 @@
       finished = true;
       g_main_context_wakeup(nullptr);
     });
-    Until([&] { return finished.load(); });
+    RunUntil([&] { return finished.load(); });
     client.join();
     return result;
   }
@@ -44,17 +44,17 @@
     Client(RunningServer& running, std::string query)
         : connection(net::Connection::Connect(running.loop, {"127.0.0.1", running.server.port()}, *this,
                                               1 << 16, 1 << 16, nullptr)),
-          sent(std::move(query)) {}
-    void OnConnected() override { connection->Write(sent); }
+          query(std::move(query)) {}
+    void OnConnected() override { connection->Write(query); }
     void OnReadable() override {
-      text += connection->input().Linearize();
+      received += connection->input().Linearize();
       connection->input().Consume(connection->input().size());
     }
     void OnEndOfStream() override { ended = true; }
     void OnDisconnected() override { ended = true; }
     std::shared_ptr<net::Connection> connection;
-    std::string sent;
-    std::string text;
+    std::string query;
+    std::string received;
     bool ended = false;
   };
   net::Loop loop;
@@ -63,38 +63,38 @@
   AdminServer server;
 };
 
-TEST_CASE("server: one query has one response; a malformed one closes its connection") {
+TEST_CASE("server: a connection gets one response, and is closed without one if its query is too long") {
   RunningServer running;
-  running.response = std::string(300000, 'x');  // more than a socket takes at once
-  CHECK(running.Query("peers") == running.response + "\n");
+  running.response = std::string(300000, 'x');  // more than the socket accepts in one write
+  CHECK(running.QueryFromThread("peers") == running.response + "\n");
   running.response = R"({"a":1})";
-  CHECK(running.Query("peers") == "{\"a\":1}\n");
-  CHECK(running.Query("limits").value().find("error") != std::string::npos);
-  RunningServer::Client endless(running, std::string(1000, 'p')), twice(running, "peers\npeers\npeers\n");
-  running.Until([&] { return endless.ended && twice.ended; });
-  CHECK(endless.text.empty());
-  CHECK(twice.text == "{\"a\":1}\n");
+  CHECK(running.QueryFromThread("peers") == "{\"a\":1}\n");
+  CHECK(running.QueryFromThread("limits").value().find("error") != std::string::npos);
+  RunningServer::Client overlong(running, std::string(1000, 'p'));
+  RunningServer::Client repeated(running, "peers\npeers\npeers\n");
+  running.RunUntil([&] { return overlong.ended && repeated.ended; });
+  CHECK(overlong.received.empty());
+  CHECK(repeated.received == "{\"a\":1}\n");
   CHECK(running.queries == 3);
 }
 
-TEST_CASE("server: silent connections time out, and a fifth one is accepted after that") {
+TEST_CASE("server: connections without a query time out, after which a fifth connection is accepted") {
   RunningServer running;
   std::vector<std::unique_ptr<RunningServer::Client>> silent;
   silent.reserve(4);
   for (int i = 0; i < 4; ++i) silent.push_back(std::make_unique<RunningServer::Client>(running, "peer"));
-  running.Until([&] { return running.server.open_connections() == 4; });
+  running.RunUntil([&] { return running.server.open_connections() == 4; });
   RunningServer::Client fifth(running, "peers\n");
-  running.Until([&] { return fifth.ended; });
-  CHECK(fifth.text == "{}\n");
+  running.RunUntil([&] { return fifth.ended; });
+  CHECK(fifth.received == "{}\n");
   CHECK(std::ranges::any_of(silent, [](const auto& client) { return client->ended; }));
-  running.Until(
+  running.RunUntil(
       [&] { return std::ranges::all_of(silent, [](const auto& client) { return client->ended; }); });
-  running.Until([&] {
-    return running.server.open_connections() == 0;
-  });  // also the one that was served and stays connected
+  // The connection that was served is closed too, although its client does not close it.
+  running.RunUntil([&] { return running.server.open_connections() == 0; });
 }
 
-TEST_CASE("table: it shows the response, and a text that is none is rejected with its reason") {
+TEST_CASE("table: shows the response, and rejects other texts with a reason") {
   const std::string response =
       R"({"name":"n1","size":3,"part":"some missing","for_s":1.25,"proven_s":0.5,"view":"00ff","in_view":2,)"
       R"("doubt":1,"most_doubt":8,"unheard":["127.0.0.1:9"],"peers":[{"name":"n2","address":"127.0.0.1:8",)"
@@ -119,7 +119,7 @@
     const char* text;
     const char* phrase;
   };
-  for (const Case& c : {Case{"", "not an answer"}, Case{"[1]", "not an answer"},
+  for (const Case& c : {Case{"", "not a JSON object"}, Case{"[1]", "not a JSON object"},
                         Case{R"({"error":"no"})", "no"}, Case{R"({"name":3})", "another version"}}) {
     const auto rejected = FormatPeersTable(c.text);
     REQUIRE_FALSE(rejected);
@@ -130,24 +130,25 @@
   CHECK(unreachable.error().code == AdminErrorCode::kUnreachable);
 }
 
-// What `lynxgrade peers` prints, and whether it went well.
-std::pair<std::string, bool> Command(std::vector<const char*> words) {
-  words.push_back(nullptr);
+// Runs a command. Returns its output and whether it succeeded.
+std::pair<std::string, bool> RunProgram(std::vector<const char*> arguments) {
+  arguments.push_back(nullptr);
   const net::ObjectPtr<GSubprocess> process(g_subprocess_newv(
-      words.data(), GSubprocessFlags(G_SUBPROCESS_FLAGS_STDOUT_PIPE | G_SUBPROCESS_FLAGS_STDERR_MERGE),
+      arguments.data(), GSubprocessFlags(G_SUBPROCESS_FLAGS_STDOUT_PIPE | G_SUBPROCESS_FLAGS_STDERR_MERGE),
       nullptr));
   REQUIRE(process != nullptr);
   char* text = nullptr;
   REQUIRE(g_subprocess_communicate_utf8(process.get(), nullptr, nullptr, &text, nullptr, nullptr));
-  std::string said(text);
+  std::string output(text);
   g_free(text);
-  return {said, g_subprocess_get_successful(process.get())};
+  return {output, g_subprocess_get_successful(process.get())};
 }
 
-TEST_CASE("program: the peers command shows the quorum state and the seeds not heard from") {
-  const std::string folder = (std::filesystem::temp_directory_path() / "lynxgrade-control-XXXXXX").string();
-  std::string made = folder;
-  REQUIRE(mkdtemp(made.data()) != nullptr);
+TEST_CASE("program: the peers command shows the quorum state and the unheard seeds") {
+  const std::string folder_template =
+      (std::filesystem::temp_directory_path() / "lynxgrade-admin-XXXXXX").string();
+  std::string folder = folder_template;
+  REQUIRE(mkdtemp(folder.data()) != nullptr);
   std::uint16_t port = 0;
   {
     net::Loop loop;
@@ -156,48 +157,49 @@
     REQUIRE(probe.Open({"127.0.0.1", 0}));
     port = probe.port();
   }
-  std::ofstream(made + "/key") << "1 " << std::string(64, 'a') << "\n";
-  std::ofstream(made + "/config.json")
+  std::ofstream(folder + "/key") << "1 " << std::string(64, 'a') << "\n";
+  std::ofstream(folder + "/config.json")
       << R"({"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f","settings":)"
       << R"({"customers":[{"name":"acme"}],"classes":[{"name":"any","deadline_us":4000000,)"
       << R"("objective_us":400000,"effect":"idempotent"}],"extra":{"class_read":["eventual"]}}})";
-  const std::string settings = made + "/settings.toml";
+  const std::string settings = folder + "/settings.toml";
   std::ofstream(settings) << "[sessions]\nscope = \"everywhere\"\n[peers]\nlisten = \"127.0.0.1:0\"\nseeds = "
-                          << "[\"127.0.0.1:9\"]\nkey_file = \"" << made
+                          << "[\"127.0.0.1:9\"]\nkey_file = \"" << folder
                           << "/key\"\n[control]\nlisten = \"127.0.0.1:" << port << "\"\n";
-  g_setenv("RELAY_CONFIG", (made + "/config.json").c_str(), TRUE);
-  CHECK_FALSE(Command({POOLER, "peers", "--settings", settings.c_str()}).second);  // it does not run yet
+  g_setenv("RELAY_CONFIG", (folder + "/config.json").c_str(), TRUE);
+  // The pooler is not running yet.
+  CHECK_FALSE(RunProgram({POOLER, "peers", "--settings", settings.c_str()}).second);
   const net::ObjectPtr<GSubprocess> pooler(g_subprocess_new(
       G_SUBPROCESS_FLAGS_STDOUT_SILENCE, nullptr, POOLER, "serve", "--settings", settings.c_str(), nullptr));
   REQUIRE(pooler != nullptr);
-  std::pair<std::string, bool> said;
-  for (int i = 0; i < 1000 && !said.second; ++i) {
-    said = Command({POOLER, "peers", "--settings", settings.c_str(), "--json"});
-    if (!said.second) g_usleep(20000);
+  std::pair<std::string, bool> result;
+  for (int i = 0; i < 1000 && !result.second; ++i) {
+    result = RunProgram({POOLER, "peers", "--settings", settings.c_str(), "--json"});
+    if (!result.second) g_usleep(20000);
   }
-  CAPTURE(said.first);
-  REQUIRE(said.second);
-  const auto json = nlohmann::json::parse(said.first);
+  CAPTURE(result.first);
+  REQUIRE(result.second);
+  const auto json = nlohmann::json::parse(result.first);
   CHECK(json.at("name") == "n1");
   CHECK(json.at("size") == 2);
   CHECK(json.at("part") == "in doubt");
   CHECK(json.at("unheard") == nlohmann::json::array({"127.0.0.1:9"}));
-  // It has pinged its seed since the start, and goes on; it has spent no more than there was.
-  const double spent = json.at("spent_s").get<double>();
-  CHECK(spent > 0);
-  CHECK(spent < 60);
+  // The processor time spent on replication grows, as the instance keeps pinging its seed.
+  const double spent_s = json.at("spent_s").get<double>();
+  CHECK(spent_s > 0);
+  CHECK(spent_s < 60);
   for (int i = 0; i < 50; ++i) {
-    const auto later = Command({POOLER, "peers", "--settings", settings.c_str(), "--json"}).first;
-    if (nlohmann::json::parse(later).at("spent_s").get<double>() > spent) break;
+    const auto later = RunProgram({POOLER, "peers", "--settings", settings.c_str(), "--json"}).first;
+    if (nlohmann::json::parse(later).at("spent_s").get<double>() > spent_s) break;
     CHECK(i < 49);
     g_usleep(20000);
   }
-  const auto table = Command({POOLER, "peers", "--settings", settings.c_str()});
+  const auto table = RunProgram({POOLER, "peers", "--settings", settings.c_str()});
   CHECK(table.second);
   CHECK(table.first.find("instance n1 of 2: ") == 0);
   g_subprocess_force_exit(pooler.get());
   g_subprocess_wait(pooler.get(), nullptr, nullptr);
-  std::filesystem::remove_all(made);
+  std::filesystem::remove_all(folder);
 }
 
 }  // namespace
