--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -19,7 +19,7 @@
   read.latency_objective = Duration(400000);
   read.deadline = Duration(1600000);
   settings.classes = {read};
-  settings.peers_total = 300;
+  settings.fleet_size = 300;
   settings.max_attempts = 8;
   settings.responses_report_position = settings.may_cancel = settings.may_health_check = true;
   settings.health_check_price = 0.01;
@@ -30,7 +30,7 @@
 
 struct LoadedBalancer {
   explicit LoadedBalancer(std::uint32_t servers) : balancer(SiteSettings(), 1) {
-    ListEvent list{ListKind::kPersisted, {}};
+    EndpointListEvent list{EndpointListKind::kPersisted, {}};
     for (std::uint32_t i = 0; i < servers; ++i) {
       list.entries.push_back({.server = ServerId(i + 1), .group = GroupId(i / kServersPerGroup)});
     }
--- a/src/consistency/session_consistency_guard.cpp
+++ b/src/consistency/session_consistency_guard.cpp
@@ -40,7 +40,7 @@
 
 void SessionConsistencyGuard::PrepareEvent(TimePoint now, Event& event) {
   now_ = now;
-  if (const auto* list = std::get_if<ListEvent>(&event)) {
+  if (const auto* list = std::get_if<EndpointListEvent>(&event)) {
     if (CoversAllInstances()) Handle(*list);
   } else if (auto* request = std::get_if<RequestEvent>(&event)) {
     Handle(now, *request);
@@ -62,17 +62,17 @@
 
 // ---- Data servers -------------------------------------------------------------------------------------
 
-void SessionConsistencyGuard::Handle(const ListEvent& event) {
-  if (event.kind == ListKind::kError) return;
+void SessionConsistencyGuard::Handle(const EndpointListEvent& event) {
+  if (event.kind == EndpointListKind::kError) return;
   std::unordered_map<ServerId, GroupId> listed;
-  for (const ListEntry& entry : event.entries) {
+  for (const EndpointListEntry& entry : event.entries) {
     if (entry.lifecycle == Lifecycle::kDeleted) {
       RemoveServer(entry.server);
     } else {
       listed[entry.server] = entry.group;
     }
   }
-  if (event.kind != ListKind::kPartial) {
+  if (event.kind != EndpointListKind::kPartial) {
     std::vector<ServerId> missing;
     for (const auto& [server, group] : groups_) {
       if (!listed.contains(server)) missing.push_back(server);
--- a/src/consistency/session_consistency_guard.h
+++ b/src/consistency/session_consistency_guard.h
@@ -157,7 +157,7 @@
   bool CoversAllInstances() const { return options_.scope == Scope::kEverywhere; }
   bool UsesLeases() const { return leases_ != nullptr && !sessions_carry_positions_; }
 
-  void Handle(const ListEvent& event);
+  void Handle(const EndpointListEvent& event);
   void Handle(TimePoint now, RequestEvent& event);
   void Handle(TimePoint now, AttemptEndedEvent& event);
   void Handle(TimePoint now, HealthCheckEvent& event);
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -36,7 +36,7 @@
 void DiscoveryWatch::ScheduleFirstRequest() {
   Duration wait{0};
   // Half of the grace at most: the other half is for the response, or a retry.
-  if (service_.shared) wait = retry_policy_.FirstWait(DrawUniform(), service_.drain_grace / 2);
+  if (service_.shared) wait = retry_policy_.InitialWait(DrawUniform(), service_.drain_grace / 2);
   retry_timer_.After(wait, [this] { SendRequest(); });
 }
 
@@ -48,7 +48,7 @@
   if (connection_ == nullptr) return Retry("no connection to be had");
   // One deadline from connecting to the head of the response. It counts from this moment, as the present pass
   // of the loop may have begun long ago.
-  deadline_timer_.Set(loop_.Precise() + retry_policy_.call(), [this] { Retry("no answer in time"); });
+  deadline_timer_.Set(loop_.Precise() + retry_policy_.call_timeout(), [this] { Retry("no answer in time"); });
 }
 
 void DiscoveryWatch::MoveTo(const net::Address& address) {
@@ -81,7 +81,7 @@
   if (state == State::kMalformed) return Retry(response_->error());
   if (state == State::kHead) return;
   if (response_->status() != kOk) return Retry("an answer other than 200");
-  if (head_pending) ExpectSignOfLifeWithin(retry_policy_.silence());
+  if (head_pending) ExpectSignOfLifeWithin(retry_policy_.max_silence());
   body_.Append(response_->ExtractBody());
   if (state == State::kComplete) return HandleBodyEnd();
   HandleItems();
@@ -137,7 +137,7 @@
   // It may have arrived while this loop was busy or the process was stopped: updates may be missing from then
   // on.
   last_sign_of_life_ = std::max(last_sign_of_life_, loop_.Since());
-  ExpectSignOfLifeWithin(retry_policy_.silence());
+  ExpectSignOfLifeWithin(retry_policy_.max_silence());
 }
 
 void DiscoveryWatch::HandleBodyEnd() {
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -45,7 +45,7 @@
 }
 
 // What is optional in an entry: absent or malformed fields keep their defaults.
-void ReadOptionalFields(const Json& json, ListEntry& entry) {
+void ReadOptionalFields(const Json& json, EndpointListEntry& entry) {
   const Json* weight = FindField(json, "capacity_hint");
   if (weight != nullptr && weight->is_number()) entry.weight = weight->get<double>();
   entry.primary = ReadText(json, "replication") == "primary";
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -16,7 +16,7 @@
 namespace lynxgrade::discovery {
 
 struct Endpoint {
-  ListEntry entry;
+  EndpointListEntry entry;
   std::string uid;
   std::optional<net::Address> address;  // may be absent for a deleted server
 };
--- a/src/fleet/discovery_retry_policy.cpp
+++ b/src/fleet/discovery_retry_policy.cpp
@@ -32,7 +32,7 @@
       backoff_(shared ? instances : 1, kFirstWindow, kSpacing,
                std::max(kLeastWait, allowed_ - call_ - answer_)) {}
 
-Duration DiscoveryRetryPolicy::silence() const { return kMaxSilence; }
+Duration DiscoveryRetryPolicy::max_silence() const { return kMaxSilence; }
 
 Duration DiscoveryRetryPolicy::NextWait(double uniform, Duration quiet) {
   // Two calls before what was missed since the last sign of life binds: the first in half of the time that is
--- a/src/fleet/discovery_retry_policy.h
+++ b/src/fleet/discovery_retry_policy.h
@@ -20,14 +20,14 @@
   DiscoveryRetryPolicy(bool shared, std::uint32_t instances, Duration grace);
 
   // The longest silence of a watch: an empty line is due every 2 s.
-  Duration silence() const;
+  Duration max_silence() const;
   // The longest time from the start of a call to the head of its answer.
-  Duration call() const { return call_; }
+  Duration call_timeout() const { return call_; }
   // What a call that comes through may take.
-  Duration answer() const { return answer_; }
+  Duration answer_time() const { return answer_; }
 
   // The wait before the first call to an address. Counts as no failure.
-  Duration FirstWait(double uniform, Duration most) const { return backoff_.InitialWait(uniform, most); }
+  Duration InitialWait(double uniform, Duration most) const { return backoff_.InitialWait(uniform, most); }
   // The wait after one more failure, `quiet` after the last sign of life; `uniform` is drawn from [0, 1).
   Duration NextWait(double uniform, Duration quiet);
   void RecordSuccess() { backoff_.RecordSuccess(); }
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -32,7 +32,7 @@
 
 tl::expected<void, StartError> Instance::Start() {
   std::int64_t revision = 0;
-  ListEvent known_list = ReadKnownList(revision);
+  EndpointListEvent known_list = ReadKnownList(revision);
   if (auto started = StartSessionConsistency(); !started) return started;
   proxy_.ListChanged(std::move(known_list));
   StartWatch(revision);
@@ -40,8 +40,8 @@
 }
 
 // The endpoint list of the configuration, and in `revision` the one to watch discovery from.
-ListEvent Instance::ReadKnownList(std::int64_t& revision) {
-  ListEvent event{ListKind::kPersisted, {}};
+EndpointListEvent Instance::ReadKnownList(std::int64_t& revision) {
+  EndpointListEvent event{EndpointListKind::kPersisted, {}};
   if (config_.known.empty()) return event;
   const auto known = reader_.Read(config_.known);
   if (!known) {
@@ -132,8 +132,8 @@
 
 void Instance::StartWatch(std::int64_t revision) {
   const Settings& routing = config_.settings;
-  const std::uint32_t instances = fleet::EffectiveFleetSize(routing.peers_total);
-  if (routing.peers_total == 0) {
+  const std::uint32_t instances = fleet::EffectiveFleetSize(routing.fleet_size);
+  if (routing.fleet_size == 0) {
     spdlog::warn("the platform's settings lack peers_total; assuming instances={}", instances);
   }
   const discovery::DiscoveryService service{routing.poll_endpoint_list, instances, routing.drain_grace};
@@ -151,8 +151,8 @@
   if (log_ != nullptr) log_->RecordCleanShutdown();
 }
 
-std::vector<ListEntry> Instance::ApplyAddresses(const discovery::EndpointListUpdate& update) {
-  std::vector<ListEntry> entries;
+std::vector<EndpointListEntry> Instance::ApplyAddresses(const discovery::EndpointListUpdate& update) {
+  std::vector<EndpointListEntry> entries;
   for (const discovery::Endpoint& endpoint : update.endpoints) {
     if (endpoint.address) host_.address(endpoint.entry.server, *endpoint.address);
     entries.push_back(endpoint.entry);
@@ -167,7 +167,8 @@
                  LifecycleName(endpoint.entry.lifecycle), endpoint.uid,
                  static_cast<std::uint32_t>(endpoint.entry.server), update.revision);
   }
-  proxy_.ListChanged({update.complete ? ListKind::kComplete : ListKind::kPartial, ApplyAddresses(update)});
+  proxy_.ListChanged(
+      {update.complete ? EndpointListKind::kComplete : EndpointListKind::kPartial, ApplyAddresses(update)});
   // Unless deletions are binding, requests may still be sent to a deleted server.
   if (!config_.settings.unlisted_stay_usable) {
     for (const ServerId server : reader_.RemoveEnded(update)) host_.forget(server);
--- a/src/instance.h
+++ b/src/instance.h
@@ -72,7 +72,7 @@
     std::optional<TimePoint> complete_through{};
   };
 
-  ListEvent ReadKnownList(std::int64_t& revision);
+  EndpointListEvent ReadKnownList(std::int64_t& revision);
   tl::expected<void, StartError> StartSessionConsistency();
   RecoveredKnowledge StartDurability(TimePoint now);
   tl::expected<void, StartError> StartReplication(bool recovered_completely);
@@ -81,7 +81,7 @@
   // `call` is not called.
   bool DelayAnswer(GroupId group, consistency::SessionKey session, const std::function<void()>& call);
   void StartWatch(std::int64_t revision);
-  std::vector<ListEntry> ApplyAddresses(const discovery::EndpointListUpdate& update);
+  std::vector<EndpointListEntry> ApplyAddresses(const discovery::EndpointListUpdate& update);
   void HandleListUpdate(const discovery::EndpointListUpdate& update);
 
   net::Loop& loop_;
--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -71,8 +71,8 @@
 };
 
 struct SendTimes {
-  Duration limit{0};                        // timeout of the attempt
-  Duration write_within = Duration::max();  // until its last byte must have been sent
+  Duration limit{0};                         // timeout of the attempt
+  Duration write_timeout = Duration::max();  // until its last byte must have been sent
 };
 
 // The upstream port. Each Send and each Probe is followed by exactly one event, even if nothing could be
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -138,7 +138,7 @@
   sent ? client->Failed() : client->Refused(rejected_read_retry_after_);
 }
 
-void Proxy::ListChanged(ListEvent list) {
+void Proxy::ListChanged(EndpointListEvent list) {
   Event event = std::move(list);
   PrepareEvent(event);
   HandleEvent(std::move(event));
@@ -285,7 +285,7 @@
     return;
   }
   ++counts_.attempts;
-  backends_.Send(action.id, number, action.server, it->second.work, {action.timeout, action.write_within});
+  backends_.Send(action.id, number, action.server, it->second.work, {action.timeout, action.write_timeout});
 }
 
 void Proxy::Execute(const Reject& action) {
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -35,7 +35,7 @@
   // Ends a request at once, for a shutdown that cannot wait: rejected if no attempt was started, else failed.
   void GiveUp(RequestId request);
   // Applies an event of the endpoint list.
-  void ListChanged(ListEvent list);
+  void ListChanged(EndpointListEvent list);
   // Requests whose client has not been called yet.
   std::size_t open() const { return in_flight_; }
   consistency::SessionConsistencyGuard& consistency_guard() { return consistency_guard_; }
--- a/src/routing/actions.h
+++ b/src/routing/actions.h
@@ -17,7 +17,7 @@
   ServerId server{};
   Duration timeout{0};
   // Retries of what may have run: the last byte goes out within this, or not at all.
-  Duration write_within = Duration::max();
+  Duration write_timeout = Duration::max();
 };
 // The final answer that promises that a retry does no harm.
 struct Reject {
--- a/src/routing/balancer.cpp
+++ b/src/routing/balancer.cpp
@@ -29,7 +29,7 @@
   }
 
  private:
-  void On(const ListEvent& event) { endpoint_list_.Apply(event); }
+  void On(const EndpointListEvent& event) { endpoint_list_.Apply(event); }
   void On(const RequestEvent& event) { router_.HandleRequest(event); }
   void On(const ResponseStartedEvent& event) { router_.HandleResponseStarted(event); }
   void On(const ClientDisconnectedEvent& event) { router_.HandleClientDisconnected(event); }
--- a/src/routing/endpoint_list_updater.cpp
+++ b/src/routing/endpoint_list_updater.cpp
@@ -15,18 +15,19 @@
 
 }  // namespace
 
-void EndpointListUpdater::Apply(const ListEvent& event) {
-  if (event.kind == ListKind::kPersisted) {
+void EndpointListUpdater::Apply(const EndpointListEvent& event) {
+  if (event.kind == EndpointListKind::kPersisted) {
     // Instances that start together must not act in step.
     context_.SetTimer(TimerKind::kPeriodicTick, context_.Jitter(kTickInterval));
     if (context_.settings().poll_endpoint_list) {
       context_.SetTimer(TimerKind::kWatchEndpointList, context_.Jitter(kTickInterval));
     }
   }
-  if (event.kind == ListKind::kError) return HandleError();
+  if (event.kind == EndpointListKind::kError) return HandleError();
   consecutive_errors_ = 0;
-  for (const ListEntry& entry : event.entries) ApplyEntry(entry, event.kind);
-  if (event.kind != ListKind::kPartial && !context_.settings().unlisted_stay_usable) DrainUnlisted(event);
+  for (const EndpointListEntry& entry : event.entries) ApplyEntry(entry, event.kind);
+  if (event.kind != EndpointListKind::kPartial && !context_.settings().unlisted_stay_usable)
+    DrainUnlisted(event);
   context_.RequestRetryOfWaiting();
 }
 
@@ -37,9 +38,9 @@
   context_.SetTimer(TimerKind::kWatchEndpointList, context_.Jitter(backoff));
 }
 
-void EndpointListUpdater::DrainUnlisted(const ListEvent& event) {
+void EndpointListUpdater::DrainUnlisted(const EndpointListEvent& event) {
   std::set<ServerId> listed;
-  for (const ListEntry& entry : event.entries) listed.insert(entry.server);
+  for (const EndpointListEntry& entry : event.entries) listed.insert(entry.server);
   servers_.ForEach([&](Server& server) {
     if (listed.contains(server.id)) return;
     server.draining = true;
@@ -47,7 +48,7 @@
   });
 }
 
-void EndpointListUpdater::ApplyEntry(const ListEntry& entry, ListKind kind) {
+void EndpointListUpdater::ApplyEntry(const EndpointListEntry& entry, EndpointListKind kind) {
   Server& server = servers_.FindOrAdd(entry.server, entry.group, entry.zone);
   server.weight = entry.weight > 0 ? entry.weight : 1;
   // A server that was listed as draining gets nothing until it is listed as serving again, also once it is
@@ -66,7 +67,7 @@
   const ListedRole listed_role = context_.settings().listed_role;
   if (listed_role == ListedRole::kNone) return;
   // What the list says of a role is as old as the list may be: any response or report outweighs it.
-  const bool is_old = kind == ListKind::kPersisted || listed_role == ListedRole::kInitial;
+  const bool is_old = kind == EndpointListKind::kPersisted || listed_role == ListedRole::kInitial;
   const TimePoint as_of = is_old ? TimePoint{} : context_.now() - kDelayedListAge;
   if (entry.primary && (!server.role.as_primary || *server.role.as_primary < as_of)) {
     replication_.RecordRole(server, ServerRole::kPrimary, as_of);
--- a/src/routing/endpoint_list_updater.h
+++ b/src/routing/endpoint_list_updater.h
@@ -12,7 +12,7 @@
                       SlowStartAdmission& slow_start)
       : context_(context), servers_(servers), replication_(replication), slow_start_(slow_start) {}
 
-  void Apply(const ListEvent& event);
+  void Apply(const EndpointListEvent& event);
   // Whether a deleted server can be forgotten: it has been gone for long, and nothing of it is in flight.
   // Servers are replaced under new ids as long as the service runs; one that comes back soon keeps what is
   // known of it.
@@ -20,8 +20,8 @@
 
  private:
   void HandleError();
-  void ApplyEntry(const ListEntry& entry, ListKind kind);
-  void DrainUnlisted(const ListEvent& event);
+  void ApplyEntry(const EndpointListEntry& entry, EndpointListKind kind);
+  void DrainUnlisted(const EndpointListEvent& event);
 
   DecisionContext& context_;
   ServerTable& servers_;
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -29,7 +29,7 @@
 enum class Lifecycle { kServing, kDraining, kDeleted };
 
 // One server of the endpoint list.
-struct ListEntry {
+struct EndpointListEntry {
   ServerId server{};
   GroupId group{};
   ZoneIndex zone = 0;
@@ -39,7 +39,7 @@
   std::optional<TimePoint> started{};
 };
 
-enum class ListKind {
+enum class EndpointListKind {
   kPersisted,  // a stored list, at the start of the instance
   kComplete,
   kPartial,  // changes only
@@ -59,9 +59,9 @@
   kMisrouted  // the server is not the primary, or does not hold the required position
 };
 
-struct ListEvent {
-  ListKind kind = ListKind::kComplete;
-  std::vector<ListEntry> entries;
+struct EndpointListEvent {
+  EndpointListKind kind = EndpointListKind::kComplete;
+  std::vector<EndpointListEntry> entries;
 };
 
 struct RequestEvent {
@@ -119,7 +119,7 @@
   std::string message;
 };
 
-using Event = std::variant<ListEvent, RequestEvent, AttemptEndedEvent, ResponseStartedEvent, HealthCheckEvent,
-                           TimerEvent, ClientDisconnectedEvent, PeerEvent>;
+using Event = std::variant<EndpointListEvent, RequestEvent, AttemptEndedEvent, ResponseStartedEvent,
+                           HealthCheckEvent, TimerEvent, ClientDisconnectedEvent, PeerEvent>;
 
 }  // namespace lynxgrade
--- a/src/routing/settings.h
+++ b/src/routing/settings.h
@@ -61,8 +61,8 @@
 struct Settings {
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;
-  std::uint32_t self = 0;         // index of this instance
-  std::uint32_t peers_total = 1;  // instances of the fleet; 0: unknown
+  std::uint32_t instance_index = 0;  // index of this instance
+  std::uint32_t fleet_size = 1;      // instances of the fleet; 0: unknown
   ZoneIndex zone = 0;
   Duration tick{5000};              // resolution of the host's clock
   bool poll_endpoint_list = false;  // the list comes on request, not by push
--- a/src/routing/slow_start_admission.cpp
+++ b/src/routing/slow_start_admission.cpp
@@ -48,7 +48,7 @@
   for (const Tenant& tenant : context_.settings().tenants) quota += tenant.quota_per_s;
   const auto servers = static_cast<double>(std::max<std::size_t>(1, servers_.server_count()));
   const double per_server = kNominalFraction * quota * latencies_.ShortestUsualSeconds() / servers;
-  return std::max(1.0, per_server) / fleet::EffectiveFleetSize(context_.settings().peers_total);
+  return std::max(1.0, per_server) / fleet::EffectiveFleetSize(context_.settings().fleet_size);
 }
 
 // This instance's part, in work per second.
--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -42,8 +42,8 @@
     } else if (auto* stop = std::get_if<Stop>(&line)) {
       instances_.erase(stop->instance);
     } else if (auto* news = std::get_if<ListNews>(&line)) {
-      ListEvent event{news->kind, {}};
-      if (news->kind != ListKind::kError) {
+      EndpointListEvent event{news->kind, {}};
+      if (news->kind != EndpointListKind::kError) {
         const auto entries = pages_.find(news->page);
         if (entries == pages_.end()) {
           throw WireError("event 'directory_update': field 'page' names a list not seen");
@@ -87,7 +87,7 @@
 
   Codec codec_;
   std::map<Instance, Hosted> instances_;
-  std::map<int, std::vector<ListEntry>> pages_;
+  std::map<int, std::vector<EndpointListEntry>> pages_;
   Actions actions_;
   std::string reply_;
   TimePoint now_;
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -131,10 +131,10 @@
                                   {"withdrawn", Outcome::kCancelled},
                                   {"void", Outcome::kNotRun},
                                   {"absent", Outcome::kMisrouted}};
-const Words<ListKind> kListKinds = {{"Partial", ListKind::kPartial},
-                                    {"Complete", ListKind::kComplete},
-                                    {"Persisted", ListKind::kPersisted},
-                                    {"Error", ListKind::kError}};
+const Words<EndpointListKind> kEndpointListKinds = {{"Partial", EndpointListKind::kPartial},
+                                                    {"Complete", EndpointListKind::kComplete},
+                                                    {"Persisted", EndpointListKind::kPersisted},
+                                                    {"Error", EndpointListKind::kError}};
 const Words<Lifecycle> kLifecycles = {
     {"SERVING", Lifecycle::kServing}, {"DRAINING", Lifecycle::kDraining}, {"DELETED", Lifecycle::kDeleted}};
 const Words<Idempotency> kIdempotencies = {{"idempotent", Idempotency::kIdempotent},
@@ -199,8 +199,8 @@
       s.tenants.push_back({NumberOr(json, "quota_per_s", 0), NumberOr(json, "share", 0)});
     }
   }
-  s.self = SmallOr(facts, "me", 0);
-  s.peers_total = SmallOr(facts, "peers_total", 0);
+  s.instance_index = SmallOr(facts, "me", 0);
+  s.fleet_size = SmallOr(facts, "peers_total", 0);
   s.zone = SmallOr(facts, "zone", 0);
   s.tick = DurationOr(facts, "tick_us", s.tick);
   s.poll_endpoint_list = Word(TextOr(facts, "discovery", "push"), kDiscovery, "discovery");
@@ -260,11 +260,11 @@
 
 namespace {
 
-std::vector<ListEntry> DecodeEntries(const Json& json) {
-  std::vector<ListEntry> entries;
+std::vector<EndpointListEntry> DecodeEntries(const Json& json) {
+  std::vector<EndpointListEntry> entries;
   for (const Json& item : Array(json, "records")) {
     if (!item.is_object()) Wrong("records", "holds something other than objects");
-    ListEntry entry;
+    EndpointListEntry entry;
     entry.server = ServerId(Small(item, "member"));
     entry.group = GroupId(IntOr(item, "set", 0));
     entry.zone = SmallOr(item, "az", 0);
@@ -388,8 +388,8 @@
   if (op == "spawn") return DecodeStart(json, instance);
   if (op == "teardown") return Stop{instance};
   if (op == "directory_update") {
-    const ListKind kind = Word(Text(json, "how"), kListKinds, "how");
-    const bool failed = kind == ListKind::kError;
+    const EndpointListKind kind = Word(Text(json, "how"), kEndpointListKinds, "how");
+    const bool failed = kind == EndpointListKind::kError;
     return ListNews{instance, kind, failed ? -1 : static_cast<int>(Small(json, "page"))};
   }
   return ForInstance{instance, DecodeEvent(op, json, DialectOf(instance))};
--- a/src/simulator/codec.h
+++ b/src/simulator/codec.h
@@ -29,7 +29,7 @@
 struct BatchEnd {};
 struct ListPage {
   int page = 0;
-  std::vector<ListEntry> entries;
+  std::vector<EndpointListEntry> entries;
 };
 struct Start {
   Instance instance = 0;
@@ -44,7 +44,7 @@
 // An update of the endpoint list. It names the page; the host adds the page's entries.
 struct ListNews {
   Instance instance = 0;
-  ListKind kind = ListKind::kComplete;
+  EndpointListKind kind = EndpointListKind::kComplete;
   int page = 0;
 };
 // An event for the balancer of one instance. Its load report was decoded with the columns of the instance's
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -66,7 +66,7 @@
   attempt->work = std::move(work);
   attempts_[{request, number}] = attempt;
   // Limits count from the loop time of the routing decision, however long this iteration has run since.
-  if (times.write_within != Duration::max()) attempt->write_deadline = loop_.Now() + times.write_within;
+  if (times.write_timeout != Duration::max()) attempt->write_deadline = loop_.Now() + times.write_timeout;
   attempt->deadline = loop_.Now() + times.limit;
   Enqueue(std::move(attempt));
 }
--- a/tests/consistency/session_consistency_guard_test.cpp
+++ b/tests/consistency/session_consistency_guard_test.cpp
@@ -22,7 +22,7 @@
 // A guard with three data servers, whose responses the tests choose.
 struct GuardFixture {
   explicit GuardFixture(Options options = AllInstances()) : guard(SessionSettings(), options) {
-    ListEvent list{ListKind::kPersisted, {}};
+    EndpointListEvent list{EndpointListKind::kPersisted, {}};
     for (const ServerId id : {kServerA, kServerB, kServerC})
       list.entries.push_back({.server = id, .group = kGroup});
     Process(list);
--- a/tests/fleet/discovery_retry_test.cpp
+++ b/tests/fleet/discovery_retry_test.cpp
@@ -110,12 +110,13 @@
         std::uniform_real_distribution<double> even(0, 1);
         for (int run = 0; run < 2000; ++run) {
           DiscoveryRetryPolicy waits(shared, instances, grace);
-          const Duration first = waits.silence() + waits.NextWait(even(random), waits.silence());
-          silent = std::max(silent, first + waits.answer());
-          refused = std::max(refused, first + waits.NextWait(even(random), first) + waits.answer());
+          const Duration first = waits.max_silence() + waits.NextWait(even(random), waits.max_silence());
+          silent = std::max(silent, first + waits.answer_time());
+          refused = std::max(refused, first + waits.NextWait(even(random), first) + waits.answer_time());
           // It comes back just as a call has begun that will hang, after any number of failures.
           for (int i = 0; i < run % 12; ++i) waits.NextWait(even(random), long_ago);
-          hung = std::max(hung, waits.call() + waits.NextWait(even(random), long_ago) + waits.answer());
+          hung = std::max(
+              hung, waits.call_timeout() + waits.NextWait(even(random), long_ago) + waits.answer_time());
         }
         CHECK(silent < known_after + grace);
         CHECK(refused < known_after + grace);
--- a/tests/fleet/routing_fleet.h
+++ b/tests/fleet/routing_fleet.h
@@ -31,7 +31,7 @@
   write.latency_objective = Duration(700000);
   s.classes = {read, write};
   s.tenants = {{.quota_per_s = 0.8 * 12 * kCores / kWork, .share = 1}};
-  s.peers_total = instances;
+  s.fleet_size = instances;
   s.max_attempts = 8;
   s.may_cancel = s.clients_honor_retry_after = true;
   s.max_retry_after = Duration(500000);
@@ -174,7 +174,7 @@
       if (i % 10 < 7) {
         StartInstance(i, Entries(ServerSet::kReplaced), options_.seed * 1000 + 500 + i);
       } else {
-        Feed(i, now, ListEvent{ListKind::kComplete, Entries(ServerSet::kReplaced)});
+        Feed(i, now, EndpointListEvent{EndpointListKind::kComplete, Entries(ServerSet::kReplaced)});
       }
     }
   }
@@ -197,24 +197,24 @@
     Feed(which(random_), now, request);
   }
 
-  std::vector<ListEntry> Entries(ServerSet set) const {
-    std::vector<ListEntry> entries;
+  std::vector<EndpointListEntry> Entries(ServerSet set) const {
+    std::vector<EndpointListEntry> entries;
     for (std::uint32_t i = 1; i <= 12; ++i) {
       const bool fresh = set == ServerSet::kReplaced && i <= 6;
-      ListEntry entry{.server = ServerId(fresh ? 100 + i : i), .group = GroupId(i <= 6 ? 1 : 2)};
+      EndpointListEntry entry{.server = ServerId(fresh ? 100 + i : i), .group = GroupId(i <= 6 ? 1 : 2)};
       if (fresh) entry.started = start_ + kReplacedAt;
       entries.push_back(entry);
     }
     return entries;
   }
 
-  void StartInstance(std::uint32_t who, const std::vector<ListEntry>& entries, std::uint64_t seed) {
+  void StartInstance(std::uint32_t who, const std::vector<EndpointListEntry>& entries, std::uint64_t seed) {
     balancers_.insert_or_assign(who, Balancer(settings_, seed));
     ++incarnations_[who];
     for (auto& [link, state] : links_) {
       if (link.first == who) state.out = 0, state.idle.clear();
     }
-    Feed(who, now_, ListEvent{ListKind::kPersisted, entries});
+    Feed(who, now_, EndpointListEvent{EndpointListKind::kPersisted, entries});
   }
 
   void Feed(std::uint32_t who, TimePoint now, const Event& event) {
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -68,7 +68,7 @@
   DataServer& draining = w.Serve(kAnswer);
   DataServer& other = w.Serve(kAnswer);
   w.List();
-  w.List(ListKind::kPartial, Lifecycle::kDraining);
+  w.List(EndpointListKind::kPartial, Lifecycle::kDraining);
   Peer& client = w.Client(Asks(20));
   w.Until([&] { return other.queries.size() == 20 && client.Types().ends_with("TDCZ"); });
   CHECK(draining.queries.empty());
@@ -239,10 +239,10 @@
   w.List();
   Peer& client = w.Client(Asks(4));
   w.Until([&] { return client.Types().ends_with("TDCZTDCZTDCZTDCZ"); });
-  w.List(ListKind::kPartial, Lifecycle::kDeleted);
+  w.List(EndpointListKind::kPartial, Lifecycle::kDeleted);
   w.pool.RemoveServer(ServerId(1));
   w.Until([&] { return w.pool.servers() == 1; });
-  w.List(ListKind::kPartial);
+  w.List(EndpointListKind::kPartial);
   CHECK(w.pool.servers() == 2);
 }
 
@@ -500,7 +500,7 @@
   discovery::DiscoveryWatch watch(w.loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
                                   [&](const discovery::EndpointListUpdate&) {
                                     told = true;
-                                    w.List(ListKind::kPartial, Lifecycle::kDraining);
+                                    w.List(EndpointListKind::kPartial, Lifecycle::kDraining);
                                   });
   watch.Start();
   for (std::size_t i = 0; i < failures.size(); ++i) {
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -564,10 +564,10 @@
   SimulatedFleet w;
   DataServer& server = w.Serve(kAnswer);
   w.List();
-  w.List(ListKind::kPartial, Lifecycle::kDraining);
+  w.List(EndpointListKind::kPartial, Lifecycle::kDraining);
   Peer& refused = w.Client({Ask("any", "k", 300)});
   w.Until([&] { return refused.Saw("53300"); });
-  ListEvent back{ListKind::kPartial, {}};
+  EndpointListEvent back{EndpointListKind::kPartial, {}};
   back.entries.push_back({.server = ServerId(1), .group = GroupId(2), .started = w.loop.Now()});
   w.proxy.ListChanged(back);
   Peer& served = w.Client({Ask("any", "k", 3000)});
--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -27,8 +27,8 @@
   }
   void OnAttemptEnd(proxy::AttemptEnd end) override { ends.push_back(std::move(end)); }
   void OnProbeEnd(const HealthCheckEvent& event) override { probed.push_back(event); }
-  void Send(int limit_ms, Duration write_within = Duration::max()) {
-    pool.Send(RequestId(++last), 0, kServer, work, {limit_ms * kMs, write_within});
+  void Send(int limit_ms, Duration write_timeout = Duration::max()) {
+    pool.Send(RequestId(++last), 0, kServer, work, {limit_ms * kMs, write_timeout});
   }
   // One attempt, so that a connection stands idle.
   void Warm() {
--- a/tests/replication/lease_fleet.h
+++ b/tests/replication/lease_fleet.h
@@ -375,7 +375,7 @@
       incarnation_id(incarnation_id),
       way(way),
       consistency_guard(TwoClasses(), Everywhere()) {
-  ListEvent list{ListKind::kPersisted, {}};
+  EndpointListEvent list{EndpointListKind::kPersisted, {}};
   list.entries.push_back({.server = kPrimary, .group = kGroup});
   Event event = std::move(list);
   consistency_guard.PrepareEvent(fleet.now, event);
--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -74,7 +74,7 @@
   consistency::SessionConsistencyGuard consistency_guard(TwoClasses(), options);
   consistency_guard.SetSessionLeases(&known);
   TimePoint now{Duration(1'700'000'000'000'000)};
-  ListEvent list{ListKind::kPersisted, {}};
+  EndpointListEvent list{EndpointListKind::kPersisted, {}};
   for (const ServerId member : {kPrimary, kSuccessor})
     list.entries.push_back({.server = member, .group = kGroup});
   Event event = std::move(list);
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -54,7 +54,7 @@
     proxy.consistency_guard().HandleStart(started, started);
     proxy.consistency_guard().SetReplicatedThrough(1, started);
     proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++asked; }});
-    ListEvent list{ListKind::kPersisted, {}};
+    EndpointListEvent list{EndpointListKind::kPersisted, {}};
     list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
     proxy.ListChanged(list);
   }
@@ -116,7 +116,7 @@
     return std::ranges::any_of(actions,
                                [](const Action& a) { return std::holds_alternative<StartAttempt>(a); });
   };
-  ListEvent list{ListKind::kPersisted, {}};
+  EndpointListEvent list{EndpointListKind::kPersisted, {}};
   list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
   feed(list);
   std::uint32_t last = 0;
--- a/tests/routing/balancer_long_run_test.cpp
+++ b/tests/routing/balancer_long_run_test.cpp
@@ -17,7 +17,7 @@
 struct LongRun {
   LongRun() : LongRun(DefaultSettings()) {}
   explicit LongRun(const Settings& settings) : balancer(settings, 7) {
-    List(ListKind::kPersisted, Lifecycle::kServing);
+    List(EndpointListKind::kPersisted, Lifecycle::kServing);
   }
 
   static Settings DefaultSettings() {
@@ -32,8 +32,8 @@
     return s;
   }
 
-  void List(ListKind kind, Lifecycle first) {
-    ListEvent event{kind, {}};
+  void List(EndpointListKind kind, Lifecycle first) {
+    EndpointListEvent event{kind, {}};
     event.entries.push_back({.server = kFirst, .group = GroupId(1), .lifecycle = first});
     event.entries.push_back({.server = kSecond, .group = GroupId(1)});
     Feed(event);
@@ -109,9 +109,9 @@
   run.Ask(300);
   const int when_slow = run.sent[kFirst];
   run.response_time[kFirst] = Duration(30000);
-  run.List(ListKind::kPartial, Lifecycle::kDeleted);
+  run.List(EndpointListKind::kPartial, Lifecycle::kDeleted);
   run.Run(Duration(31000000));
-  run.List(ListKind::kPartial, Lifecycle::kServing);
+  run.List(EndpointListKind::kPartial, Lifecycle::kServing);
   run.Ask(20);
   CHECK(when_slow < 100);
   CHECK(run.sent[kFirst] >= 5);
@@ -120,7 +120,7 @@
 // One connection that falls silent must not make its server look lost.
 TEST_CASE("an attempt that is overtaken does not make its server look slow") {
   LongRun run;
-  run.List(ListKind::kPartial, Lifecycle::kDeleted);
+  run.List(EndpointListKind::kPartial, Lifecycle::kDeleted);
   run.Ask(200);
   run.response_time[kSecond] = Duration(60000000);
   run.Ask(1);
@@ -143,7 +143,7 @@
 TEST_CASE(
     "an instance that seldom sends to a group rejects soon after the group is overloaded, and not for long") {
   LongRun run;
-  ListEvent six{ListKind::kPartial, {}};
+  EndpointListEvent six{EndpointListKind::kPartial, {}};
   for (std::uint32_t i = 3; i <= 6; ++i) six.entries.push_back({.server = ServerId(i), .group = GroupId(1)});
   run.Feed(six);
   const auto all_respond_in = [&](Duration time) {
@@ -182,8 +182,8 @@
         return s;
       }(),
       7);
-  run.Feed(ListEvent{ListKind::kPersisted,
-                     {{.server = kFirst, .group = GroupId(1), .lifecycle = Lifecycle::kDraining}}});
+  run.Feed(EndpointListEvent{EndpointListKind::kPersisted,
+                             {{.server = kFirst, .group = GroupId(1), .lifecycle = Lifecycle::kDraining}}});
   RequestEvent ask;
   ask.id = RequestId(1);
   ask.group = GroupId(1);
@@ -301,9 +301,9 @@
         if (const auto* send = std::get_if<StartAttempt>(&action)) sends.push_back(*send);
       }
     };
-    feed(ListEvent{ListKind::kPersisted,
-                   {{.server = kFirst, .group = GroupId(1), .zone = 0},
-                    {.server = kSecond, .group = GroupId(1), .zone = scope.other}}});
+    feed(EndpointListEvent{EndpointListKind::kPersisted,
+                           {{.server = kFirst, .group = GroupId(1), .zone = 0},
+                            {.server = kSecond, .group = GroupId(1), .zone = scope.other}}});
     RequestEvent ask;
     ask.id = RequestId(1);
     ask.group = GroupId(1);
@@ -327,11 +327,11 @@
     for (std::size_t i = 1; i < sends.size(); ++i) {
       there += sends[i].server == other;
       // The retry may be written within the window of the first attempt.
-      CHECK(sends[i].write_within <= scope.window - Duration(300000));
-      CHECK(sends[i].write_within > Duration(0));
+      CHECK(sends[i].write_timeout <= scope.window - Duration(300000));
+      CHECK(sends[i].write_timeout > Duration(0));
     }
     CHECK((there > 0) == scope.sent);
-    CHECK(sends[0].write_within == Duration::max());
+    CHECK(sends[0].write_timeout == Duration::max());
   }
 }
 
--- a/tests/routing/balancer_overload_test.cpp
+++ b/tests/routing/balancer_overload_test.cpp
@@ -92,7 +92,7 @@
   instance.Advance(200_ms);
   ASSERT_EQ(instance.watches, 1);
   for (int i = 2; i < 5; ++i) {
-    instance.UpdateList({}, ListKind::kError);
+    instance.UpdateList({}, EndpointListKind::kError);
     instance.Advance(5000_ms);
     EXPECT_EQ(instance.watches, i);
   }
@@ -111,7 +111,7 @@
   const RequestId lonely = instance.SendRequest(kEventualRead);
   instance.Advance(2500_ms);
   EXPECT_EQ(instance.FinalAnswersTo(lonely), 1u);
-  instance.UpdateList({{.server = kA, .group = kGroup}}, ListKind::kComplete);
+  instance.UpdateList({{.server = kA, .group = kGroup}}, EndpointListKind::kComplete);
   EXPECT_EQ(instance.AttemptsOf(instance.SendRequest(kEventualRead)), 1u);
   const RequestId id = instance.SendRequest(kEventualRead);
   instance.Handle(ClientDisconnectedEvent{id});
--- a/tests/routing/balancer_rules_test.cpp
+++ b/tests/routing/balancer_rules_test.cpp
@@ -71,10 +71,10 @@
 TEST(Rules, NothingIsSentToAServerThatDrainsOrIsUnlisted) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
-  instance.UpdateList({Entry(kA, Lifecycle::kDraining)}, ListKind::kPartial);
+  instance.UpdateList({Entry(kA, Lifecycle::kDraining)}, EndpointListKind::kPartial);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kEventualRead)), kB);
   instance.UpdateList({Entry(kPrimary, Lifecycle::kServing), Entry(kA, Lifecycle::kServing)},
-                      ListKind::kComplete);
+                      EndpointListKind::kComplete);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kEventualRead)), kA);
 }
 
@@ -83,10 +83,11 @@
   settings.unlisted_stay_usable = true;
   SimulatedInstance instance(settings);
   instance.UpdateList(ThreeServers());
-  instance.UpdateList({Entry(kA, Lifecycle::kDraining)}, ListKind::kPartial);
-  instance.UpdateList({Entry(kA, Lifecycle::kDeleted), Entry(kB, Lifecycle::kDeleted)}, ListKind::kPartial);
+  instance.UpdateList({Entry(kA, Lifecycle::kDraining)}, EndpointListKind::kPartial);
+  instance.UpdateList({Entry(kA, Lifecycle::kDeleted), Entry(kB, Lifecycle::kDeleted)},
+                      EndpointListKind::kPartial);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kEventualRead)), kB);
-  instance.UpdateList({Entry(kA, Lifecycle::kServing)}, ListKind::kPartial);
+  instance.UpdateList({Entry(kA, Lifecycle::kServing)}, EndpointListKind::kPartial);
   std::set<ServerId> used;
   for (int i = 0; i < 20; ++i) used.insert(instance.LastServerOf(instance.SendRequest(kEventualRead)));
   EXPECT_TRUE(used.contains(kA));
@@ -153,7 +154,7 @@
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     Settings settings = DefaultSettings();
-    settings.peers_total = 500;
+    settings.fleet_size = 500;
     SimulatedInstance instance(settings, seed);
     auto entries = ThreeServers();
     entries[0].started = instance.now();
@@ -181,7 +182,7 @@
   }
   auto entries = ThreeServers();
   entries[0].started = instance.now();
-  instance.UpdateList({entries[0]}, ListKind::kPartial);
+  instance.UpdateList({entries[0]}, EndpointListKind::kPartial);
   const auto to_primary = [&] {
     return std::count_if(instance.sends.begin(), instance.sends.end(),
                          [](const StartAttempt& attempt) { return attempt.server == kPrimary; });
--- a/tests/routing/embed_example.cpp
+++ b/tests/routing/embed_example.cpp
@@ -18,8 +18,9 @@
 
   Actions actions;
   const TimePoint now{Duration(1000000)};
-  balancer.Handle(now, ListEvent{ListKind::kPersisted, {{.server = ServerId(7), .group = GroupId(1)}}},
-                  actions);
+  balancer.Handle(
+      now, EndpointListEvent{EndpointListKind::kPersisted, {{.server = ServerId(7), .group = GroupId(1)}}},
+      actions);
   balancer.Handle(now, RequestEvent{.id = RequestId(1), .group = GroupId(1), .time_left = Duration(1000000)},
                   actions);
   for (const Action& action : actions) {
--- a/tests/routing/server_parts_test.cpp
+++ b/tests/routing/server_parts_test.cpp
@@ -9,7 +9,8 @@
 
 TEST_CASE("a server that leaves the endpoint list drains at once and expires after it was gone for long") {
   DecisionParts parts(SettingsFor(AccessKind::kEventualRead));
-  parts.endpoint_list.Apply(ListEvent{ListKind::kComplete, {{.server = kPrimary, .group = kGroup}}});
+  parts.endpoint_list.Apply(
+      EndpointListEvent{EndpointListKind::kComplete, {{.server = kPrimary, .group = kGroup}}});
   const Server& replica = parts.servers.At(kReplica);
   CHECK(replica.draining);
   CHECK_FALSE(parts.servers.At(kPrimary).draining);
--- a/tests/routing/simulated_instance.h
+++ b/tests/routing/simulated_instance.h
@@ -93,8 +93,9 @@
   // Lets time pass in which nothing reaches the module: its timers are late.
   void Stall(Duration time) { now_ += time; }
 
-  void UpdateList(std::vector<ListEntry> entries, ListKind kind = ListKind::kPersisted) {
-    Handle(ListEvent{kind, std::move(entries)});
+  void UpdateList(std::vector<EndpointListEntry> entries,
+                  EndpointListKind kind = EndpointListKind::kPersisted) {
+    Handle(EndpointListEvent{kind, std::move(entries)});
   }
 
   RequestId SendRequest(ClassIndex request_class, std::optional<Duration> time_since_write = std::nullopt) {
@@ -178,14 +179,14 @@
 inline constexpr ServerId kB{3};
 
 // A primary and two replicas.
-inline std::vector<ListEntry> ThreeServers() {
+inline std::vector<EndpointListEntry> ThreeServers() {
   return {{.server = kPrimary, .group = kGroup, .primary = true},
           {.server = kA, .group = kGroup},
           {.server = kB, .group = kGroup}};
 }
 
-inline ListEntry Entry(ServerId id, Lifecycle lifecycle) {
-  ListEntry entry{.server = id, .group = kGroup};
+inline EndpointListEntry Entry(ServerId id, Lifecycle lifecycle) {
+  EndpointListEntry entry{.server = id, .group = kGroup};
   entry.lifecycle = lifecycle;
   return entry;
 }
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -71,7 +71,7 @@
   std::string text = kSpawn;
   text.replace(text.find(R"("peers_total":3,)"), 16, "");
   Codec codec;
-  EXPECT_EQ(std::get<Start>(codec.Decode(text)).settings.peers_total, 0u);
+  EXPECT_EQ(std::get<Start>(codec.Decode(text)).settings.fleet_size, 0u);
 }
 
 TEST(Decode, EveryOtherEvent) {
@@ -88,9 +88,9 @@
   EXPECT_EQ(page.entries[0].started, TimePoint(Duration(6)));
   EXPECT_FALSE(page.entries[1].started);
   line = codec.Decode(R"({"op":"directory_update","who":3,"how":"Partial","epoch":4,"page":2})");
-  EXPECT_EQ(std::get<ListNews>(line).kind, ListKind::kPartial);
+  EXPECT_EQ(std::get<ListNews>(line).kind, EndpointListKind::kPartial);
   line = codec.Decode(R"({"op":"directory_update","who":3,"how":"Error"})");
-  EXPECT_EQ(std::get<ListNews>(line).kind, ListKind::kError);
+  EXPECT_EQ(std::get<ListNews>(line).kind, EndpointListKind::kError);
   line = codec.Decode(R"({"op":"teardown","who":3})");
   EXPECT_EQ(std::get<Stop>(line).instance, 3);
 
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -179,8 +179,8 @@
     servers.push_back(std::make_unique<DataServer>(loop, std::move(script)));
     return *servers.back();
   }
-  void List(ListKind kind = ListKind::kPersisted, Lifecycle first = Lifecycle::kServing) {
-    ListEvent event{kind, {}};
+  void List(EndpointListKind kind = EndpointListKind::kPersisted, Lifecycle first = Lifecycle::kServing) {
+    EndpointListEvent event{kind, {}};
     for (std::size_t i = 0; i < servers.size(); ++i) {
       const auto id = static_cast<ServerId>(i + 1);
       pool.SetAddress(id, {"127.0.0.1", servers[i]->listener.port()});
--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -328,7 +328,7 @@
   spec.seed = 7;
   const auto config = ParsePlatformConfig(ScaleConfigOf(spec, 1, 5000));
   REQUIRE(config);
-  CHECK(config->settings.peers_total == 3);
+  CHECK(config->settings.fleet_size == 3);
   const auto setup = ParseProgramSettings(ScaleSettingsOf(spec, 1, {0, 1, 2}, 0));
   REQUIRE(setup);
   CHECK(setup->replication.seeds.size() == 2);
