--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -45,7 +45,7 @@
 }
 
 // Absent or malformed optional fields keep their defaults.
-void ReadOptionalFields(const Json& json, ListEntry& entry) {
+void ReadOptionalFields(const Json& json, EndpointListEntry& entry) {
   const Json* weight = FindField(json, "capacity_hint");
   if (weight != nullptr && weight->is_number()) entry.weight = weight->get<double>();
   entry.primary = ReadString(json, "replication") == "primary";
--- a/src/simulator/codec.h
+++ b/src/simulator/codec.h
@@ -29,7 +29,7 @@
 struct BatchEnd {};
 struct ListPage {
   int page = 0;
-  std::vector<ListEntry> entries;
+  std::vector<EndpointListEntry> entries;
 };
 struct StartInstance {
   InstanceId instance = 0;
@@ -44,7 +44,7 @@
 // An update of the endpoint list. It refers to a ListPage by number.
 struct ListUpdate {
   InstanceId instance = 0;
-  ListKind kind = ListKind::kComplete;
+  EndpointListKind kind = EndpointListKind::kComplete;
   int page = 0;
 };
 // An event for the balancer of one instance. Its load report has been decoded with the columns of the
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -71,7 +71,7 @@
   DataServer& draining = w.AddServer(kEchoValue);
   DataServer& other = w.AddServer(kEchoValue);
   w.ApplyEndpointList();
-  w.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+  w.ApplyEndpointList(EndpointListKind::kPartial, Lifecycle::kDraining);
   TestConnection& client = w.ConnectClient(RequestTexts(20));
   w.RunUntil([&] { return other.queries.size() == 20 && client.MessageTypes().ends_with("TDCZ"); });
   CHECK(draining.queries.empty());
@@ -245,10 +245,10 @@
   w.ApplyEndpointList();
   TestConnection& client = w.ConnectClient(RequestTexts(4));
   w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZTDCZTDCZTDCZ"); });
-  w.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDeleted);
+  w.ApplyEndpointList(EndpointListKind::kPartial, Lifecycle::kDeleted);
   w.pool.RemoveServer(ServerId(1));
   w.RunUntil([&] { return w.pool.servers() == 1; });
-  w.ApplyEndpointList(ListKind::kPartial);
+  w.ApplyEndpointList(EndpointListKind::kPartial);
   CHECK(w.pool.servers() == 2);
 }
 
@@ -507,7 +507,7 @@
   discovery::DiscoveryWatch watch(w.loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
                                   [&](const discovery::EndpointListUpdate&) {
                                     told = true;
-                                    w.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+                                    w.ApplyEndpointList(EndpointListKind::kPartial, Lifecycle::kDraining);
                                   });
   watch.Start();
   for (std::size_t i = 0; i < failures.size(); ++i) {
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -569,10 +569,10 @@
   SimulatedFleet w;
   DataServer& server = w.AddServer(kEchoValue);
   w.ApplyEndpointList();
-  w.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+  w.ApplyEndpointList(EndpointListKind::kPartial, Lifecycle::kDraining);
   TestConnection& refused = w.ConnectClient({RequestText("any", "k", 300)});
   w.RunUntil([&] { return refused.HasReceived("53300"); });
-  ListEvent back{ListKind::kPartial, {}};
+  EndpointListEvent back{EndpointListKind::kPartial, {}};
   back.entries.push_back({.server = ServerId(1), .group = GroupId(2), .started = w.loop.Now()});
   w.proxy.ApplyEndpointList(back);
   TestConnection& served = w.ConnectClient({RequestText("any", "k", 3000)});
