--- a/src/frontend/client_session.cpp
+++ b/src/frontend/client_session.cpp
@@ -13,14 +13,16 @@
 namespace lynxgrade::frontend {
 namespace {
 
-// Messages processed per turn of the loop, so that a client that pipelines hundreds cannot starve the others.
-constexpr int kMaxMessagesPerTurn = 16;
-constexpr std::int64_t kMaxWatermarkMs = std::int64_t{1}
-                                         << 50;  // a later Unix time would overflow in microseconds
-// Input that is read and discarded while a session closes. Beyond it the connection is closed at once, and
-// the reset stops the sender.
-constexpr std::size_t kMaxDiscarded = std::size_t{256} * 1024;
-// No attempt may start later than 0.1 s after its client disconnected; checking takes under half of that.
+// Messages of one client processed per loop iteration, so that a client that pipelines hundreds does not
+// starve the others.
+constexpr int kMaxMessagesPerIteration = 16;
+// Latest Unix time that is accepted as a watermark. A later one would overflow in microseconds.
+constexpr std::int64_t kMaxWatermarkMs = std::int64_t{1} << 50;
+// Input that is read and discarded while a session closes. If a client sends more, the connection is closed
+// at once, and the reset stops the client.
+constexpr std::size_t kMaxDiscardedBytes = std::size_t{256} * 1024;
+// No attempt may start later than 0.1 s after its client has disconnected. One interval takes less than half
+// of that, which leaves time for the reset that reveals the disconnect.
 constexpr Duration kPresenceCheckInterval{40000};
 
 bool StartsWithWord(std::string_view text, std::string_view word) {
@@ -38,18 +40,19 @@
   return static_cast<std::uint32_t>(it - names.begin());
 }
 
-// An unguessable secret for CancelRequest. Throws std::system_error if the kernel gives no random bytes.
+// Returns an unpredictable secret key for CancelRequest. Throws std::system_error if the kernel returns no
+// random bytes.
 std::uint32_t RandomSecret() {
   std::uint32_t secret = 0;
   if (getentropy(&secret, sizeof secret) != 0) {
-    throw std::system_error(errno, std::generic_category(), "no random bytes to be had");
+    throw std::system_error(errno, std::generic_category(), "getentropy failed");
   }
   return secret;
 }
 
 }  // namespace
 
-std::shared_ptr<const ClientStatement> ClientStatement::Read(std::string_view text, std::string& error) {
+std::shared_ptr<const ClientStatement> ClientStatement::Parse(std::string_view text, std::string& error) {
   auto statement = std::make_shared<ClientStatement>();
   statement->text_ = std::string(text);
   const auto comment = pg::ReadComment(statement->text_, error);
@@ -58,8 +61,8 @@
   return statement;
 }
 
-std::string ClientStatement::TextWithBudget(Duration left) const {
-  return pg::ReplaceTimeBudget(text_, comment_, std::max<std::int64_t>(1, left.count() / 1000));
+std::string ClientStatement::TextWithBudget(Duration remaining) const {
+  return pg::ReplaceTimeBudget(text_, comment_, std::max<std::int64_t>(1, remaining.count() / 1000));
 }
 
 ClientSession::ClientSession(Frontend& frontend, net::DescriptorBudget& budget)
@@ -68,7 +71,7 @@
       resume_timer_(frontend.loop_),
       presence_timer_(frontend.loop_) {}
 
-void ClientSession::Begin(net::ObjectPtr<GSocket> socket, TimePoint queued_since) {
+void ClientSession::Start(net::ObjectPtr<GSocket> socket, TimePoint queued_since) {
   connection_ = net::Connection::Adopt(frontend_.loop_, std::move(socket), *this, pg::kMaxBufferBytes,
                                        pg::kMaxBufferBytes);
   connection_->RecordArrivalTimes(queued_since);
@@ -81,17 +84,17 @@
   presence_timer_.Cancel();
   if (state_ == State::kInFlight) {
     state_ = State::kReady;
-    frontend_.open_ids_.erase(request_key_);
-    frontend_.proxy_.CancelRequest(request_);
+    frontend_.client_request_ids_.erase(client_request_id_);
+    frontend_.proxy_.CancelRequest(request_id_);
   }
   frontend_.RemoveSession(*this);
 }
 
 void ClientSession::Expire() {
-  if (phase_ == Phase::kClosing || phase_ == Phase::kAwaitingWrite) return Close();
+  if (phase_ == Phase::kClosing || phase_ == Phase::kSendingResponse) return Close();
   if (connection_->input().empty()) {
-    // Input that has arrived is processed in this turn or the next and gets a response, not a close. But an
-    // incomplete message has timed out, however slowly it continues.
+    // Input that has arrived is processed in this loop iteration or the next and receives a response instead
+    // of a close. An incomplete message, on the other hand, has timed out even if more of it arrives.
     return connection_->HasPendingInput() ? frontend_.MoveToPhase(*this, *phase_, frontend_.loop_.Now())
                                           : CloseGracefully();
   }
@@ -107,20 +110,20 @@
   UpdatePhase();
 }
 
-// A CancelRequest that arrived before this request started, or before the previous response, refers to an
-// earlier request.
+// A CancelRequest that arrived before this request started, or before the previous response was sent, refers
+// to an earlier request.
 void ClientSession::Cancel(std::uint32_t secret, TimePoint arrived_at) {
   if (secret != secret_ || state_ != State::kInFlight || arrived_at < accept_cancels_from_) return;
-  frontend_.proxy_.CancelRequest(request_);
+  frontend_.proxy_.CancelRequest(request_id_);
   SendError("57014", "canceling statement due to user request");
 }
 
-void ClientSession::GiveUp() {
-  if (state_ == State::kInFlight) frontend_.proxy_.AbortRequest(request_);
+void ClientSession::AbortRequest() {
+  if (state_ == State::kInFlight) frontend_.proxy_.AbortRequest(request_id_);
 }
 
-// Processes input one request at a time: later ones stay in the ring buffer until the response is written,
-// and a full ring buffer pauses reading.
+// Processes one request at a time: later ones stay in the ring buffer until the response is written, and a
+// full ring buffer pauses reading.
 void ClientSession::ProcessInput() {
   if (processing_) return;
   const auto self = shared_from_this();
@@ -130,12 +133,13 @@
   processing_ = false;
   if (connection->closed()) return;
   if (state_ == State::kClosing) {
-    discarded_ += connection->input().size();
+    discarded_bytes_ += connection->input().size();
     connection->Consume(connection->input().size());
-    if (connection->end_of_stream() || discarded_ > kMaxDiscarded) return Close();
+    if (connection->end_of_stream() || discarded_bytes_ > kMaxDiscardedBytes) return Close();
   }
-  const bool later = resume_timer_.armed();
-  if (state_ != State::kInFlight && !later && connection->end_of_stream() && connection->all_written()) {
+  const bool resume_scheduled = resume_timer_.armed();
+  if (state_ != State::kInFlight && !resume_scheduled && connection->end_of_stream() &&
+      connection->all_written()) {
     return Close();
   }
   UpdatePhase();
@@ -143,18 +147,19 @@
     reading_resumed_at_ = frontend_.loop_.Now();
     connection->ResumeReading();
   }
-  const bool unheard = connection->end_of_stream() || connection->input().free_space() == 0;
-  if (state_ == State::kInFlight && unheard && !presence_timer_.armed()) {
+  const bool client_unobserved = connection->end_of_stream() || connection->input().free_space() == 0;
+  if (state_ == State::kInFlight && client_unobserved && !presence_timer_.armed()) {
     presence_timer_.ScheduleAfter(kPresenceCheckInterval, [this] { CheckClientPresence(); });
   }
-  // Graceful shutdown, between requests and with no further input to process.
-  if (frontend_.stopping() && state_ == State::kReady && !later && connection->all_written() &&
+  // During a shutdown, the session closes between two requests if no further input has arrived.
+  if (frontend_.stopping() && state_ == State::kReady && !resume_scheduled && connection->all_written() &&
       HasNoUnreadInput())
     CloseGracefully();
 }
 
-// Clients skip a notice, but the host of a client that has closed replies with a reset. Nothing else reveals
-// the close: the end of sending was seen before, or waits behind bytes for which the ring buffer has no room.
+// Sends a notice, which clients ignore; the host of a client that has closed replies to it with a reset.
+// Nothing else reveals the close: the client's FIN has been read already, or is queued behind input for which
+// the ring buffer has no room.
 void ClientSession::CheckClientPresence() {
   if (state_ != State::kInFlight) return;
   std::string notice;
@@ -168,13 +173,13 @@
   resume_timer_.Cancel();
   for (int processed = 0; !connection_->closed() && connection_->all_written(); ++processed) {
     if (state_ == State::kInFlight || state_ == State::kClosing || connection_->input().empty()) return;
-    if (processed == kMaxMessagesPerTurn)
+    if (processed == kMaxMessagesPerIteration)
       return resume_timer_.ScheduleAfter(Duration{0}, [this] { ProcessInput(); });
     if (!(state_ == State::kStartup ? HandleStartup() : HandleMessage())) return;
   }
 }
 
-// Derives the phase from the state. The timeout of an incomplete message runs from its first byte.
+// Derives the phase from the state. The timeout of an incomplete message counts from its first byte.
 void ClientSession::UpdatePhase() {
   Phase phase = Phase::kIdle;
   if (state_ == State::kClosing) {
@@ -182,16 +187,17 @@
   } else if (state_ == State::kInFlight) {
     phase = Phase::kInFlight;
   } else if (!connection_->all_written()) {
-    phase = Phase::kAwaitingWrite;
+    phase = Phase::kSendingResponse;
   } else if (state_ == State::kStartup || !connection_->input().empty()) {
     phase = Phase::kAwaitingInput;
   }
   const TimePoint now = frontend_.loop_.Now();
   if (phase == Phase::kAwaitingInput && state_ != State::kStartup) {
-    // The first byte may have arrived while the previous request was in flight; time in which reading was
-    // paused does not count.
-    const TimePoint began = std::max(connection_->ArrivalTime(0), reading_resumed_at_);
-    if (phase != phase_ || began != phase_since_) frontend_.MoveToPhase(*this, phase, began);
+    // The first byte may have arrived while the previous request was in flight. The time during which reading
+    // was paused does not count.
+    const TimePoint message_started_at = std::max(connection_->ArrivalTime(0), reading_resumed_at_);
+    if (phase != phase_ || message_started_at != phase_since_)
+      frontend_.MoveToPhase(*this, phase, message_started_at);
   } else if (phase != phase_ || phase == Phase::kIdle) {
     frontend_.MoveToPhase(*this, phase, now);
   }
@@ -199,8 +205,8 @@
 
 void ClientSession::OnOutputFlushed() { ProcessInput(); }
 
-// A client that has closed and one that has only ended sending, and still awaits its response, cannot be told
-// apart until something is written.
+// A client that has closed cannot be distinguished from one that has only shut down its sending side and
+// still awaits the response, until something is written to it.
 void ClientSession::OnEndOfStream() {
   if (state_ != State::kInFlight) return ProcessInput();
   CheckClientPresence();
@@ -214,15 +220,15 @@
     return false;
   }
   const pg::Startup startup = pg::ReadStartupMessage(frame.body);
-  message_arrived_at_ = connection_->ArrivalTime(frame.size - 1);
+  message_received_at_ = connection_->ArrivalTime(frame.size - 1);
   connection_->Consume(frame.size);
   switch (startup.kind) {
     case pg::StartupKind::kSsl:
     case pg::StartupKind::kGssEncryption:
       Write("N");
       return true;
-    case pg::StartupKind::kCancel:  // the protocol has no response; closed whether or not the key is valid
-      frontend_.Cancel(startup.process_id, startup.secret_key, message_arrived_at_);
+    case pg::StartupKind::kCancel:  // gets no response, and is closed whether or not the key is valid
+      frontend_.Cancel(startup.process_id, startup.secret_key, message_received_at_);
       CloseGracefully();
       return false;
     case pg::StartupKind::kUnsupported:
@@ -234,19 +240,19 @@
     case pg::StartupKind::kStartup:
       break;
   }
-  std::string hello;
-  if (startup.minor_version > 0) pg::AppendNegotiateProtocolVersion(hello, 3u << 16);
-  pg::AppendAuthenticationOk(hello);
-  pg::AppendParameterStatus(hello, "server_version", "15.0");
-  pg::AppendParameterStatus(hello, "server_encoding", "UTF8");
-  pg::AppendParameterStatus(hello, "client_encoding", "UTF8");
-  pg::AppendParameterStatus(hello, "standard_conforming_strings", "on");
-  process_ = frontend_.AssignProcessNumber(*this);
+  std::string response;
+  if (startup.minor_version > 0) pg::AppendNegotiateProtocolVersion(response, 3u << 16);
+  pg::AppendAuthenticationOk(response);
+  pg::AppendParameterStatus(response, "server_version", "15.0");
+  pg::AppendParameterStatus(response, "server_encoding", "UTF8");
+  pg::AppendParameterStatus(response, "client_encoding", "UTF8");
+  pg::AppendParameterStatus(response, "standard_conforming_strings", "on");
+  process_id_ = frontend_.AssignProcessId(*this);
   secret_ = RandomSecret();
-  pg::AppendBackendKeyData(hello, process_, secret_);
-  pg::AppendReadyForQuery(hello);
+  pg::AppendBackendKeyData(response, process_id_, secret_);
+  pg::AppendReadyForQuery(response);
   state_ = State::kReady;
-  Write(hello);
+  Write(response);
   return true;
 }
 
@@ -279,24 +285,25 @@
     FailConnection("08P01", "a query without its end");
     return false;
   }
-  message_arrived_at_ = connection_->ArrivalTime(frame.size - 1);
+  message_received_at_ = connection_->ArrivalTime(frame.size - 1);
   HandleQuery(*text);
   if (!connection_->closed()) connection_->Consume(frame.size);
   return true;
 }
 
 void ClientSession::HandleQuery(std::string_view text) {
-  const std::size_t from = text.find_first_not_of(" \t\r\n;");
+  const std::size_t start = text.find_first_not_of(" \t\r\n;");
   std::string out;
-  if (from == std::string_view::npos) {
-    // The load balancer adds a pooler on this response: it is sent only once requests can be served.
+  if (start == std::string_view::npos) {
+    // The load balancer takes this response as the pooler's readiness: it is sent only once requests can be
+    // served.
     if (!frontend_.ready()) return SendError("57P03", "the pooler is starting up");
     pg::AppendEmptyQueryResponse(out);
     return SendResponse(out);
   }
-  const std::string_view rest = text.substr(from);
+  const std::string_view query = text.substr(start);
   for (const std::string_view word : {"SET", "RESET", "DISCARD"}) {
-    if (!StartsWithWord(rest, word)) continue;
+    if (!StartsWithWord(query, word)) continue;
     pg::AppendCommandComplete(out, word);
     return SendResponse(out);
   }
@@ -305,7 +312,7 @@
 
 void ClientSession::HandleRequest(std::string_view text) {
   std::string error;
-  const auto statement = ClientStatement::Read(text, error);
+  const auto statement = ClientStatement::Parse(text, error);
   if (statement == nullptr) return SendError("42601", error);
   const pg::Comment& comment = statement->comment();
   if (comment.id.empty()) return SendError("22023", "the comment names no id");
@@ -313,43 +320,44 @@
   if (!comment.time_budget_ms || *comment.time_budget_ms > 3600000) {
     return SendError("22023", "the comment gives no time that a client would wait");
   }
-  const auto cls = IndexOf(frontend_.classes_, comment.request_class);
+  const auto cls = IndexOf(frontend_.class_names_, comment.request_class);
   if (!cls) return SendError("22023", "the class is not known here");
-  const auto tenant = IndexOf(frontend_.tenants_, comment.tenant);
-  if (!tenant && !(frontend_.tenants_.empty() && comment.tenant.empty())) {
+  const auto tenant = IndexOf(frontend_.tenant_names_, comment.tenant);
+  if (!tenant && !(frontend_.tenant_names_.empty() && comment.tenant.empty())) {
     return SendError("22023", "the tenant is not known here");
   }
-  const RequestClass& kind = frontend_.kinds_[*cls];
-  if (kind.idempotency == Idempotency::kIdempotencyKey && comment.idempotency_key.empty()) {
+  const RequestClass& request_class = frontend_.request_classes_[*cls];
+  if (request_class.idempotency == Idempotency::kIdempotencyKey && comment.idempotency_key.empty()) {
     return SendError("22023", "the class is keyed, and the comment names no key");
   }
-  // Data servers would treat the second as a retry of the first.
+  // Data servers would treat a second request with the same id as a retry of the first.
   std::string id(comment.id);
-  if (frontend_.open_ids_.contains(id)) return SendError("22023", "a request of this id is open already");
+  if (frontend_.client_request_ids_.contains(id))
+    return SendError("22023", "a request of this id is open already");
   proxy::Request request;
   request.event.group = GroupId(*comment.group);
   request.event.request_class = *cls;
   request.event.tenant = tenant.value_or(0);
-  if (kind.kind == AccessKind::kWrite || kind.kind == AccessKind::kSessionRead)
+  if (request_class.kind == AccessKind::kWrite || request_class.kind == AccessKind::kSessionRead)
     request.event.session = comment.object_id;
-  // The client carries the watermark of its session; a time in the future cannot be that of a write.
-  if (kind.kind == AccessKind::kSessionRead && comment.session_write_ms) {
+  // The client sends the watermark of its session. One in the future cannot stem from a write and is clamped.
+  if (request_class.kind == AccessKind::kSessionRead && comment.session_write_ms) {
     const LogPosition after{std::chrono::milliseconds(std::min(*comment.session_write_ms, kMaxWatermarkMs))};
     request.event.required_position = std::min(after, frontend_.loop_.Now());
   }
   request.event.is_retry = comment.is_retry;
-  // The budget counts from the arrival of the last byte, so it includes the wait behind other requests. The
-  // routing module rejects a request whose budget is used up.
-  request.event.waited = std::max(Duration{0}, frontend_.loop_.Now() - message_arrived_at_);
+  // The budget counts from the arrival of the last byte, so it includes the time queued behind other
+  // requests. The balancer rejects a request whose budget is used up.
+  request.event.waited = std::max(Duration{0}, frontend_.loop_.Now() - message_received_at_);
   request.event.time_left =
       frontend_.LimitToShutdown(std::chrono::milliseconds(*comment.time_budget_ms) - request.event.waited);
   request.statement = statement;
   state_ = State::kInFlight;
   accept_cancels_from_ = std::max(frontend_.loop_.Now(), last_response_at_ + Duration(1));
-  frontend_.open_ids_.insert(id);
-  request_key_ = std::move(id);
-  UpdatePhase();  // before the request, which may close idle sessions for a descriptor
-  frontend_.proxy_.StartRequest(std::move(request), *this, request_);
+  frontend_.client_request_ids_.insert(id);
+  client_request_id_ = std::move(id);
+  UpdatePhase();  // first, because starting the request may close idle sessions to free a descriptor
+  frontend_.proxy_.StartRequest(std::move(request), *this, request_id_);
 }
 
 void ClientSession::OnResponse(const proxy::Response& response) {
@@ -361,7 +369,7 @@
   SendResponse(out);
 }
 
-// The SQLSTATE tells the client that a retry is safe, and the detail is the Retry-After in milliseconds.
+// The SQLSTATE tells the client that a retry is safe; the detail is the Retry-After in milliseconds.
 void ClientSession::OnRejected(Duration retry_after) {
   const std::int64_t ms = (retry_after.count() + 999) / 1000;
   SendError("53300", "too much to do to answer in time", ms > 0 ? std::to_string(ms) : std::string());
@@ -379,10 +387,10 @@
   SendResponse(out);
 }
 
-// Completes the request in flight, if any, and continues with the input that has arrived meanwhile.
+// Completes the request in flight, if any, and continues with the input that has arrived in the meantime.
 void ClientSession::SendResponse(std::string& bytes) {
   if (state_ == State::kInFlight) {
-    frontend_.open_ids_.erase(request_key_);
+    frontend_.client_request_ids_.erase(client_request_id_);
     last_response_at_ = frontend_.loop_.Now();
   }
   state_ = State::kReady;
@@ -394,13 +402,14 @@
 
 void ClientSession::Write(std::string_view bytes) {
   if (connection_->Write(bytes)) return;
-  Close();  // the ring buffer fits the largest response: the connection is broken
+  Close();  // the ring buffer holds the largest response, so the connection is broken
 }
 
 void ClientSession::FailConnection(std::string_view code, std::string_view message) {
-  std::uint64_t left_out = 0;
-  if (frontend_.error_log_limit_.Allows(left_out)) {
-    spdlog::info("client closed: {} ({}); {} more lines like this left out", message, code, left_out);
+  std::uint64_t suppressed = 0;
+  if (frontend_.error_log_limit_.Allows(suppressed)) {
+    spdlog::info("client connection failed: cause=\"{}\" sqlstate={} suppressed={}", message, code,
+                 suppressed);
   }
   std::string out;
   pg::AppendErrorResponse(out, "FATAL", code, message);
--- a/src/frontend/client_session.h
+++ b/src/frontend/client_session.h
@@ -1,4 +1,4 @@
-// One client session in the PostgreSQL protocol: requests are processed in order, each with one response.
+// A client session in the PostgreSQL protocol: requests are processed in order, each with one response.
 #pragma once
 
 #include <cstddef>
@@ -16,12 +16,12 @@
 
 namespace lynxgrade::frontend {
 
-// A statement as its client sent it; an attempt changes nothing but the time budget `d` in its comment.
+// A statement as the client sent it. An attempt changes nothing but the time budget `d` in its comment.
 class ClientStatement final : public proxy::Statement {
  public:
-  // Null, with the reason in `error`, if the statement has no well-formed comment.
-  static std::shared_ptr<const ClientStatement> Read(std::string_view text, std::string& error);
-  std::string TextWithBudget(Duration left) const override;
+  // Returns null, with the reason in `error`, if the statement has no well-formed comment.
+  static std::shared_ptr<const ClientStatement> Parse(std::string_view text, std::string& error);
+  std::string TextWithBudget(Duration remaining) const override;
   const pg::Comment& comment() const { return comment_; }
 
  private:
@@ -31,8 +31,8 @@
 
 class Frontend;
 
-// The state machine of one client connection. Owned by the frontend through a shared_ptr; a member function
-// that may close the session holds a reference to it.
+// The state machine of one client connection. Runs on the thread of the loop. Owned by the frontend through a
+// shared_ptr; a member function that may close the session holds a reference to it.
 class ClientSession final : public net::Connection::Owner,
                             public proxy::Client,
                             public std::enable_shared_from_this<ClientSession> {
@@ -41,26 +41,28 @@
   virtual ~ClientSession() = default;
   ClientSession(const ClientSession&) = delete;
   ClientSession& operator=(const ClientSession&) = delete;
-  // Adopts an accepted socket. `queued_since`: the earliest time at which its first input may have arrived.
-  void Begin(net::ObjectPtr<GSocket> socket, TimePoint queued_since);
+  // Takes over an accepted socket. `queued_since`: the earliest time at which its first input may have
+  // arrived.
+  void Start(net::ObjectPtr<GSocket> socket, TimePoint queued_since);
   // Closes the connection at once and cancels the request in flight, if any.
   void Close();
-  // Called when the timeout of the present phase has passed. Closes the session gracefully, or continues it
-  // if input has arrived meanwhile; a client within a message receives an error.
+  // Called when the timeout of the current phase has passed. Closes the session gracefully, or keeps it open
+  // if input has arrived in the meantime. A client whose message is incomplete receives an error.
   void Expire();
-  // Ends sending, and discards input until the client closes as well: a close with unread input would reset
-  // the connection, and the reset overtakes the last response.
+  // Shuts down the sending side, and discards input until the client closes as well. A close with unread
+  // input would reset the connection, and the client could lose the last response.
   void CloseGracefully();
   // Whether all input has been read and processed.
   bool HasNoUnreadInput() const { return connection_->input().empty() && !connection_->HasPendingInput(); }
-  // Handles a CancelRequest, which arrived on another connection at `arrived_at`.
+  // Handles a CancelRequest that was received on another connection at `arrived_at`.
   void Cancel(std::uint32_t secret, TimePoint arrived_at);
   // Aborts the request in flight shortly before the process exits.
-  void GiveUp();
+  void AbortRequest();
 
-  // Selects the timeout of a session. kAwaitingInput: startup or a message is incomplete. kAwaitingWrite: the
-  // client has not read its response yet. kInFlight: a request is in flight; no timeout applies.
-  enum class Phase : std::size_t { kAwaitingInput, kIdle, kAwaitingWrite, kInFlight, kClosing };
+  // Selects the timeout of a session. kAwaitingInput: the startup or a message is incomplete.
+  // kSendingResponse: the client has not read the whole response yet. kInFlight: a request is in flight; no
+  // timeout applies.
+  enum class Phase : std::size_t { kAwaitingInput, kIdle, kSendingResponse, kInFlight, kClosing };
   static constexpr std::size_t kPhaseCount = 5;
 
  private:
@@ -78,7 +80,7 @@
   friend class Frontend;
 
   void ProcessInput();
-  // Checks that a client whose input is not being read, or has ended, is still connected.
+  // Checks that a client is still connected whose input is not being read or has ended.
   void CheckClientPresence();
   void ProcessMessages();
   void UpdatePhase();
@@ -96,15 +98,15 @@
   std::shared_ptr<net::Connection> connection_;
   State state_ = State::kStartup;
   bool processing_ = false;
-  std::uint32_t process_ = 0;  // with the secret: the key for CancelRequest; 0 before startup
+  std::uint32_t process_id_ = 0;  // with secret_, the key for CancelRequest; 0 before startup
   std::uint32_t secret_ = 0;
-  RequestId request_{};
-  TimePoint message_arrived_at_{};   // when the last byte of the present message arrived
+  RequestId request_id_{};
+  TimePoint message_received_at_{};  // when the last byte of the current message arrived
   TimePoint reading_resumed_at_{};   // when reading resumed after the ring buffer was full
-  TimePoint last_response_at_{};     // when the last request was responded to
+  TimePoint last_response_at_{};     // when the response to the last request was written
   TimePoint accept_cancels_from_{};  // an earlier CancelRequest refers to an earlier request
-  std::string request_key_;          // the client's id of the request in flight
-  std::size_t discarded_ = 0;
+  std::string client_request_id_;    // the client's id of the request in flight
+  std::size_t discarded_bytes_ = 0;
   net::Timer resume_timer_;
   net::Timer presence_timer_;
   // Maintained by the frontend.
--- a/src/frontend/frontend.cpp
+++ b/src/frontend/frontend.cpp
@@ -9,36 +9,39 @@
 namespace {
 
 constexpr Duration kSweepInterval{250000};
-constexpr Duration kStoppingSweepInterval{20000};  // while the program stops
-// For a client to complete its startup or a message; with the sweep interval this is well within the 3 s in
-// which a misbehaving client has to be closed.
+constexpr Duration kStoppingSweepInterval{20000};  // after the listener is closed
+// Time in which a client has to complete its startup or a message. A misbehaving client has to be closed
+// within 3 s; the timeout and the sweep interval together are well below that.
 constexpr Duration kInputTimeout{2000000};
 constexpr Duration kWriteTimeout{10000000};  // for a client to read its response
 constexpr Duration kCloseTimeout{500000};    // for a client to read the final error and close
-// Input sent with the connect has been read after this; until then a session is not closed for a descriptor.
+// Input that a client sent immediately after connecting has been read after this time. Until then its session
+// is not closed to free a descriptor.
 constexpr Duration kAcceptGrace{100000};
-// Idle sessions occupy descriptors that new requests need, so the idle timeout shrinks as sessions crowd.
-constexpr Duration kIdleTimeoutFull{500000};  // sessions hold most of the descriptors meant for requests
-constexpr Duration kIdleTimeoutCrowded{2200000};
+// Idle sessions hold descriptors that new requests need, so the idle timeout is shorter while there are many.
+constexpr Duration kIdleTimeoutFull{500000};      // sessions hold most of the descriptors meant for requests
+constexpr Duration kIdleTimeoutCrowded{2200000};  // still allows for a client that is slow to send again
 constexpr Duration kIdleTimeout{15000000};
-// After SIGTERM the pooler serves open and new connections until little time is left: by then the load
+// After SIGTERM the pooler serves existing and new connections until little time is left: by then the load
 // balancer has removed it, and has added any other pooler that was restarting. The process is killed no
-// earlier than the longest deadline (at most 3 s is counted) plus 0.7 s after the signal.
+// earlier than 0.7 s plus the longest deadline after the signal; of that deadline at most 3 s count.
 constexpr Duration kMaxCountedDeadline{3000000};
 constexpr Duration kKillMargin{700000};
 constexpr Duration kCloseListenerMargin{900000};  // before the kill
 constexpr Duration kAbortMargin{200000};
-// New connections arrive for up to 0.4 s, and a request that arrives within 0.7 s is due its complete budget,
-// which with short deadlines ends no later than the earliest kill.
+// New connections arrive for up to 0.4 s after the signal, and a request that arrives within 0.7 s has to get
+// its full budget. If all deadlines are short, that budget ends no later than the earliest kill.
 constexpr Duration kMinDrainTime{700000};
-// While stopping, for a new connection to send its first input.
+// While stopping: time for a new connection to send its first input, and for the rest of a message.
 constexpr Duration kStoppingQuietTimeout{100000};
-constexpr Duration kStoppingPartialTimeout{300000};  // and for the rest of an incomplete message
-constexpr std::size_t kMaxExamined = 16;             // sessions examined for one to close for its descriptor
+constexpr Duration kStoppingPartialTimeout{300000};
+// Sessions that are examined when one has to be closed to free a descriptor.
+constexpr std::size_t kMaxExamined = 16;
 
-Duration KillGrace(const std::vector<RequestClass>& kinds) {
+// Returns the time from SIGTERM to the earliest possible kill.
+Duration KillGrace(const std::vector<RequestClass>& classes) {
   Duration longest{0};
-  for (const RequestClass& kind : kinds) longest = std::max(longest, kind.deadline);
+  for (const RequestClass& request_class : classes) longest = std::max(longest, request_class.deadline);
   return std::min(longest, kMaxCountedDeadline) + kKillMargin;
 }
 
@@ -46,14 +49,14 @@
 
 Frontend::Frontend(net::Loop& loop, proxy::Proxy& proxy, net::DescriptorBudget& budget,
                    std::vector<std::string> classes, std::vector<std::string> tenants,
-                   const Settings& settings, std::function<bool()> make_room)
+                   const Settings& settings, std::function<bool()> close_idle_server_connection)
     : loop_(loop),
       proxy_(proxy),
       budget_(budget),
-      classes_(std::move(classes)),
-      tenants_(std::move(tenants)),
-      kinds_(settings.classes),
-      make_room_(std::move(make_room)),
+      class_names_(std::move(classes)),
+      tenant_names_(std::move(tenants)),
+      request_classes_(settings.classes),
+      close_idle_server_connection_(std::move(close_idle_server_connection)),
       listener_(
           loop, [this] { return MayAccept(); },
           [this](net::ObjectPtr<GSocket> socket) { StartSession(std::move(socket)); }),
@@ -68,20 +71,21 @@
 Frontend::~Frontend() = default;
 
 bool Frontend::MayAccept() {
-  return budget_.CanAddClient() || CloseLeastActive() || (make_room_() && budget_.CanAddClient());
+  return budget_.CanAddClient() || CloseLeastActive() ||
+         (close_idle_server_connection_() && budget_.CanAddClient());
 }
 
 void Frontend::StartSession(net::ObjectPtr<GSocket> socket) {
   auto session = std::make_shared<ClientSession>(*this, budget_);
   sessions_.emplace(session.get(), session);
   MoveToPhase(*session, ClientSession::Phase::kAwaitingInput, loop_.Now());
-  session->Begin(std::move(socket), listener_.queued_since());
+  session->Start(std::move(socket), listener_.queued_since());
 }
 
 void Frontend::MoveToPhase(ClientSession& session, ClientSession::Phase phase, TimePoint since) {
   SessionList& to = sessions_by_phase_[static_cast<std::size_t>(phase)];
   if (session.phase_) sessions_by_phase_[static_cast<std::size_t>(*session.phase_)].erase(session.position_);
-  // Nearly all belong at the end.
+  // Nearly all sessions are inserted at the end.
   auto position = to.end();
   while (position != to.begin() && (*std::prev(position))->phase_since_ > since) --position;
   session.position_ = to.insert(position, &session);
@@ -92,54 +96,57 @@
 void Frontend::RemoveSession(ClientSession& session) {
   if (session.phase_) sessions_by_phase_[static_cast<std::size_t>(*session.phase_)].erase(session.position_);
   session.phase_.reset();
-  if (session.process_ != 0) sessions_by_process_.erase(session.process_);
+  if (session.process_id_ != 0) sessions_by_process_id_.erase(session.process_id_);
   sessions_.erase(&session);
-  if (stopping_ && sessions_.empty() && done_) std::exchange(done_, nullptr)();
+  if (stopping_ && sessions_.empty() && on_drained_) std::exchange(on_drained_, nullptr)();
 }
 
 bool Frontend::CloseLeastActive() {
-  const auto& silent = sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kAwaitingInput)];
+  const auto& awaiting_input =
+      sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kAwaitingInput)];
   const auto& idle = sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kIdle)];
   const auto& closing = sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kClosing)];
-  const SessionList* from = &closing;
-  if (from->empty() && !silent.empty() && loop_.Now() - silent.front()->phase_since_ >= kAcceptGrace)
-    from = &silent;
-  // Many sessions that have just connected soon send a request or time out: no reason to close idle ones.
-  if (from->empty() && silent.size() <= idle.size()) from = &idle;
-  // A close with unread input would be a reset.
+  const SessionList* candidates = &closing;
+  if (candidates->empty() && !awaiting_input.empty() &&
+      loop_.Now() - awaiting_input.front()->phase_since_ >= kAcceptGrace) {
+    candidates = &awaiting_input;
+  }
+  // Many sessions that have just connected will soon send a request or time out: idle ones stay open.
+  if (candidates->empty() && awaiting_input.size() <= idle.size()) candidates = &idle;
+  // A session with unread input is not closed, since the close would reset the connection.
   std::size_t examined = 0;
-  for (ClientSession* session : *from) {
+  for (ClientSession* session : *candidates) {
     if (++examined > kMaxExamined) break;
-    if (from != &closing && !session->HasNoUnreadInput()) continue;
-    const auto held = sessions_.at(session);
-    held->Close();
+    if (candidates != &closing && !session->HasNoUnreadInput()) continue;
+    const auto keep_alive = sessions_.at(session);
+    keep_alive->Close();
     return true;
   }
   return false;
 }
 
-std::uint32_t Frontend::AssignProcessNumber(ClientSession& session) {
+std::uint32_t Frontend::AssignProcessId(ClientSession& session) {
   do {
-    ++last_process_;
-  } while (last_process_ == 0 || sessions_by_process_.contains(last_process_));
-  sessions_by_process_[last_process_] = &session;
-  return last_process_;
-}
-
-void Frontend::Cancel(std::uint32_t process, std::uint32_t secret, TimePoint arrived_at) {
-  const auto it = sessions_by_process_.find(process);
-  if (it == sessions_by_process_.end()) return;
-  const auto held = sessions_.at(it->second);
-  held->Cancel(secret, arrived_at);
-}
-
-void Frontend::ExpireOlderThan(ClientSession::Phase phase, Duration time) {
-  const SessionList& from = sessions_by_phase_[static_cast<std::size_t>(phase)];
-  // Examines each once: a session that continues moves to the end.
-  for (std::size_t left = from.size(); left > 0 && !from.empty(); --left) {
-    if (loop_.Now() - from.front()->phase_since_ < time) return;
-    const auto held = sessions_.at(from.front());
-    held->Expire();
+    ++last_process_id_;
+  } while (last_process_id_ == 0 || sessions_by_process_id_.contains(last_process_id_));
+  sessions_by_process_id_[last_process_id_] = &session;
+  return last_process_id_;
+}
+
+void Frontend::Cancel(std::uint32_t process_id, std::uint32_t secret, TimePoint arrived_at) {
+  const auto it = sessions_by_process_id_.find(process_id);
+  if (it == sessions_by_process_id_.end()) return;
+  const auto session = sessions_.at(it->second);
+  session->Cancel(secret, arrived_at);
+}
+
+void Frontend::ExpireOlderThan(ClientSession::Phase phase, Duration timeout) {
+  const SessionList& in_phase = sessions_by_phase_[static_cast<std::size_t>(phase)];
+  // Examines each session once: one that stays open moves to the end of the list.
+  for (std::size_t left = in_phase.size(); left > 0 && !in_phase.empty(); --left) {
+    if (loop_.Now() - in_phase.front()->phase_since_ < timeout) return;
+    const auto session = sessions_.at(in_phase.front());
+    session->Expire();
   }
 }
 
@@ -147,7 +154,7 @@
   ExpireOlderThan(ClientSession::Phase::kClosing, kCloseTimeout);
   if (stopping_) return CloseExpiredWhileStopping();
   ExpireOlderThan(ClientSession::Phase::kAwaitingInput, kInputTimeout);
-  ExpireOlderThan(ClientSession::Phase::kAwaitingWrite, kWriteTimeout);
+  ExpireOlderThan(ClientSession::Phase::kSendingResponse, kWriteTimeout);
   ExpireOlderThan(ClientSession::Phase::kIdle, budget_.ClientsExceedFraction(4)   ? kIdleTimeoutFull
                                                : budget_.ClientsExceedFraction(8) ? kIdleTimeoutCrowded
                                                                                   : kIdleTimeout);
@@ -159,22 +166,23 @@
   return std::min(budget, *drain_started_ + kill_grace_ - kAbortMargin - loop_.Now());
 }
 
-void Frontend::StartDrain(std::function<void()> done) {
+void Frontend::StartDrain(std::function<void()> on_drained) {
   if (drain_started_) return;
-  done_ = std::move(done);
+  on_drained_ = std::move(on_drained);
   drain_started_ = loop_.Now();
   drain_timer_.ScheduleAfter(std::max(kMinDrainTime, kill_grace_ - kCloseListenerMargin),
                              [this] { CloseListener(); });
   abort_timer_.ScheduleAfter(kill_grace_ - kAbortMargin, [this] { AbortInFlight(); });
 }
 
-// No new connections from here on. Requests received are completed, those of the last connections included;
-// then each session ends sending, and requests that cross this are not forwarded.
+// Accepts no further connections. Requests that have arrived are completed, including those of the last
+// connections; then each session shuts down its sending side, and requests that arrive after that are
+// discarded.
 void Frontend::CloseListener() {
   stopping_ = true;
   listener_.Close();
   CloseExpiredWhileStopping();
-  if (sessions_.empty() && done_) std::exchange(done_, nullptr)();
+  if (sessions_.empty() && on_drained_) std::exchange(on_drained_, nullptr)();
 }
 
 void Frontend::CloseExpiredWhileStopping() {
@@ -182,20 +190,20 @@
   std::vector<std::shared_ptr<ClientSession>> expired;
   for (ClientSession* session :
        sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kAwaitingInput)]) {
-    const Duration time = session->HasNoUnreadInput() ? kStoppingQuietTimeout : kStoppingPartialTimeout;
-    if (loop_.Now() - session->phase_since_ >= time) expired.push_back(sessions_.at(session));
+    const Duration timeout = session->HasNoUnreadInput() ? kStoppingQuietTimeout : kStoppingPartialTimeout;
+    if (loop_.Now() - session->phase_since_ >= timeout) expired.push_back(sessions_.at(session));
   }
   for (const auto& session : expired) session->Expire();
   sweep_timer_.ScheduleAfter(kStoppingSweepInterval, [this] { CloseExpired(); });
 }
 
 void Frontend::AbortInFlight() {
-  std::vector<std::shared_ptr<ClientSession>> served;
+  std::vector<std::shared_ptr<ClientSession>> in_flight;
   for (ClientSession* session :
        sessions_by_phase_[static_cast<std::size_t>(ClientSession::Phase::kInFlight)]) {
-    served.push_back(sessions_.at(session));
+    in_flight.push_back(sessions_.at(session));
   }
-  for (const auto& session : served) session->GiveUp();
+  for (const auto& session : in_flight) session->AbortRequest();
 }
 
 }  // namespace lynxgrade::frontend
--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -22,10 +22,11 @@
 // Owns all client sessions. Runs on the thread of the loop.
 class Frontend {
  public:
-  // `make_room` closes an idle server connection to free its descriptor; false if there is none.
+  // `close_idle_server_connection` closes an idle connection to a data server to free its descriptor; it
+  // returns false if there is none. The references must outlive the frontend.
   Frontend(net::Loop& loop, proxy::Proxy& proxy, net::DescriptorBudget& budget,
            std::vector<std::string> classes, std::vector<std::string> tenants, const Settings& settings,
-           std::function<bool()> make_room);
+           std::function<bool()> close_idle_server_connection);
   ~Frontend();
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
@@ -34,11 +35,11 @@
   std::uint16_t port() const { return listener_.port(); }
   void SetReady() { ready_ = true; }
   bool ready() const { return ready_; }
-  // Starts the graceful shutdown: serves for a while, then closes clients between requests. Calls `done` once
-  // no session remains.
-  void StartDrain(std::function<void()> done);
-  // Closes one session to free its descriptor: one that is closing, else the one that has awaited input
-  // longest, else the one that has been idle longest. False if there is none.
+  // Starts the graceful shutdown: continues to serve for a while, then closes each session between two
+  // requests. Calls `on_drained` once no session remains. Later calls have no effect.
+  void StartDrain(std::function<void()> on_drained);
+  // Closes one session to free its descriptor: preferably one that is closing already, then the one that has
+  // awaited input longest, then the one that has been idle longest. Returns false if there is none.
   bool CloseLeastActive();
   std::size_t sessions() const { return sessions_.size(); }
 
@@ -48,44 +49,44 @@
 
   bool MayAccept();
   void StartSession(net::ObjectPtr<GSocket> socket);
-  // Moves a session to the list of its phase, ordered by `since`.
+  // Moves a session to the list of the phase, which is ordered by `since`.
   void MoveToPhase(ClientSession& session, ClientSession::Phase phase, TimePoint since);
   void CloseExpired();
-  // Expires the sessions that have been in the phase for at least `time`.
-  void ExpireOlderThan(ClientSession::Phase phase, Duration time);
+  // Expires the sessions that have been in the phase for at least `timeout`.
+  void ExpireOlderThan(ClientSession::Phase phase, Duration timeout);
   void CloseListener();
   void CloseExpiredWhileStopping();
   // Aborts the requests in flight shortly before the process may be killed.
   void AbortInFlight();
   void RemoveSession(ClientSession& session);
-  // Assigns a process number for CancelRequest, unique among the open sessions.
-  std::uint32_t AssignProcessNumber(ClientSession& session);
-  void Cancel(std::uint32_t process, std::uint32_t secret, TimePoint arrived_at);
+  // Assigns the process ID of BackendKeyData, unique among the open sessions.
+  std::uint32_t AssignProcessId(ClientSession& session);
+  void Cancel(std::uint32_t process_id, std::uint32_t secret, TimePoint arrived_at);
   bool stopping() const { return stopping_; }
-  // The time a request may take: its budget, cut where the process would exit earlier.
+  // Returns the time that a request may take: its budget, limited to the exit of the process.
   Duration LimitToShutdown(Duration budget) const;
 
   net::Loop& loop_;
   proxy::Proxy& proxy_;
   net::DescriptorBudget& budget_;
-  std::vector<std::string> classes_;
-  std::vector<std::string> tenants_;
-  std::vector<RequestClass> kinds_;
-  std::function<bool()> make_room_;
+  std::vector<std::string> class_names_;
+  std::vector<std::string> tenant_names_;
+  std::vector<RequestClass> request_classes_;
+  std::function<bool()> close_idle_server_connection_;
   net::Listener listener_;
   std::unordered_map<ClientSession*, std::shared_ptr<ClientSession>> sessions_;
   // In each list, the session that has been in the phase longest is first.
   std::array<SessionList, ClientSession::kPhaseCount> sessions_by_phase_;
-  std::unordered_set<std::string> open_ids_;  // of the requests in flight
-  std::unordered_map<std::uint32_t, ClientSession*> sessions_by_process_;
+  std::unordered_set<std::string> client_request_ids_;  // of the requests in flight
+  std::unordered_map<std::uint32_t, ClientSession*> sessions_by_process_id_;
   net::LogRateLimiter error_log_limit_;
   Duration kill_grace_;  // from SIGTERM to the earliest possible kill
   net::Timer sweep_timer_;
   net::Timer drain_timer_;
   net::Timer abort_timer_;
-  std::function<void()> done_;
+  std::function<void()> on_drained_;
   std::optional<TimePoint> drain_started_;
-  std::uint32_t last_process_ = 0;
+  std::uint32_t last_process_id_ = 0;
   bool ready_ = false;
   bool stopping_ = false;
 };
--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -1,5 +1,5 @@
-// Interfaces between the proxy and its two sides: clients that send requests, and the upstream that executes
-// them. Neither side depends on the other, and the proxy depends on no protocol.
+// Interfaces between the proxy and its two sides: the clients that send requests, and the upstream that
+// executes them on data servers. Neither side depends on the other, and the proxy depends on no protocol.
 #pragma once
 
 #include <memory>
@@ -10,32 +10,33 @@
 
 namespace lynxgrade::proxy {
 
-// A statement for a data server: created by the frontend, read only by the upstream.
+// The statement of a request. Created by the frontend and read by the upstream; the proxy only passes it on.
 class Statement {
  public:
   Statement() = default;
   virtual ~Statement() = default;
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
-  // The statement's text for an attempt with `left` until its deadline.
-  virtual std::string TextWithBudget(Duration left) const = 0;
+  // Returns the text to send in an attempt that has `remaining` time until its deadline.
+  virtual std::string TextWithBudget(Duration remaining) const = 0;
 };
 
-// A data server's response, forwarded unchanged.
+// The complete response of a data server, as the bodies of its messages. Forwarded unchanged.
 struct Response {
   std::string row_description;
   std::string data_row;
   std::string command_tag;
 };
 
-// Receives the result of a request: exactly one call, or none if the request was withdrawn before.
+// Receives the result of a request: exactly one call, or none if the request was cancelled before.
 class Client {
  public:
   virtual void OnResponse(const Response& response) = 0;
-  // The request was rejected without side effects; `retry_after` is its Retry-After (zero: none).
+  // The request was rejected and has had no effect on any data server. Zero: no Retry-After.
   virtual void OnRejected(Duration retry_after) = 0;
+  // No data server has responded; the statement may have been executed.
   virtual void OnFailed() = 0;
-  // The statement is invalid on every data server.
+  // A data server rejected the statement itself, as every other server would.
   virtual void OnInvalidStatement() = 0;
 
  protected:
@@ -47,7 +48,7 @@
   std::shared_ptr<const Statement> statement;
 };
 
-// The result of one attempt. With kOk, `answer` holds the complete response.
+// The result of one attempt. `response` is set exactly if the outcome is kOk.
 struct AttemptResult {
   RequestId request{};
   AttemptNumber attempt = 0;
@@ -57,7 +58,7 @@
   ResponseMetadata metadata{};
   std::optional<LoadReport> report{};
   std::optional<Response> response{};
-  bool statement_invalid = false;  // with kNotRun: the server rejected the statement, and every other would
+  bool statement_invalid = false;  // the server rejected the statement itself; the outcome is kNotRun
 };
 
 // Receives the results of attempts and health checks.
@@ -70,19 +71,20 @@
   ~UpstreamEvents() = default;
 };
 
+// Time limits of an attempt, from its start.
 struct AttemptTimeouts {
-  Duration timeout{0};                       // timeout of the attempt
-  Duration write_timeout = Duration::max();  // until its last byte must have been sent
+  Duration timeout{0};                       // until the response is complete
+  Duration write_timeout = Duration::max();  // until the last byte of the statement is written
 };
 
-// The upstream port. Each Send and each Probe is followed by exactly one event, even if nothing could be
-// sent.
+// Runs attempts and health checks on data servers. Each attempt and each health check that is started is
+// followed by exactly one event, even if nothing could be sent.
 class Upstream {
  public:
   virtual void StartAttempt(RequestId request, AttemptNumber attempt, ServerId server,
                             std::shared_ptr<const Statement> statement, AttemptTimeouts timeouts) = 0;
   virtual void CancelAttempt(RequestId request, AttemptNumber attempt) = 0;
-  // The request is finished: its attempts that have not been written yet never will be, and end as kNotRun.
+  // Cancels the attempts of a finished request that still wait for a connection; they end as kNotRun.
   virtual void CancelUnsentAttempts(RequestId request) = 0;
   virtual void StartHealthCheck(ServerId server) = 0;
   virtual void CloseIdleConnections(ServerId server) = 0;
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Retry-After of a read whose guarantee cannot be met: about the interval between writes of a session.
+// Retry-After of a read whose consistency cannot be guaranteed at present. About the interval between two
+// writes of a session: its next write sets a new watermark, which the following reads can be checked against.
 constexpr Duration kRejectedReadRetryAfter{500000};
 
 }  // namespace
@@ -31,7 +32,7 @@
         written_session_.emplace(group, key);
         if (replication_hooks_.on_write) replication_hooks_.on_write(group, key, watermark);
       });
-  consistency_guard_.OnLog([](const std::string& text) { spdlog::warn("sessions: {}", text); });
+  consistency_guard_.OnLog([](const std::string& text) { spdlog::warn("session consistency: {}", text); });
 }
 
 void Proxy::StartRequest(Request request, Client& client, RequestId& id) {
@@ -43,8 +44,9 @@
   requests_[id] = {&client, std::move(request.statement)};
   requests_[id].deadline = loop_.Now() + request.event.time_left - response_margin_;
   request.event.id = id;
-  // The request may have been sent after this pass of the loop began, following a write acknowledged by
-  // another instance meanwhile: its required position therefore counts up to the precise time.
+  // The request may have been sent after this iteration of the loop began, and after another instance
+  // acknowledged a write in the meantime. Its required position therefore includes writes up to the precise
+  // time.
   const TimePoint arrived = loop_.PreciseNow();
   request.event.arrived = arrived;
   if (replication_hooks_.poll_peers && consistency_guard_.ShouldDelayRead(request.event, arrived)) {
@@ -77,10 +79,10 @@
       continue;
     }
     if (!requests_.contains(read.id) || IsFinished(read.id)) continue;
-    // Its deadline was set from the time of the loop, so the delay is measured by the same clock.
-    const Duration held = loop_.Now() - read.received;
-    read.event.waited += held;
-    read.event.time_left -= held;
+    // The deadline was set from the loop time, so the delay is measured by the same clock.
+    const Duration delay = loop_.Now() - read.received;
+    read.event.waited += delay;
+    read.event.time_left -= delay;
     DispatchRequest(read.id, std::move(read.event));
   }
   delay_timer_.Cancel();
@@ -90,19 +92,19 @@
 }
 
 void Proxy::SendHeldResponse(RequestId id) {
-  auto ready = held_responses_.extract(id);
-  if (ready.empty()) return;
+  auto held = held_responses_.extract(id);
+  if (held.empty()) return;
   ++counts_.served;
   --in_flight_;
-  ready.mapped().client->OnResponse(ready.mapped().response);
+  held.mapped().client->OnResponse(held.mapped().response);
 }
 
 void Proxy::FailHeldResponse(RequestId id) {
-  auto ready = held_responses_.extract(id);
-  if (ready.empty()) return;
+  auto held = held_responses_.extract(id);
+  if (held.empty()) return;
   ++counts_.failed;
   --in_flight_;
-  ready.mapped().client->OnFailed();
+  held.mapped().client->OnFailed();
 }
 
 void Proxy::CancelRequest(RequestId request) {
@@ -115,27 +117,27 @@
   ++counts_.cancelled;
   consistency_guard_.FinishRequest(request);
   HandleEvent(ClientDisconnectedEvent{request});
-  // Without cancellation in the settings the balancer cancels nothing, and an attempt that waits for a
-  // connection would start long after the client disconnected.
+  // If the settings disable cancellation, the balancer cancels nothing, and an attempt that waits for a
+  // connection would be sent long after the client has disconnected.
   upstream_.CancelUnsentAttempts(request);
 }
 
 void Proxy::AbortRequest(RequestId request) {
-  if (auto ready = held_responses_.extract(request)) {  // executed, but its response may not be sent yet
+  if (auto held = held_responses_.extract(request)) {  // executed, but the response may not be sent yet
     --in_flight_;
     ++counts_.failed;
-    return ready.mapped().client->OnFailed();
+    return held.mapped().client->OnFailed();
   }
   const auto it = requests_.find(request);
   if (it == requests_.end()) return;
-  const bool sent = it->second.attempts > 0;
+  const bool attempted = it->second.attempts > 0;
   Client* client = TakeClient(request);
   if (client == nullptr) return;
   consistency_guard_.FinishRequest(request);
   HandleEvent(ClientDisconnectedEvent{request});
   upstream_.CancelUnsentAttempts(request);
-  ++(sent ? counts_.failed : counts_.rejected);
-  sent ? client->OnFailed() : client->OnRejected(rejected_read_retry_after_);
+  ++(attempted ? counts_.failed : counts_.rejected);
+  attempted ? client->OnFailed() : client->OnRejected(rejected_read_retry_after_);
 }
 
 void Proxy::ApplyEndpointList(ListEvent list) {
@@ -159,7 +161,7 @@
     Client* client = TakeClient(rejected.id);
     const auto it = requests_.find(rejected.id);
     if (it == requests_.end()) continue;
-    // The balancer does not know of a request that is rejected on arrival.
+    // A request that is rejected on arrival has not been passed to the balancer.
     if (!it->second.known_to_balancer) {
       requests_.erase(it);
     } else {
@@ -187,30 +189,30 @@
 void Proxy::OnAttemptFinished(AttemptResult result) {
   Event event = AttemptEndedEvent{result.request, result.attempt, result.server,   result.outcome,
                                   result.elapsed, false,          result.metadata, result.report};
-  auto& outcome = std::get<AttemptEndedEvent>(event);
-  // The guard sees the response's metadata before the client gets it: they may show that it is not
-  // trustworthy.
+  auto& ended = std::get<AttemptEndedEvent>(event);
+  // The guard checks the metadata before the client receives the response: it changes the outcome of a stale
+  // response.
   written_session_.reset();
   PrepareEvent(event);
-  // The first success is sent to the client and finishes the request.
-  if (outcome.outcome == Outcome::kOk) {
+  // The first successful response is sent to the client and finishes the request.
+  if (ended.outcome == Outcome::kOk) {
     if (Client* client = TakeClient(result.request)) {
       SendResponse(result.request, *client, std::move(*result.response),
                    requests_.at(result.request).deadline);
     }
   }
-  // A statement that no server can execute says nothing about this server's health, and is finished.
+  // An invalid statement finishes the request. It says nothing about the health of this server.
   if (result.statement_invalid) {
     if (Client* client = TakeClient(result.request)) {
       ++counts_.failed;
       client->OnInvalidStatement();
     }
   }
-  outcome.request_done = IsFinished(result.request);
-  const bool over = outcome.request_done;
-  if (over) consistency_guard_.FinishRequest(result.request);
+  ended.request_done = IsFinished(result.request);
+  const bool finished = ended.request_done;
+  if (finished) consistency_guard_.FinishRequest(result.request);
   HandleEvent(std::move(event));
-  if (over) upstream_.CancelUnsentAttempts(result.request);
+  if (finished) upstream_.CancelUnsentAttempts(result.request);
 }
 
 void Proxy::SendResponse(RequestId id, Client& client, Response response, TimePoint deadline) {
@@ -222,7 +224,7 @@
     client.OnResponse(response);
     return;
   }
-  ++in_flight_;  // until the held response is sent
+  ++in_flight_;  // in flight again until the held response is sent
   held_responses_[id] = {&client, std::move(response)};
   loop_.Schedule(std::max(deadline, loop_.Now()), [self = std::weak_ptr(self_), id] {
     if (const auto proxy = self.lock()) (*proxy)->FailHeldResponse(id);
@@ -240,8 +242,8 @@
   HandleQueuedEvents();
 }
 
-// An event caused synchronously by an action (such as a refused connection) is queued behind the current one,
-// so the balancer is never reentered and sees events in order.
+// An event that an action causes synchronously, such as a refused connection, is queued behind the current
+// one: the balancer is never reentered and receives the events in order.
 void Proxy::HandleQueuedEvents() {
   if (handling_events_) return;
   handling_events_ = true;
@@ -254,8 +256,8 @@
     if (const auto* disconnected = std::get_if<ClientDisconnectedEvent>(&event)) {
       requests_.erase(disconnected->id);
     }
-    const auto* outcome = std::get_if<AttemptEndedEvent>(&event);
-    if (outcome != nullptr && outcome->request_done) requests_.erase(outcome->id);
+    const auto* ended = std::get_if<AttemptEndedEvent>(&event);
+    if (ended != nullptr && ended->request_done) requests_.erase(ended->id);
     for (Action& action : new_actions_) actions_.push_back(std::move(action));
     while (!actions_.empty()) {
       const Action action = std::move(actions_.front());
@@ -269,13 +271,14 @@
 void Proxy::Execute(const StartAttempt& action) {
   const auto it = requests_.find(action.id);
   if (it == requests_.end()) {
-    spdlog::error("module: a send for request {}, which is over", static_cast<std::uint32_t>(action.id));
+    spdlog::error("balancer started an attempt of a finished request; request={}",
+                  static_cast<std::uint32_t>(action.id));
     return;
   }
   const AttemptNumber number = it->second.attempts++;
   if (it->second.client == nullptr) {
-    // The client was detached and the balancer has not been notified yet. Each attempt needs an end, or the
-    // balancer would count this one as in flight forever.
+    // The client has been detached and the balancer has not been notified yet. Each attempt needs a result,
+    // or the balancer would count this one as in flight forever.
     AttemptEndedEvent not_run;
     not_run.id = action.id;
     not_run.attempt = number;
@@ -319,6 +322,6 @@
   upstream_.StartHealthCheck(action.server);
 }
 
-void Proxy::Execute(const Log& action) { spdlog::info("module: {}", action.text); }
+void Proxy::Execute(const Log& action) { spdlog::info("balancer: {}", action.text); }
 
 }  // namespace lynxgrade::proxy
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -1,5 +1,5 @@
-// Connects the routing decisions to the client and server sides: keeps the table of pending requests, passes
-// events to the session consistency guard and then to the balancer, and executes the balancer's actions.
+// Connects the clients and the upstream to the routing decisions: keeps the table of pending requests, passes
+// each event to the session consistency guard and then to the balancer, and executes the balancer's actions.
 // Independent of any protocol.
 #pragma once
 
@@ -18,7 +18,7 @@
 
 namespace lynxgrade::proxy {
 
-// Runs on the thread of `loop`; `loop` and `upstream` are borrowed and must outlive the proxy.
+// All calls are made on the thread of `loop`. `loop` and `upstream` are not owned and must outlive the proxy.
 class Proxy final : public UpstreamEvents {
  public:
   Proxy(net::Loop& loop, Settings settings, std::uint64_t seed, Upstream& upstream,
@@ -30,33 +30,35 @@
   // Starts a request. `client` is called exactly once, possibly before this returns, unless CancelRequest is
   // called first; it must stay valid until then. `id` is set before `client` can be called.
   void StartRequest(Request request, Client& client, RequestId& id);
-  // Cancels a request whose client disconnected or no longer wants a response; the client is not called.
+  // Cancels a request whose client has disconnected or has cancelled it; the client is not called.
   void CancelRequest(RequestId request);
-  // Ends a request at once, for a shutdown that cannot wait: rejected if no attempt was started, else failed.
+  // Ends a request at once, before the process exits: as rejected if no attempt was started, else as failed.
   void AbortRequest(RequestId request);
-  // Applies an event of the endpoint list.
+  // Applies a complete endpoint list or a change of it.
   void ApplyEndpointList(ListEvent list);
-  // Requests whose client has not been called yet.
+  // The number of requests whose client has not been called yet.
   std::size_t requests_in_flight() const { return in_flight_; }
   consistency::SessionConsistencyGuard& consistency_guard() { return consistency_guard_; }
   const consistency::SessionConsistencyGuard& consistency_guard() const { return consistency_guard_; }
-  // To be called when the consistency guard has learnt of watermarks from other instances: rejects reads that
-  // can no longer be satisfied and releases delayed reads.
+  // To be called after the consistency guard has received watermarks of other instances: rejects the reads
+  // whose consistency can no longer be guaranteed, and dispatches the delayed reads that need not wait
+  // longer.
   void HandleReplicatedWatermarks();
 
-  // Hooks of the replication between instances; each may be empty.
+  // Callbacks into the replication between instances; each may be empty.
   struct ReplicationHooks {
-    // Called when a write was acknowledged by its server, before its response is sent.
+    // Called when a data server has acknowledged a write, before its response is sent to the client.
     consistency::SessionConsistencyGuard::WriteCallback on_write;
-    // Returns false if the response of the session's latest write may be sent now; otherwise calls back once
-    // it may. A response still held at the request's deadline becomes a failure.
+    // Returns false if the response to the latest write of the session may be sent now. Otherwise returns
+    // true and calls the function once it may be sent. If that has not happened by the deadline of the
+    // request, the client receives a failure.
     std::function<bool(GroupId, consistency::SessionKey, std::function<void()>)> delay_response;
-    // Polls the other instances for their watermarks, on behalf of a read that was delayed.
+    // Requests the current watermarks of the other instances, for a read that was delayed.
     std::function<void()> poll_peers;
   };
   void SetReplicationHooks(ReplicationHooks hooks) { replication_hooks_ = std::move(hooks); }
 
-  // Totals since the start.
+  // Totals since the start of the process.
   struct Counts {
     std::uint64_t received = 0, served = 0, rejected = 0, failed = 0, cancelled = 0, attempts = 0,
                   health_checks = 0;
@@ -64,31 +66,32 @@
   const Counts& counts() const { return counts_; }
 
  private:
-  // Kept until the balancer knows that the request is finished; `client` is null once it has been called.
+  // A request, until the balancer knows that it is finished.
   struct PendingRequest {
-    Client* client = nullptr;
+    Client* client = nullptr;  // null once it has been called
     std::shared_ptr<const Statement> statement;
     AttemptNumber attempts = 0;
     bool known_to_balancer = false;
-    TimePoint deadline{};  // of its response, less the response margin
+    TimePoint deadline{};  // of the response, less response_margin_
   };
 
   void OnAttemptFinished(AttemptResult result) override;
   void OnHealthCheckFinished(const HealthCheckEvent& health_check) override;
   void HandleEvent(Event event);
-  // Passes the event to the consistency guard and rejects the reads whose guarantee it invalidates.
+  // Passes the event to the consistency guard, which may amend it, and rejects the reads whose consistency
+  // can no longer be guaranteed after it.
   void PrepareEvent(Event& event);
   void RejectUnsatisfiableReads();
-  // Passes queued events to the balancer and executes its actions; not reentrant.
+  // Passes the queued events to the balancer and executes its actions. A nested call returns at once.
   void HandleQueuedEvents();
   void DispatchRequest(RequestId id, Event event);
-  // Dispatches the delayed reads that know of all earlier writes, or have waited for the maximum delay.
+  // Dispatches the delayed reads for which all earlier writes are known, or whose maximum delay has passed.
   void ReleaseDelayedReads();
   void SendResponse(RequestId id, Client& client, Response response, TimePoint deadline);
   void SendHeldResponse(RequestId id);
-  // The deadline passed before the response of the write could be sent.
+  // Fails a write whose deadline has passed before its response might be sent.
   void FailHeldResponse(RequestId id);
-  // Detaches the client of a request, for its final call; null if it was already detached.
+  // Detaches the client of a request to make its final call; null if it is already detached.
   Client* TakeClient(RequestId request);
   bool IsFinished(RequestId request) const;
 
@@ -100,29 +103,29 @@
   void Execute(const StartHealthCheck& action);
   void Execute(const CloseIdleConnections& action) { upstream_.CloseIdleConnections(action.server); }
   void Execute(const Log& action);
-  void Execute(const WatchEndpointList&) {}  // the watch is always enabled
-  void Execute(const FetchEndpointList&) {}  // and delivers the complete list after a gap
-  void Execute(const SendToPeers&) {}        // not available to a pooler
+  void Execute(const WatchEndpointList&) {}  // the watch always runs
+  void Execute(const FetchEndpointList&) {}  // the watch delivers the complete list after a gap
+  void Execute(const SendToPeers&) {}        // not supported by the pooler
 
   net::Loop& loop_;
   Upstream& upstream_;
   consistency::SessionConsistencyGuard consistency_guard_;
   Duration rejected_read_retry_after_;
   ReplicationHooks replication_hooks_;
-  Duration response_margin_;  // part of a request's time reserved for sending the response
-  // Session of the write that the event being prepared acknowledges.
+  Duration response_margin_;  // the part of a request's time that is reserved for sending the response
+  // The session of the write that is acknowledged by the event in preparation, if any.
   std::optional<std::pair<GroupId, consistency::SessionKey>> written_session_;
-  // Responses of writes that are held until ReplicationHooks::delay_response calls back.
+  // Responses to writes that are held until ReplicationHooks::delay_response calls back.
   struct HeldResponse {
     Client* client = nullptr;
     Response response;
   };
   std::unordered_map<RequestId, HeldResponse> held_responses_;
-  // Reads delayed until other instances have reported their watermarks, oldest first.
+  // Reads that are delayed until the other instances have reported their watermarks, oldest first.
   struct DelayedRead {
     RequestId id{};
     RequestEvent event;
-    TimePoint received{};  // loop time at which Take was called
+    TimePoint received{};  // the loop time of StartRequest
     TimePoint deadline{};
   };
   std::deque<DelayedRead> delayed_reads_;
@@ -132,7 +135,7 @@
   std::deque<Event> events_;
   std::deque<Action> actions_;
   Actions new_actions_;
-  // Timers refer to it weakly, so that those that expire after the proxy was destroyed do nothing.
+  // Timers hold a weak reference to it, so that one that expires after the proxy is destroyed does nothing.
   std::shared_ptr<Proxy*> self_ = std::make_shared<Proxy*>(this);
   bool handling_events_ = false;
   std::uint32_t last_request_id_ = 0;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -9,23 +9,24 @@
 namespace lynxgrade::upstream {
 namespace {
 
-// Concurrent connection attempts to one data server. Enough for steady traffic, while a server that has just
-// started is spared a thundering herd.
+// Connections to one data server that may be in the process of opening. Enough for steady traffic, without a
+// thundering herd on a server that has just started.
 constexpr std::size_t kMaxOpening = 16;
-// An idle connection is closed after this fraction of the server's idle timeout: a request that crosses the
-// server's close is lost to a reset, and whether it ran is unknown.
+// An idle connection is closed after this fraction of the server's idle timeout: a query that crosses the
+// server's close is lost to a reset, and whether it was executed is unknown.
 constexpr double kIdleTimeoutFraction = 0.7;
-constexpr Duration kReusePause{5000};  // several times as long as a close takes to arrive
+// Preferred pause before a connection is reused: several times as long as a server's close takes to arrive.
+constexpr Duration kReusePause{5000};
 constexpr Duration kExpiryInterval{500000};
 
 }  // namespace
 
 ConnectionPool::ConnectionPool(net::Loop& loop, PoolSettings settings, net::DescriptorBudget& budget,
-                               std::function<bool()> make_room)
+                               std::function<bool()> close_idle_client)
     : loop_(loop),
       settings_(std::move(settings)),
       budget_(budget),
-      make_room_(std::move(make_room)),
+      close_idle_client_(std::move(close_idle_client)),
       fault_log_limit_(loop),
       expiry_timer_(loop) {
   expiry_timer_.ScheduleAfter(kExpiryInterval, [this] { CloseExpired(); });
@@ -66,7 +67,8 @@
   attempt->number = number;
   attempt->statement = std::move(statement);
   attempts_[{request, number}] = attempt;
-  // Limits count from the loop time of the routing decision, however long this iteration has run since.
+  // The limits count from the loop time, at which the routing decision was made, however long the iteration
+  // has run since.
   if (timeouts.write_timeout != Duration::max())
     attempt->write_deadline = loop_.Now() + timeouts.write_timeout;
   attempt->deadline = loop_.Now() + timeouts.timeout;
@@ -74,44 +76,44 @@
 }
 
 void ConnectionPool::StartHealthCheck(ServerId server) {
-  if (health_checks_.contains(server)) return;  // the outcome of the one in flight answers both
+  if (health_checks_.contains(server)) return;  // the result of the one in flight is reported for both
   auto attempt = std::make_shared<Attempt>(loop_, server);
   health_checks_[server] = attempt;
   attempt->deadline = loop_.PreciseNow() + settings_.connect_timeout;
   Enqueue(std::move(attempt));
 }
 
-// The connect timeout counts from the precise time: from the loop time, a long iteration would time out a
-// connection, and blame its data server, before any event of it could be read.
+// The connect timeout counts from the precise time. If it counted from the loop time, a long iteration would
+// time out a connection, and count that against the data server, before any event of the connection was read.
 void ConnectionPool::Enqueue(std::shared_ptr<Attempt> attempt) {
-  attempt->wait_started = loop_.PreciseNow();
+  attempt->queued_at = loop_.PreciseNow();
   ServerPool* server = FindServer(attempt->server);
   if (server == nullptr || !server->address) return FinishAttempt(attempt, Outcome::kUnreachable);
   const std::weak_ptr<Attempt> weak = attempt;
   attempt->deadline_timer.ScheduleAt(attempt->deadline, [this, weak] {
-    if (const auto held = weak.lock()) Abort(held, Outcome::kTimeout);
+    if (const auto expired = weak.lock()) Abort(expired, Outcome::kTimeout);
   });
-  attempt->connect_timer.ScheduleAt(
-      std::min(attempt->wait_started + settings_.connect_timeout, attempt->write_deadline), [this, weak] {
-        if (const auto held = weak.lock()) FinishAttempt(held, Outcome::kUnreachable);
+  attempt->send_timer.ScheduleAt(
+      std::min(attempt->queued_at + settings_.connect_timeout, attempt->write_deadline), [this, weak] {
+        if (const auto expired = weak.lock()) FinishAttempt(expired, Outcome::kUnreachable);
       });
   server->waiting.push_back(std::move(attempt));
   AssignConnections(*server);
 }
 
-void ConnectionPool::Abort(const std::shared_ptr<Attempt>& attempt, Outcome if_written) {
+void ConnectionPool::Abort(const std::shared_ptr<Attempt>& attempt, Outcome outcome_if_written) {
   ServerConnection* connection = attempt->connection;
-  Outcome outcome = if_written;
-  if (if_written == Outcome::kTimeout && (connection == nullptr || !connection->AllWritten())) {
+  Outcome outcome = outcome_if_written;
+  if (outcome_if_written == Outcome::kTimeout && (connection == nullptr || !connection->AllWritten())) {
     outcome = Outcome::kUnreachable;
   }
   ServerPool* server = FindServer(attempt->server);
-  if (connection != nullptr) CloseConnection(*connection);  // the close cancels the statement at the server
+  if (connection != nullptr) CloseConnection(*connection);  // the server cancels the statement at the close
   FinishAttempt(attempt, outcome);
   if (connection != nullptr) AssignConnections(*server);
 }
 
-void ConnectionPool::AbortIfUnwritten(const std::shared_ptr<Attempt>& attempt) {
+void ConnectionPool::AbortIfNotWritten(const std::shared_ptr<Attempt>& attempt) {
   if (attempt->connection != nullptr && !attempt->connection->AllWritten())
     Abort(attempt, Outcome::kUnreachable);
 }
@@ -133,32 +135,34 @@
 
 void ConnectionPool::FinishAttempt(const std::shared_ptr<Attempt>& attempt, Outcome outcome,
                                    ResponseMetadata metadata, std::optional<LoadReport> report,
-                                   std::optional<proxy::Response> response, bool unusable) {
-  // Keeps the attempt alive if `attempt` refers to an entry erased below.
+                                   std::optional<proxy::Response> response, bool statement_invalid) {
+  // Keeps the attempt alive if `attempt` refers to an entry that is erased below.
   // NOLINTNEXTLINE(performance-unnecessary-copy-initialization)
-  const std::shared_ptr<Attempt> held = attempt;
-  held->deadline_timer.Cancel();
-  held->connect_timer.Cancel();
-  held->connection = nullptr;
-  if (ServerPool* server = FindServer(held->server)) std::erase(server->waiting, held);
-  // The latency of the data server excludes the time spent waiting for a connection.
-  const Duration elapsed = std::max(Duration{0}, loop_.Now() - held->sent_at.value_or(held->wait_started));
-  if (held->is_health_check()) {
-    health_checks_.erase(held->server);
-    events_->OnHealthCheckFinished({held->server, outcome, elapsed, report});
+  const std::shared_ptr<Attempt> finished = attempt;
+  finished->deadline_timer.Cancel();
+  finished->send_timer.Cancel();
+  finished->connection = nullptr;
+  if (ServerPool* server = FindServer(finished->server)) std::erase(server->waiting, finished);
+  // The latency of the data server does not include the time spent waiting for a connection.
+  const Duration elapsed =
+      std::max(Duration{0}, loop_.Now() - finished->sent_at.value_or(finished->queued_at));
+  if (finished->is_health_check()) {
+    health_checks_.erase(finished->server);
+    events_->OnHealthCheckFinished({finished->server, outcome, elapsed, report});
     return;
   }
-  attempts_.erase({held->request, held->number});
-  events_->OnAttemptFinished({held->request, held->number, held->server, outcome, elapsed, metadata, report,
-                              std::move(response), unusable});
+  attempts_.erase({finished->request, finished->number});
+  events_->OnAttemptFinished({finished->request, finished->number, finished->server, outcome, elapsed,
+                              metadata, report, std::move(response), statement_invalid});
 }
 
 void ConnectionPool::AssignConnections(ServerPool& server) {
-  if (server.dispatching) return;  // reentered from a callback: the outer call continues with the changes
-  server.dispatching = true;
+  // A nested call from a callback returns: the outer call continues with the changes.
+  if (server.assigning_connections) return;
+  server.assigning_connections = true;
   while (!server.waiting.empty()) {
     if (!server.idle.empty()) {
-      RunOnIdleConnection(server);
+      SendOnIdleConnection(server);
       continue;
     }
     if (server.opening >= std::min(kMaxOpening, server.waiting.size())) break;
@@ -167,29 +171,31 @@
       FinishAttempt(attempt, budget_.CanAddBackend() ? Outcome::kUnreachable : Outcome::kNotRun);
     }
   }
-  server.dispatching = false;
+  server.assigning_connections = false;
 }
 
-ServerConnection* ConnectionPool::TakeIdleConnection(ServerPool& server) {
-  // A data server may close right after a response, and a request that crosses that close is lost to a reset.
-  const auto rested =
+ServerConnection* ConnectionPool::PopIdleConnection(ServerPool& server) {
+  // A data server may close a connection right after a response, and a query that crosses that close is lost
+  // to a reset.
+  const auto reusable =
       std::find_if(server.idle.rbegin(), server.idle.rend(), [this](const ServerConnection* candidate) {
         return loop_.Now() - candidate->idle_since() >= kReusePause;
       });
-  const auto chosen = rested == server.idle.rend() ? std::prev(server.idle.end()) : std::prev(rested.base());
+  const auto chosen =
+      reusable == server.idle.rend() ? std::prev(server.idle.end()) : std::prev(reusable.base());
   ServerConnection* connection = *chosen;
   server.idle.erase(chosen);
   return connection;
 }
 
-void ConnectionPool::RunOnIdleConnection(ServerPool& server) {
-  ServerConnection* connection = TakeIdleConnection(server);
-  // The server may have closed it with the close still unread, or be about to close it for its idle time if
-  // this loop was blocked past the periodic expiry.
-  if (!connection->IsCurrent() || NearsIdleTimeout(*connection)) return CloseConnection(*connection);
+void ConnectionPool::SendOnIdleConnection(ServerPool& server) {
+  ServerConnection* connection = PopIdleConnection(server);
+  // The server may have closed the connection with the close still unread, or be about to close it as idle if
+  // this loop was blocked for longer than the expiry interval.
+  if (!connection->HasNoUnreadInput() || NearsIdleTimeout(*connection)) return CloseConnection(*connection);
   const std::shared_ptr<Attempt> attempt = server.waiting.front();
   server.waiting.pop_front();
-  // The wait for a connection may have used up the time, with the timers delayed by a blocked loop.
+  // The time may have passed while waiting for a connection, if a blocked loop has delayed the timers.
   if (loop_.PreciseNow() >= std::min(attempt->write_deadline, attempt->deadline)) {
     server.idle.push_back(connection);
     return FinishAttempt(attempt, Outcome::kUnreachable);
@@ -198,13 +204,13 @@
 }
 
 bool ConnectionPool::OpenConnection(ServerPool& server) {
-  if (!budget_.CanAddBackend() && !CloseLongestIdle() && !make_room_()) return false;
+  if (!budget_.CanAddBackend() && !CloseLongestIdle() && !close_idle_client_()) return false;
   if (!budget_.CanAddBackend()) return false;
   auto connection = std::make_shared<ServerConnection>(loop_, *this, server, budget_);
-  bool full = false;
-  bool open = connection->Open(*server.address, settings_.connect_timeout, &full);
-  if (!open && full && (CloseLongestIdle() || make_room_())) {
-    open = connection->Open(*server.address, settings_.connect_timeout, &full);
+  bool descriptors_exhausted = false;
+  bool open = connection->Open(*server.address, settings_.connect_timeout, &descriptors_exhausted);
+  if (!open && descriptors_exhausted && (CloseLongestIdle() || close_idle_client_())) {
+    open = connection->Open(*server.address, settings_.connect_timeout, &descriptors_exhausted);
   }
   if (!open) return false;
   ++server.opening;
@@ -215,13 +221,14 @@
 void ConnectionPool::CloseConnection(ServerConnection& connection) {
   ServerPool& server = connection.server();
   const auto it = std::ranges::find_if(
-      server.connections, [&](const std::shared_ptr<ServerConnection>& b) { return b.get() == &connection; });
+      server.connections,
+      [&](const std::shared_ptr<ServerConnection>& entry) { return entry.get() == &connection; });
   if (it == server.connections.end()) return;
   if (!connection.ready()) --server.opening;
   std::erase(server.idle, &connection);
-  const std::shared_ptr<ServerConnection> held = *it;
+  const std::shared_ptr<ServerConnection> keep_alive = *it;
   server.connections.erase(it);
-  held->Close();
+  keep_alive->Close();
 }
 
 void ConnectionPool::CloseIdleConnections(ServerId id) {
@@ -269,7 +276,7 @@
     while (!server->idle.empty() && NearsIdleTimeout(*server->idle.front()))
       CloseConnection(*server->idle.front());
   }
-  // Data servers are replaced all the time: without this the map would grow without bound.
+  // Data servers are replaced all the time; without this the map would grow without bound.
   std::erase_if(servers_, [](const auto& item) {
     const ServerPool& server = *item.second;
     return server.removed && server.connections.empty() && server.waiting.empty();
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -9,9 +9,10 @@
 namespace lynxgrade::upstream {
 namespace {
 
-constexpr Duration kResponseCompletionTimeout{100000};  // from the first byte of a response to its last
+// From the first byte of a response to its last.
+constexpr Duration kResponseCompletionTimeout{100000};
 
-// Log positions are Unix times: in milliseconds in the protocol, in microseconds inside the pooler.
+// Log positions are Unix times, in milliseconds in the protocol and in microseconds in the pooler.
 LogPosition PositionFromUnixMs(std::int64_t ms) { return LogPosition(std::chrono::milliseconds(ms)); }
 
 }  // namespace
@@ -36,7 +37,7 @@
   return report;
 }
 
-bool ResponseReader::ReadParameterStatus(std::string_view body) {
+bool ResponseReader::HandleParameterStatus(std::string_view body) {
   const auto status = pg::ReadParameterStatus(body);
   if (!status) return false;
   if (status->name == "replication_role") {
@@ -47,24 +48,24 @@
     if (!position || *position < 0 || *position > (std::int64_t{1} << 50)) return false;
     if (*position > 0) metadata_.position = PositionFromUnixMs(*position);
   } else if (status->name == "pressure") {
-    report_ =
-        ParseLoadReport(status->value);  // a malformed report is ignored: the response is valid without it
+    // A malformed report is ignored: the response is valid without it.
+    report_ = ParseLoadReport(status->value);
   }
   return true;
 }
 
-// A successful response is complete: row description, one row and command tag, in this order and each well
-// formed. Anything less must never reach a client as its result.
+// A successful response consists of RowDescription, one DataRow and CommandComplete, in this order and each
+// well formed. An incomplete response must never be sent to a client as the result.
 ResponseReader::ReadResult ResponseReader::ReadMessage(char type, std::string_view body) {
   started_ = true;
   switch (type) {
     case 'S':
-      return ReadParameterStatus(body) ? ReadResult::kMore : ReadResult::kMalformed;
+      return HandleParameterStatus(body) ? ReadResult::kMore : ReadResult::kMalformed;
     case 'N':
     case 'K':
     case 'I':
       return ReadResult::kMore;
-    case 'R':  // no authentication is supported: only AuthenticationOk is valid
+    case 'R':  // only AuthenticationOk is valid, since no authentication is supported
       return body == std::string_view("\0\0\0\0", 4) ? ReadResult::kMore : ReadResult::kMalformed;
     case 'T':
       if (description_ || error_ || !pg::DescribesOneColumn(body)) return ReadResult::kMalformed;
@@ -91,7 +92,7 @@
   }
 }
 
-bool ResponseReader::unusable() const {
+bool ResponseReader::statement_invalid() const {
   if (!error_) return false;
   const std::string_view code = error_->code;
   return code == "08P01" || code.starts_with("42") || code.starts_with("22") || code.starts_with("0A");
@@ -99,7 +100,7 @@
 
 Outcome ResponseReader::OutcomeAtEnd(bool all_written) const {
   if (error_) {
-    if (unusable()) return Outcome::kNotRun;
+    if (statement_invalid()) return Outcome::kNotRun;
     if (error_->code == "25006" || error_->code == "72000") return Outcome::kMisrouted;
     if (error_->code == "53300") return Outcome::kOverloaded;
     return Outcome::kError;
@@ -128,12 +129,12 @@
 
 ServerConnection::~ServerConnection() { Close(); }
 
-bool ServerConnection::Open(const net::Address& address, Duration within, bool* full) {
-  connection_ =
-      net::Connection::Connect(loop_, address, *this, pg::kMaxBufferBytes, pg::kMaxBufferBytes, full);
+bool ServerConnection::Open(const net::Address& address, Duration timeout, bool* descriptors_exhausted) {
+  connection_ = net::Connection::Connect(loop_, address, *this, pg::kMaxBufferBytes, pg::kMaxBufferBytes,
+                                         descriptors_exhausted);
   if (connection_ == nullptr) return false;
-  // A host that is down sends no reset: this timer ends the attempt to connect.
-  open_timer_.ScheduleAt(loop_.PreciseNow() + within, [this] { HandleConnectionLost(); });
+  // A host that is down sends no reset; this timer ends the attempt to connect.
+  open_timer_.ScheduleAt(loop_.PreciseNow() + timeout, [this] { HandleConnectionLost(); });
   return true;
 }
 
@@ -145,9 +146,9 @@
 }
 
 void ServerConnection::OnConnected() {
-  std::string hello;
-  pg::AppendStartupMessage(hello, pool_.settings_.user, pool_.settings_.database);
-  connection_->Write(hello);
+  std::string startup;
+  pg::AppendStartupMessage(startup, pool_.settings_.user, pool_.settings_.database);
+  connection_->Write(startup);
 }
 
 void ServerConnection::SendQuery(std::shared_ptr<Attempt> attempt) {
@@ -155,24 +156,23 @@
   attempt_->connection = this;
   const TimePoint now = loop_.PreciseNow();
   attempt_->sent_at = now;
-  attempt_->connect_timer.Cancel();
+  attempt_->send_timer.Cancel();
   response_ = ResponseReader();
   query_accepted_ = false;
   std::string query;
-  // The time budget in the query is what remains at the moment of writing, not at the start of this
+  // The time budget in the query is the time that remains when it is written, not at the start of this loop
   // iteration.
   pg::AppendQuery(query, attempt_->is_health_check()
                              ? "SHOW pressure"
                              : attempt_->statement->TextWithBudget(attempt_->deadline - now));
-  // The largest statement fits the ring buffer, so only a broken connection rejects it.
+  // The ring buffer holds the largest statement, so only a broken connection rejects it.
   query_accepted_ = connection_->Write(query);
   if (!query_accepted_) return HandleConnectionLost();
   if (attempt_->write_deadline == TimePoint::max() || AllWritten()) return;
-  // Part of it is still buffered, since the kernel's send buffer is full.
-  attempt_->connect_timer.ScheduleAt(attempt_->write_deadline,
-                                     [this, weak = std::weak_ptr<Attempt>(attempt_)] {
-                                       if (const auto held = weak.lock()) pool_.AbortIfUnwritten(held);
-                                     });
+  // A part of the query is still in the ring buffer, because the kernel's send buffer is full.
+  attempt_->send_timer.ScheduleAt(attempt_->write_deadline, [this, weak = std::weak_ptr<Attempt>(attempt_)] {
+    if (const auto attempt = weak.lock()) pool_.AbortIfNotWritten(attempt);
+  });
 }
 
 void ServerConnection::OnReadable() {
@@ -182,17 +182,17 @@
     const pg::Frame frame = pg::ReadFrame(connection->input().Linearize());
     if (frame.framing == pg::Framing::kPartial) break;
     if (frame.framing != pg::Framing::kComplete) return FailMalformed("invalid message framing");
-    const bool go_on = HandleMessage(frame.type, frame.body);
-    if (!go_on || connection->closed()) return;
+    const bool handled = HandleMessage(frame.type, frame.body);
+    if (!handled || connection->closed()) return;
     connection->input().Consume(frame.size);
     if (frame.type == 'Z') HandleReadyForQuery();
   }
   if (connection->closed()) return;
   connection->ResumeReading();
-  // A partial message left here would be parsed as the start of the next response.
+  // A partial message that is left here would be parsed as the start of the next response.
   if (idle() && !connection->input().empty()) return FailMalformed("unexpected bytes on an idle connection");
-  // Data servers send a response at once. If one stalls half way, its request is better retried while there
-  // is time.
+  // Data servers send a response at once. If a response stalls after its first byte, the attempt is failed
+  // early so that there is time left for a retry.
   const bool incomplete = !connection->input().empty() || (attempt_ != nullptr && response_.started());
   if (!incomplete) return stall_timer_.Cancel();
   if (!stall_timer_.armed())
@@ -201,17 +201,17 @@
 }
 
 void ServerConnection::HandleStalledResponse(bool extended) {
-  // The rest may have arrived while this loop was blocked. Extended only once, since an endless response
-  // always has unread input.
-  if (!extended && !IsCurrent())
+  // The rest may have arrived while this loop was blocked. The time is extended only once, since a response
+  // that never ends always has unread input.
+  if (!extended && !HasNoUnreadInput())
     return stall_timer_.ScheduleAfter(kResponseCompletionTimeout,
                                       [this] { HandleStalledResponse(/*extended=*/true); });
   FailMalformed("response timed out after its first byte");
 }
 
 bool ServerConnection::HandleMessage(char type, std::string_view body) {
-  // An unsolicited response must not mark the connection idle a second time: two requests would then be sent
-  // on it at once. An unsolicited error precedes the server's close.
+  // An unsolicited response must not add the connection to the idle ones a second time: two queries would
+  // then be sent on it at once. An unsolicited error announces that the server closes the connection.
   if (idle() && type != 'S' && type != 'N') {
     FailMalformed("unsolicited response");
     return false;
@@ -243,7 +243,7 @@
   } else if (connection_->input().empty()) {
     server_.idle.push_back(this);
   } else {
-    // The remaining bytes would be parsed as the response to the next request.
+    // The remaining bytes would be parsed as the response to the next query.
     pool.LogFault(server, "bytes after the end of the response");
     pool.CloseConnection(*this);
   }
@@ -260,15 +260,15 @@
     if (!report && (outcome == Outcome::kOk || outcome == Outcome::kNotRun)) outcome = Outcome::kError;
     return pool.FinishAttempt(attempt, outcome, response.metadata(), report);
   }
-  std::optional<proxy::Response> result;
-  if (outcome == Outcome::kOk) result = response.ReleaseResponse();
+  std::optional<proxy::Response> released;
+  if (outcome == Outcome::kOk) released = response.ReleaseResponse();
   const bool failed = outcome == Outcome::kError || outcome == Outcome::kNotRun;
   if (failed && response.has_error() && response.error()->code != "XX000") {
     pool.LogFault(server, "statement failed with SQLSTATE " + response.error()->code + " (" +
                               response.error()->message + ")");
   }
-  pool.FinishAttempt(attempt, outcome, response.metadata(), response.report(), std::move(result),
-                     response.unusable());
+  pool.FinishAttempt(attempt, outcome, response.metadata(), response.report(), std::move(released),
+                     response.statement_invalid());
 }
 
 void ServerConnection::HandleConnectionLost() {
@@ -280,11 +280,12 @@
   pool_.CloseConnection(*this);
   if (attempt != nullptr) {
     const Outcome outcome = response.OutcomeAtEnd(all_written);
-    std::optional<proxy::Response> result;
-    if (outcome == Outcome::kOk) result = response.ReleaseResponse();
-    pool_.FinishAttempt(attempt, outcome, response.metadata(), {}, std::move(result), response.unusable());
+    std::optional<proxy::Response> released;
+    if (outcome == Outcome::kOk) released = response.ReleaseResponse();
+    pool_.FinishAttempt(attempt, outcome, response.metadata(), {}, std::move(released),
+                        response.statement_invalid());
   } else if (!was_ready && !server_.waiting.empty()) {
-    // Each connection was opened for one of the waiting attempts: the first has waited longest.
+    // Each connection is opened for one of the waiting attempts; the first of them has waited longest.
     const std::shared_ptr<Attempt> first = server_.waiting.front();
     pool_.FinishAttempt(first, Outcome::kUnreachable);
   }
--- a/src/upstream/server_connection.h
+++ b/src/upstream/server_connection.h
@@ -1,4 +1,4 @@
-// One connection to a data server, and the reader of its responses.
+// A connection to a data server, and the parser of its responses.
 #pragma once
 
 #include <memory>
@@ -13,34 +13,35 @@
 
 namespace lynxgrade::upstream {
 
-// Assembles one response from protocol messages and translates it to the terms of the routing module. Does no
+// Assembles one response from protocol messages and derives the outcome of the attempt from it. Performs no
 // I/O.
 class ResponseReader {
  public:
   enum class ReadResult { kMore, kReady, kMalformed };
 
-  // Consumes one message. kReady: the data server awaits the next query; kMalformed: the message cannot be
-  // parsed or is out of order, and the connection is of no further use.
+  // Consumes one message. kMore: the response continues; kReady: the data server awaits the next query;
+  // kMalformed: the message cannot be parsed or is out of order, and the connection has to be closed.
   ReadResult ReadMessage(char type, std::string_view body);
   bool started() const { return started_; }
 
   bool has_error() const { return error_.has_value(); }
   const std::optional<pg::ErrorFields>& error() const { return error_; }
-  // Whether the data server rejected the statement itself: it has not run, and no other server would run it.
-  bool unusable() const;
+  // Whether the data server rejected the statement itself: it was not executed, and every other server would
+  // reject it as well.
+  bool statement_invalid() const;
   bool complete() const { return row_.has_value() && tag_.has_value() && !has_error(); }
-  // The outcome of the attempt if no further message arrives; `all_written` tells whether its last byte was
-  // sent.
+  // The outcome of the attempt if no further message arrives. `all_written`: whether the last byte of the
+  // query was sent.
   Outcome OutcomeAtEnd(bool all_written) const;
   ResponseMetadata metadata() const { return metadata_; }
   std::optional<LoadReport> report() const { return report_; }
-  // The single value of the row; empty without one.
+  // The single value of the row; empty if there is no row.
   std::string_view value() const;
-  // Moves the response out; valid only where the outcome is kOk.
+  // Moves the response out. To be called only if the outcome is kOk.
   proxy::Response ReleaseResponse();
 
  private:
-  bool ReadParameterStatus(std::string_view body);
+  bool HandleParameterStatus(std::string_view body);
 
   bool started_ = false;
   std::optional<std::string> description_;
@@ -51,12 +52,12 @@
   std::optional<LoadReport> report_;
 };
 
-// Parses a load report such as "x0=1767225600.123,x1=1,util=0.61", in which a position is a Unix time in
-// seconds. Empty if the text is malformed.
+// Parses a load report such as "x0=1767225600.123,x1=1,util=0.61". x0 is the log position as a Unix time in
+// seconds; x1 is 1 on a primary. Returns nothing if the text is malformed.
 std::optional<LoadReport> ParseLoadReport(std::string_view text);
 
-// One connection to a data server, which runs one attempt at a time. Owned by the pool through a shared_ptr;
-// callbacks hold a reference, as they may lead to the pool dropping its own.
+// A connection to a data server, which runs one attempt at a time. Owned by the pool through a shared_ptr;
+// callbacks hold a reference of their own, because the pool may drop its reference during them.
 class ServerConnection final : public net::Connection::Owner,
                                public std::enable_shared_from_this<ServerConnection> {
  public:
@@ -65,18 +66,18 @@
   ServerConnection(const ServerConnection&) = delete;
   ServerConnection& operator=(const ServerConnection&) = delete;
 
-  // Starts to connect, within the given time. False if that fails at once; `full` is set if descriptors have
-  // run out.
-  bool Open(const net::Address& address, Duration within, bool* full);
-  // Sends the query of an attempt. The connection has to be idle and current.
+  // Starts to connect. Returns false if that fails at once; `descriptors_exhausted` is set if the process has
+  // no descriptor left.
+  bool Open(const net::Address& address, Duration timeout, bool* descriptors_exhausted);
+  // Sends the query of an attempt. The connection has to be idle and without unread input.
   void SendQuery(std::shared_ptr<Attempt> attempt);
   ServerPool& server() { return server_; }
   bool ready() const { return ready_; }
   bool idle() const { return ready_ && attempt_ == nullptr; }
   TimePoint idle_since() const { return idle_since_; }
-  // Whether all input has been read: unread input on an idle connection is most likely its close.
-  bool IsCurrent() const { return !connection_->HasPendingInput(); }
-  // Whether the last byte of the present query has been handed to the kernel.
+  // Whether all input has been read. Unread input on an idle connection is most likely the server's close.
+  bool HasNoUnreadInput() const { return !connection_->HasPendingInput(); }
+  // Whether the last byte of the current query has been handed to the kernel.
   bool AllWritten() const { return query_accepted_ && connection_->all_written(); }
   void Close();
 
@@ -86,15 +87,15 @@
   void OnEndOfStream() override { HandleConnectionLost(); }
   void OnDisconnected() override { HandleConnectionLost(); }
   bool HandleMessage(char type, std::string_view body);
-  // The data server awaits the next query: the connection is established, or the response has ended.
+  // Called when the data server awaits the next query: after the startup and after each response.
   void HandleReadyForQuery();
-  // Reports the outcome of an attempt whose response has ended. Static: the connection may be closed by now.
+  // Reports the outcome of an attempt whose response has ended. Static, since the connection may be closed.
   static void FinishWithResponse(ConnectionPool& pool, const ServerPool& server,
                                  const std::shared_ptr<Attempt>& attempt, ResponseReader response,
                                  bool complete);
-  // The connection has closed, or was never established.
+  // Called when the connection has closed or could not be established.
   void HandleConnectionLost();
-  // `extended`: whether the response has already been given more time.
+  // `extended`: whether the time of the response has been extended before.
   void HandleStalledResponse(bool extended);
   // Fails the attempt as an error of the data server, and closes the connection.
   void FailMalformed(const char* reason);
@@ -113,7 +114,7 @@
   TimePoint idle_since_{};
 };
 
-// The connections to one data server, and the attempts that wait for one.
+// The connections to one data server, and the attempts that wait for a connection.
 struct ServerPool {
   ServerId id{};
   std::optional<net::Address> address;
@@ -121,8 +122,8 @@
   std::vector<ServerConnection*> idle;  // the most recently used at the end
   std::size_t opening = 0;
   std::deque<std::shared_ptr<Attempt>> waiting;
-  bool dispatching = false;
-  bool removed = false;  // from the endpoint list
+  bool assigning_connections = false;  // AssignConnections is running
+  bool removed = false;                // from the endpoint list
 };
 
 }  // namespace lynxgrade::upstream
