--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -39,7 +39,8 @@
   return {};
 }
 
-// The endpoint list of the configuration, and in `revision` the one to watch discovery from.
+// Returns the endpoint list of the configuration, and in `revision` the revision from which to watch
+// discovery.
 ListEvent Instance::ReadKnownList(std::int64_t& revision) {
   ListEvent event{ListKind::kPersisted, {}};
   if (config_.known_endpoint_list.empty()) return event;
@@ -49,7 +50,7 @@
     return event;
   }
   if (known->rejected_entry) {
-    spdlog::warn("configuration: entry of the endpoint list left out; cause=\"{}\"",
+    spdlog::warn("configuration: malformed endpoint list entry ignored; cause=\"{}\"",
                  Describe(*known->rejected_entry));
   }
   revision = known->revision;
@@ -67,7 +68,7 @@
   return {};
 }
 
-// Without a usable folder the instance serves without durable state.
+// If the folder is not usable, the instance serves without durable state.
 Instance::RecoveredKnowledge Instance::StartDurability(TimePoint now) {
   if (settings_.durability.folder.empty()) return {};
   consistency::SessionConsistencyGuard& guard = proxy_.consistency_guard();
@@ -75,12 +76,12 @@
   RecoveredKnowledge knowledge;
   tl::expected<void, StartError> started = log_->Open();
   if (started) {
-    const durability::RecoveredState& found = log_->recovered();
-    durability::ApplyRecoveredState(found, guard);
-    knowledge.complete = found.complete;
-    knowledge.complete_through = found.complete ? std::optional(now) : found.complete_through;
-    spdlog::info("durability: {}{}", Describe(found.report),
-                 found.complete ? "" : "; reads start at the conservative position");
+    const durability::RecoveredState& recovered = log_->recovered();
+    durability::ApplyRecoveredState(recovered, guard);
+    knowledge.complete = recovered.complete;
+    knowledge.complete_through = recovered.complete ? std::optional(now) : recovered.complete_through;
+    spdlog::info("durability: {}{}", Describe(recovered.report),
+                 recovered.complete ? "" : "; reads start at the conservative position");
     started = log_->StartWriting();
   }
   if (!started) {
@@ -112,8 +113,8 @@
   };
   if (log_ != nullptr || replication_ != nullptr) {
     hooks.delay_response = [this](GroupId group, consistency::SessionKey session,
-                                  const std::function<void()>& call) {
-      return DelayResponse(group, session, call);
+                                  const std::function<void()>& send) {
+      return DelayResponse(group, session, send);
     };
   }
   if (log_ != nullptr) proxy_.consistency_guard().OnTimelineChange([this] { log_->AppendTimelines(); });
@@ -121,21 +122,21 @@
   proxy_.SetReplicationHooks(std::move(hooks));
 }
 
-// The log first: the lease is to be held at the moment when the answer goes out.
+// Waits for the disk first: the lease has to be held at the time when the response is sent.
 bool Instance::DelayResponse(GroupId group, consistency::SessionKey session,
-                             const std::function<void()>& call) {
-  if (replication_ == nullptr) return log_->NotifyWhenDurable(call);
-  const bool waits_for_disk = log_ != nullptr && log_->NotifyWhenDurable([this, group, session, call] {
-    if (!replication_->CallWhenMayAnswer(group, session, call)) call();
+                             const std::function<void()>& send) {
+  if (replication_ == nullptr) return log_->NotifyWhenDurable(send);
+  const bool awaits_disk = log_ != nullptr && log_->NotifyWhenDurable([this, group, session, send] {
+    if (!replication_->CallWhenMayAnswer(group, session, send)) send();
   });
-  return waits_for_disk || replication_->CallWhenMayAnswer(group, session, call);
+  return awaits_disk || replication_->CallWhenMayAnswer(group, session, send);
 }
 
 void Instance::CreateDiscoveryWatch(std::int64_t revision) {
   const Settings& routing = config_.settings;
   const std::uint32_t instances = fleet::EffectiveFleetSize(routing.peers_total);
   if (routing.peers_total == 0) {
-    spdlog::warn("the platform's settings lack peers_total; assuming instances={}", instances);
+    spdlog::warn("platform configuration has no peers_total; assuming instances={}", instances);
   }
   const discovery::DiscoveryService service{routing.poll_endpoint_list, instances, routing.drain_grace};
   watch_.emplace(loop_, config_.discovery, reader_, revision, config_.seed, service,
@@ -170,7 +171,7 @@
   }
   proxy_.ApplyEndpointList(
       {update.complete ? ListKind::kComplete : ListKind::kPartial, ApplyAddresses(update)});
-  // Unless deletions are binding, requests may still be sent to a deleted server.
+  // If unlisted servers stay usable, requests may still be sent to them.
   if (!config_.settings.unlisted_stay_usable) {
     for (const ServerId server : reader_.RemoveDeleted(update)) host_.remove_server(server);
   }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -24,7 +24,7 @@
   return exit_code;
 }
 
-// Blocks the signals that the program handles, until Release.
+// Blocks the signals that the pooler handles, until Release is called.
 class BlockedSignals {
  public:
   BlockedSignals() {
@@ -44,11 +44,11 @@
   spdlog::flush_on(spdlog::level::info);
 }
 
-// Without a settings file every feature that it configures stays off.
+// Without a settings file all optional features are off.
 int Serve(const std::string& settings_file) {
   std::signal(SIGPIPE, SIG_IGN);
-  // Signals that arrive before the pooler handles them stay pending: a SIGHUP would end the program, or, if
-  // it were ignored, leave it with a configuration that has been replaced.
+  // Signals that arrive before the pooler has installed its handlers stay pending. Otherwise a SIGHUP would
+  // terminate the program or, if it were ignored, leave it with an outdated configuration.
   const BlockedSignals blocked;
   ConfigureLogging();
   const auto config = LoadPlatformConfig();
@@ -79,13 +79,13 @@
 
 enum class OutputFormat { kTable, kJson };
 
-// Queries the pooler that runs with these settings.
+// Queries the pooler that was started with these settings.
 int ShowPeers(const std::string& settings_file, OutputFormat format) {
   const auto settings = LoadProgramSettings(settings_file);
   if (!settings) return ReportError(kExitUsage, Describe(settings.error()));
   if (!settings->admin_address) {
-    return ReportError(kExitUsage,
-                       "the settings " + settings_file + ": 'control.listen' names no address to ask at");
+    return ReportError(kExitUsage, "settings " + settings_file +
+                                       ": 'control.listen' is not set, so the pooler has no admin address");
   }
   auto response = admin::SendQuery(*settings->admin_address, "peers");
   if (response && format == OutputFormat::kTable) response = admin::FormatPeersTable(*response);
@@ -95,21 +95,24 @@
 }
 
 int Main(int argc, char** argv) {
-  CLI::App app("A PostgreSQL-protocol pooler: one address for groups of primaries and replicas.",
+  CLI::App app("Pooler for the PostgreSQL protocol: one address for groups of primaries and their replicas.",
                "lynxgrade");
   std::string settings_file;
   std::string checked_file;
-  CLI::App* serve =
-      app.add_subcommand("serve", "serve, as without any command; RELAY_CONFIG names the platform's file");
-  serve->add_option("--settings", settings_file, "the program's own settings, in TOML");
+  CLI::App* serve = app.add_subcommand(
+      "serve",
+      "run the pooler (the default command); RELAY_CONFIG is the path of the platform configuration");
+  serve->add_option("--settings", settings_file, "settings file of the pooler, in TOML");
   CLI::App* check =
-      app.add_subcommand("check-settings", "say whether a file of settings could be started with");
-  check->add_option("file", checked_file, "the file")->required();
-  CLI::App* peers = app.add_subcommand("peers", "ask a running pooler for the others and for its part");
+      app.add_subcommand("check-settings", "validate a settings file without starting the pooler");
+  check->add_option("file", checked_file, "settings file to validate")->required();
+  CLI::App* peers =
+      app.add_subcommand("peers", "show the membership and replication state of a running pooler");
   std::string queried_file;
   bool json = false;
-  peers->add_option("--settings", queried_file, "the settings that it was started with")->required();
-  peers->add_flag("--json", json, "the answer as it came");
+  peers->add_option("--settings", queried_file, "settings file with which the pooler was started")
+      ->required();
+  peers->add_flag("--json", json, "print the response as JSON");
   app.require_subcommand(0, 1);
   try {
     app.parse(argc, argv);
--- a/src/pooler.cpp
+++ b/src/pooler.cpp
@@ -14,9 +14,9 @@
 
 constexpr Duration kReportInterval{5000000};
 constexpr Duration kReadyRetryInterval{20000};
-// Without any endpoint list a pooler answers with errors and a Retry-After. It does so in time for nine in
-// ten restarted poolers to be ready within 10 s, even if discovery is down and the configuration lists no
-// server.
+// After this time a pooler without any endpoint list becomes ready and rejects requests with a Retry-After.
+// Nine of ten restarted poolers have to be ready within 10 s of their start, even if discovery is down and
+// the configuration lists no server.
 constexpr Duration kReadyWithoutListAfter{5000000};
 
 }  // namespace
@@ -47,7 +47,7 @@
         StartError{StartErrorCode::kListen, config_.listen.host, Describe(listening.error())});
   }
   instance_.StartDiscoveryWatch();
-  // The list of the configuration serves at once; discovery updates it when it answers.
+  // The endpoint list of the configuration is used at once; discovery updates it later.
   BecomeReadyIfListed();
   if (!frontend_.ready() && !instance_.has_listed_servers()) {
     ready_timer_.ScheduleAfter(kReadyWithoutListAfter, [this] { BecomeReadyUnlisted(); });
@@ -116,12 +116,13 @@
   });
 }
 
-// Only the address of discovery is reloaded: all else keeps what it was started with, and every server,
-// request and connection stays. It may be called during a graceful shutdown as well.
+// Reloads only the address of discovery. All other settings keep the values of the start, and every server,
+// request and connection stays. May be called during a graceful shutdown as well.
 void Pooler::ReloadConfig() {
   const auto config = LoadPlatformConfig();
   if (!config) {
-    spdlog::error("configuration reload failed: {}; keeping the former one", Describe(config.error()));
+    spdlog::error("configuration reload failed, keeping the current configuration; cause=\"{}\"",
+                  Describe(config.error()));
     return;
   }
   const net::Address& discovery = config->discovery;
@@ -131,7 +132,7 @@
 
 void Pooler::BecomeReadyIfListed() {
   if (frontend_.ready() || !instance_.has_listed_servers()) return;
-  // Until the other instances count this one, they would not wait for the writes that it answers.
+  // The other instances do not wait for the watermarks of this one until they count it as a member.
   if (!instance_.IsCountedByPeers()) {
     ready_timer_.ScheduleAfter(kReadyRetryInterval, [this] { BecomeReadyIfListed(); });
     return;
@@ -146,7 +147,7 @@
     ready_timer_.ScheduleAfter(kReadyRetryInterval, [this] { BecomeReadyUnlisted(); });
     return;
   }
-  spdlog::warn("no endpoint list yet; requests are rejected until discovery provides one");
+  spdlog::warn("ready without an endpoint list; requests are rejected until discovery provides one");
   BecomeReady();
 }
 
--- a/src/pooler.h
+++ b/src/pooler.h
@@ -1,5 +1,5 @@
-// The pooler: an instance between the sockets of clients and of data servers. Owns both sides, the admin
-// server and the handling of signals.
+// The pooler process: an instance, connected to the sockets of the clients and of the data servers. Owns both
+// sides and the admin server, and handles signals.
 #pragma once
 
 #include <memory>
@@ -17,14 +17,15 @@
 
 namespace lynxgrade {
 
+// Runs on the main thread.
 class Pooler {
  public:
-  // Both must outlive it.
+  // Both references must outlive the pooler.
   Pooler(const PlatformConfig& config, const ProgramSettings& settings);
 
-  // Starts the instance, listens and takes over SIGTERM, SIGINT and SIGHUP.
+  // Starts the instance, listens for clients and installs the handlers of SIGTERM, SIGINT and SIGHUP.
   tl::expected<void, StartError> Start();
-  // Serves until a graceful shutdown has ended.
+  // Serves until a graceful shutdown is complete.
   void Run();
 
  private:
@@ -35,8 +36,9 @@
   void WatchSignals();
   void BeginGracefulShutdown();
   void ReloadConfig();
-  // Accepts requests as soon as servers are listed, or without a list after a while.
+  // Reports readiness as soon as data servers are listed.
   void BecomeReadyIfListed();
+  // Reports readiness without any endpoint list, kReadyWithoutListAfter after the start.
   void BecomeReadyUnlisted();
   void BecomeReady();
   void LogReport();
@@ -48,7 +50,7 @@
   upstream::ConnectionPool pool_;
   Instance instance_;
   frontend::Frontend frontend_;
-  std::unique_ptr<admin::AdminServer> admin_server_;  // null if the settings name no address
+  std::unique_ptr<admin::AdminServer> admin_server_;  // null if the settings contain no admin address
   net::Timer report_timer_;
   net::Timer ready_timer_;
   net::SourcePtr terminate_signal_;
--- a/src/start_error.h
+++ b/src/start_error.h
@@ -1,30 +1,30 @@
-// Errors that keep the program, or one part of it, from starting.
+// Errors that prevent the program, or one part of it, from starting.
 //
-// A function that can fail at the start returns `tl::expected<T, StartError>`. The error is typed; the
-// sentence for the operator is made once, by `Describe`, where it is logged or printed.
+// A function that can fail during the start returns `tl::expected<T, StartError>`. `Describe` formats the
+// error for the operator where it is logged or printed.
 #pragma once
 
 #include <string>
 
 namespace lynxgrade {
 
-// What could not be done at the start.
+// The step of the start that failed, and what `subject` and `cause` contain.
 enum class StartErrorCode {
-  kConfigNotNamed,      // RELAY_CONFIG, which names the platform's configuration, is not set
+  kConfigNotNamed,      // RELAY_CONFIG, the path of the platform configuration, is not set
   kConfigMissing,       // subject: the file
-  kConfigInvalid,       // subject: the file; cause: what is wrong with it
+  kConfigInvalid,       // subject: the file; cause: the problem
   kSettingsMissing,     // subject: the file
   kSettingsUnreadable,  // subject: the file
-  kSettingsInvalid,     // subject: the file; cause: what is wrong with it, with line and column
-  kListen,              // subject: the address; cause: what the system says
-  kAdminListen,         // subject: the address; cause: what the system says
-  kPeerAddress,         // the address for peers belongs to no interface of this machine
-  kPeerListen,          // subject: the address; cause: what the system says
+  kSettingsInvalid,     // subject: the file; cause: the problem, with line and column
+  kListen,              // subject: the address; cause: the system error
+  kAdminListen,         // subject: the address; cause: the system error
+  kPeerAddress,         // the listen address for peers is not an address of this machine
+  kPeerListen,          // subject: the address; cause: the system error
   kPeerKeysMissing,     // subject: the file
-  kPeerKeysInvalid,     // subject: the file; cause: what is wrong with it
-  kReplicationModule,   // cause: what the loader says
-  kStateFolder,         // subject: the folder; cause: what the system says
-  kStateWrite,          // cause: what the system says
+  kPeerKeysInvalid,     // subject: the file; cause: the problem
+  kReplicationModule,   // cause: the error of the dynamic loader
+  kStateFolder,         // subject: the folder; cause: the system error
+  kStateWrite,          // cause: the system error
 };
 
 struct StartError {
@@ -33,7 +33,7 @@
   std::string cause;
 };
 
-// One plain sentence for the operator, without a full stop.
+// Returns one sentence for the operator, without a full stop.
 std::string Describe(const StartError& error);
 
 }  // namespace lynxgrade
