--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -1,17 +1,17 @@
-// The pooler's parts on real sockets: scripted data servers and clients in the same loop, ports by the
-// kernel.
+// The pooler on real sockets, with data servers, clients and discovery under the test's control in the same
+// loop.
 #include "support/simulated_fleet.h"
 
 namespace lynxgrade {
 namespace {
 
-TEST_CASE("a request is served with the data server's value; its statement changes in d alone") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
+TEST_CASE("a request is served with the data server's value; only d changes in its statement") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
   std::string asked = RequestText("any", "x");
-  TestConnection& client = w.ConnectClient({asked});
-  w.RunUntil([&] { return client.HasReceived("SELECT 1"); });
+  TestConnection& client = fleet.ConnectClient({asked});
+  fleet.RunUntil([&] { return client.HasReceived("SELECT 1"); });
   CHECK(client.MessageTypes() == "RSSSSKZTDCZ");
   REQUIRE(server.queries.size() == 1);
   std::string sent = server.queries[0];
@@ -20,132 +20,134 @@
   CHECK(sent == asked);
 }
 
-TEST_CASE("pipelined queries are answered in their order, a bad one between them too") {
-  SimulatedFleet w;
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient(
+TEST_CASE("pipelined queries are answered in order, including invalid ones") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient(
       {RequestText("any", "1"), RequestText("nobody"), "SELECT 1", "", RequestText("any", "2")});
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZEZEZIZTDCZ"); });
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZEZEZIZTDCZ"); });
   CHECK(client.received.find("1C") < client.received.find("2C"));
 }
 
-TEST_CASE("rule 1: a request that no data server answers gets one final answer, before its deadline") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("any", "k", 300)});
-  w.RunUntil([&] { return client.HasReceived("53300"); });
+TEST_CASE("rule 1: a request that no data server answers gets one final response before its deadline") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({RequestText("any", "k", 300)});
+  fleet.RunUntil([&] { return client.HasReceived("53300"); });
   CHECK(client.MessageTypes() == "RSSSSKZEZ");
-  w.RunUntil([&] {
+  fleet.RunUntil([&] {
     return server.connections[0]->peer_closed || server.connections.back()->peer_closed;
-  });  // the attempt was called off
-  CHECK(w.proxy.requests_in_flight() == 0);
+  });  // the attempt was cancelled
+  CHECK(fleet.proxy.requests_in_flight() == 0);
 }
 
-TEST_CASE("rule 2: a write that may have run is not refused, and not sent beyond its window") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer([](TestConnection& p, const std::string&) { p.connection->Close(); });
+TEST_CASE("rule 2: a write that may have been executed fails instead of being rejected") {
+  SimulatedFleet fleet;
+  DataServer& server =
+      fleet.AddServer([](TestConnection& peer, const std::string&) { peer.connection->Close(); });
   server.load_report = "x1=1,x0=1";
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("write", "k", 1500)});
-  w.RunUntil([&] { return client.HasReceived("58000"); });
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({RequestText("write", "k", 1500)});
+  fleet.RunUntil([&] { return client.HasReceived("58000"); });
   CHECK(client.MessageTypes() == "RSSSSKZEZ");
   CHECK_FALSE(client.HasReceived("53300"));
   CHECK(server.queries.size() >= 1);
 }
 
-TEST_CASE("rule 2: a write that was turned away untouched may be refused, with a time to come back") {
-  SimulatedFleet w;
+TEST_CASE("rule 2: a write that was not executed may be rejected, with a Retry-After") {
+  SimulatedFleet fleet;
   DataServer& server =
-      w.AddServer([](TestConnection& p, const std::string&) { p.Send(ErrorResponse("25006")); });
+      fleet.AddServer([](TestConnection& peer, const std::string&) { peer.Send(ErrorResponse("25006")); });
   server.load_report = "x1=1,x0=1";
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("write", "k", 400)});
-  w.RunUntil([&] { return client.HasReceived("53300"); });
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({RequestText("write", "k", 400)});
+  fleet.RunUntil([&] { return client.HasReceived("53300"); });
   CHECK(client.HasReceived(std::string("\0D50\0", 5)));
 }
 
-TEST_CASE("rule 3: nothing new goes to a data server that drains") {
-  SimulatedFleet w;
-  DataServer& draining = w.AddServer(kEchoValue);
-  DataServer& other = w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  w.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
-  TestConnection& client = w.ConnectClient(RequestTexts(20));
-  w.RunUntil([&] { return other.queries.size() == 20 && client.MessageTypes().ends_with("TDCZ"); });
+TEST_CASE("rule 3: no new request is sent to a draining data server") {
+  SimulatedFleet fleet;
+  DataServer& draining = fleet.AddServer(kEchoValue);
+  DataServer& other = fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  fleet.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+  TestConnection& client = fleet.ConnectClient(RequestTexts(20));
+  fleet.RunUntil([&] { return other.queries.size() == 20 && client.MessageTypes().ends_with("TDCZ"); });
   CHECK(draining.queries.empty());
 }
 
-TEST_CASE("rule 5: a read that a replica is too far behind for is sent again, not answered from old data") {
-  SimulatedFleet w;
-  int turned_away = 0;
-  const QueryHandler behind = [&](TestConnection& p, const std::string&) {
-    if (++turned_away <= 2) return p.Send(ErrorResponse("72000"));
-    p.Send(RowResponse("z"));
+TEST_CASE("rule 5: a read rejected by a lagging replica is retried, not answered from old data") {
+  SimulatedFleet fleet;
+  int attempts = 0;
+  const QueryHandler lagging = [&](TestConnection& peer, const std::string&) {
+    if (++attempts <= 2) return peer.Send(ErrorResponse("72000"));
+    peer.Send(RowResponse("z"));
   };
-  w.AddServer(behind);
-  w.AddServer(behind);
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("own")});
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
-  CHECK(turned_away == 3);
+  fleet.AddServer(lagging);
+  fleet.AddServer(lagging);
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({RequestText("own")});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+  CHECK(attempts == 3);
 }
 
-TEST_CASE("a client that closes calls its attempt off; one that only ended its sending is answered") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& gone = w.ConnectClient({RequestText("any")});
-  TestConnection& half = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return server.queries.size() == 2; });
-  shutdown(half.connection->descriptor(), SHUT_WR);
-  gone.connection->Close();
-  w.RunUntil([&] { return w.proxy.counts().cancelled == 1; });
+TEST_CASE("a client's close cancels its attempt; a client that only shut down sending is answered") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& closed = fleet.ConnectClient({RequestText("any")});
+  TestConnection& half_closed = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return server.queries.size() == 2; });
+  shutdown(half_closed.connection->descriptor(), SHUT_WR);
+  closed.connection->Close();
+  fleet.RunUntil([&] { return fleet.proxy.counts().cancelled == 1; });
   for (const auto& peer : server.connections) {
     if (!peer->peer_closed && !peer->connection->closed()) peer->Send(RowResponse("h"));
   }
-  w.RunUntil([&] { return half.MessageTypes().ends_with("TDCZ"); });
-  CHECK(w.proxy.counts().cancelled == 1);
+  fleet.RunUntil([&] { return half_closed.MessageTypes().ends_with("TDCZ"); });
+  CHECK(fleet.proxy.counts().cancelled == 1);
 }
 
-TEST_CASE("what is malformed costs its own connection, with the SQLSTATE for it") {
-  SimulatedFleet w;
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
+TEST_CASE("malformed input closes its connection with the matching SQLSTATE") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
   const struct {
     std::string bytes;
     const char* code;
   } cases[] = {
       {"?", "08P01"},
-      {std::string("Q\3\x93\x87\0", 5), "08P01"},  // 60 MB: from the head alone
+      {std::string("Q\3\x93\x87\0", 5), "08P01"},  // 60 MB, rejected by the header alone
       {std::string("Q\xff\xff\xff\xff", 5), "08P01"},
       {std::string("Q\0\0\0\4", 5), "08P01"},
       {std::string("P\0\0\0\4", 5), "0A000"},
   };
   for (const auto& c : cases) {
-    TestConnection& bad = w.ConnectClient({});
-    bad.Send(c.bytes + std::string(200000, 'x'));  // still sending when the error comes
-    w.RunUntil([&] { return bad.peer_closed; });
+    TestConnection& bad = fleet.ConnectClient({});
+    bad.Send(c.bytes + std::string(200000, 'x'));  // still sending when the error arrives
+    fleet.RunUntil([&] { return bad.peer_closed; });
     CHECK(bad.HasReceived(c.code));
   }
-  TestConnection& good = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return good.MessageTypes().ends_with("TDCZ"); });
+  TestConnection& good = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return good.MessageTypes().ends_with("TDCZ"); });
 }
 
-TEST_CASE("an answer that nobody asked for costs the data server its connection, and nothing else") {
-  SimulatedFleet w;
-  DataServer& server =
-      w.AddServer([](TestConnection& p, const std::string&) { p.Send(RowResponse("a") + RowResponse("b")); });
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient(RequestTexts(8));
-  w.RunUntil([&] { return server.queries.size() == 8 && client.MessageTypes().ends_with("TDCZ"); });
+TEST_CASE("an unsolicited response closes the connection to the data server, and has no other effect") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(
+      [](TestConnection& peer, const std::string&) { peer.Send(RowResponse("a") + RowResponse("b")); });
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient(RequestTexts(8));
+  fleet.RunUntil([&] { return server.queries.size() == 8 && client.MessageTypes().ends_with("TDCZ"); });
   CHECK_FALSE(client.HasReceived("1b"));
-  CHECK(std::ranges::count_if(server.connections, [](const auto& p) { return p->peer_closed; }) >= 7);
+  CHECK(std::ranges::count_if(server.connections,
+                              [](const auto& connection) { return connection->peer_closed; }) >= 7);
 }
 
-// An answer is served as it came or has failed: each of these is read again elsewhere, on another connection.
-TEST_CASE("a spoilt answer has failed, and costs its connection at once") {
+// A response is forwarded unchanged or not at all: each of these requests is retried on another connection.
+TEST_CASE("a malformed or incomplete response fails the attempt and closes its connection") {
   const std::string good = RowResponse("w");
   const std::string huge = std::string("D\xb2\xd0\x5e\0", 5) + "keeps coming";  // 3 GB
   std::string no_tag = good, no_row = good, no_description = good, null_row = good, two_rows = good;
@@ -160,259 +162,269 @@
   null_row.replace(message('D').first, message('D').second,
                    std::string("D\0\0\0\x0a\0\1\xff\xff\xff\xff", 11));
   two_rows.insert(message('D').first, good.substr(message('D').first, message('D').second));
-  const Strings spoilt = {"\x7fnoise\n", huge,           no_tag,
-                          no_row,        no_description, null_row,
-                          two_rows,      "T\0"s + good,  good.substr(0, message('C').first)};
-  for (const std::string& bytes : spoilt) {
+  const Strings malformed = {"\x7fnoise\n", huge,           no_tag,
+                             no_row,        no_description, null_row,
+                             two_rows,      "T\0"s + good,  good.substr(0, message('C').first)};
+  for (const std::string& bytes : malformed) {
     CAPTURE(bytes);
-    SimulatedFleet w;
+    SimulatedFleet fleet;
     int asked = 0;
-    DataServer& server = w.AddServer(
-        [&](TestConnection& p, const std::string&) { p.Send(++asked == 1 ? bytes : RowResponse("v")); });
-    w.ApplyEndpointList();
-    TestConnection& client = w.ConnectClient({RequestText("any")});
-    w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+    DataServer& server = fleet.AddServer([&](TestConnection& peer, const std::string&) {
+      peer.Send(++asked == 1 ? bytes : RowResponse("v"));
+    });
+    fleet.ApplyEndpointList();
+    TestConnection& client = fleet.ConnectClient({RequestText("any")});
+    fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
     CHECK(client.HasReceived("\1vC"));
     CHECK_FALSE(client.HasReceived("w"s + "C"));
     CHECK(asked == 2);
-    w.RunUntil([&] {
-      return std::ranges::any_of(server.connections, [](const auto& p) { return p->peer_closed; });
+    fleet.RunUntil([&] {
+      return std::ranges::any_of(server.connections,
+                                 [](const auto& connection) { return connection->peer_closed; });
     });
   }
 }
 
-TEST_CASE(
-    "a statement that a data server cannot use is not tried elsewhere, and not held against that server") {
-  SimulatedFleet w;
+TEST_CASE("a statement that a data server rejects as invalid is not retried and does not eject the server") {
+  SimulatedFleet fleet;
   std::size_t asked = 0;
-  const QueryHandler picky = [&](TestConnection& p, const std::string& text) {
+  const QueryHandler rejects_statement = [&](TestConnection& peer, const std::string& text) {
     ++asked;
-    if (text.find("SELECT 'x'") != std::string::npos) return p.Send(ErrorResponse("42601"));
-    p.Send(RowResponse("v"));
+    if (text.find("SELECT 'x'") != std::string::npos) return peer.Send(ErrorResponse("42601"));
+    peer.Send(RowResponse("v"));
   };
-  w.AddServer(picky);
-  w.ApplyEndpointList();
+  fleet.AddServer(rejects_statement);
+  fleet.ApplyEndpointList();
   for (int i = 0; i < 12; ++i) {
-    TestConnection& bad = w.ConnectClient({RequestText("any", "x")});
-    w.RunUntil([&] { return bad.MessageTypes().ends_with("EZ"); });
+    TestConnection& bad = fleet.ConnectClient({RequestText("any", "x")});
+    fleet.RunUntil([&] { return bad.MessageTypes().ends_with("EZ"); });
     CHECK(bad.HasReceived("42601"));
   }
   CHECK(asked == 12);
-  TestConnection& client = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+  TestConnection& client = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
   CHECK(asked == 13);
 }
 
-// What crosses a data server's close behind its answer is lost as a reset, though nothing is wrong there.
-TEST_CASE("a connection that has only just answered is left alone where there is another") {
-  SimulatedFleet w;
+// A data server may close a connection right after a response. A query that crosses that close is lost to a
+// reset.
+TEST_CASE("a connection that has just delivered a response is not reused if another one is idle") {
+  SimulatedFleet fleet;
   std::vector<TestConnection*> asked;
-  DataServer& server = w.AddServer([&](TestConnection& p, const std::string&) { asked.push_back(&p); });
-  w.ApplyEndpointList();
-  TestConnection& one = w.ConnectClient({RequestText("any")});
-  TestConnection& two = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return asked.size() == 2; });
+  DataServer& server =
+      fleet.AddServer([&](TestConnection& peer, const std::string&) { asked.push_back(&peer); });
+  fleet.ApplyEndpointList();
+  TestConnection& one = fleet.ConnectClient({RequestText("any")});
+  TestConnection& two = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return asked.size() == 2; });
   for (TestConnection* peer : asked) peer->Send(RowResponse("v"));
-  w.RunUntil([&] { return one.MessageTypes().ends_with("TDCZ") && two.MessageTypes().ends_with("TDCZ"); });
-  const TimePoint from = w.loop.Now();
-  w.RunUntil([&] { return w.loop.Now() - from > Duration(20000); });
+  fleet.RunUntil(
+      [&] { return one.MessageTypes().ends_with("TDCZ") && two.MessageTypes().ends_with("TDCZ"); });
+  const TimePoint start = fleet.loop.Now();
+  fleet.RunUntil([&] { return fleet.loop.Now() - start > Duration(20000); });
   asked.clear();
-  server.on_query = [&](TestConnection& p, const std::string&) {
-    asked.push_back(&p);
-    p.Send(RowResponse("v"));
+  server.on_query = [&](TestConnection& peer, const std::string&) {
+    asked.push_back(&peer);
+    peer.Send(RowResponse("v"));
   };
-  w.ConnectClient(RequestTexts(2));
-  w.RunUntil([&] { return asked.size() == 2; });
+  fleet.ConnectClient(RequestTexts(2));
+  fleet.RunUntil([&] { return asked.size() == 2; });
   CHECK(asked[0] != asked[1]);
 }
 
-TEST_CASE("an answer is as good with a load report that cannot be read as with none") {
-  SimulatedFleet w;
-  w.AddServer([](TestConnection& p, const std::string&) {
+TEST_CASE("a response with a malformed load report is served") {
+  SimulatedFleet fleet;
+  fleet.AddServer([](TestConnection& peer, const std::string&) {
     std::string report, row = RowResponse("v");
     pg::AppendParameterStatus(report, "pressure", "util=much,,\x01");
-    p.Send(row.insert(row.size() - 6, report));
+    peer.Send(row.insert(row.size() - 6, report));
   });
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
 }
 
-TEST_CASE("data servers that are gone are forgotten, and known again when they come back") {
-  SimulatedFleet w;
-  w.AddServer(kEchoValue);
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient(RequestTexts(4));
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZTDCZTDCZTDCZ"); });
-  w.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDeleted);
-  w.pool.RemoveServer(ServerId(1));
-  w.RunUntil([&] { return w.pool.servers() == 1; });
-  w.ApplyEndpointList(ListKind::kPartial);
-  CHECK(w.pool.servers() == 2);
+TEST_CASE("deleted data servers are removed from the pool, and added again when they return") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kEchoValue);
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient(RequestTexts(4));
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZTDCZTDCZTDCZ"); });
+  fleet.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDeleted);
+  fleet.pool.RemoveServer(ServerId(1));
+  fleet.RunUntil([&] { return fleet.pool.servers() == 1; });
+  fleet.ApplyEndpointList(ListKind::kPartial);
+  CHECK(fleet.pool.servers() == 2);
 }
 
-TEST_CASE("an empty query is answered as such only once requests can be served; SSL is declined") {
-  SimulatedFleet w;
-  w.AddServer(kEchoValue);
-  TestConnection& early = w.ConnectClient({""});
-  w.RunUntil([&] { return early.HasReceived("57P03"); });
-  w.ApplyEndpointList();
-  TestConnection& later = w.ConnectClient({""});
-  w.RunUntil([&] { return later.MessageTypes().ends_with("IZ"); });
-  w.clients.push_back(std::make_unique<TestConnection>());
-  TestConnection& ssl = *w.clients.back();
-  bool full = false;
-  ssl.connection = Connection::Connect(w.loop, {"127.0.0.1", w.frontend.port()}, ssl, 4096, 4096, &full);
+TEST_CASE("an empty query gets its response only once requests can be served; SSL is declined") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kEchoValue);
+  TestConnection& early = fleet.ConnectClient({""});
+  fleet.RunUntil([&] { return early.HasReceived("57P03"); });
+  fleet.ApplyEndpointList();
+  TestConnection& later = fleet.ConnectClient({""});
+  fleet.RunUntil([&] { return later.MessageTypes().ends_with("IZ"); });
+  fleet.clients.push_back(std::make_unique<TestConnection>());
+  TestConnection& ssl = *fleet.clients.back();
+  bool descriptors_exhausted = false;
+  ssl.connection = Connection::Connect(fleet.loop, {"127.0.0.1", fleet.frontend.port()}, ssl, 4096, 4096,
+                                       &descriptors_exhausted);
   ssl.Send(std::string("\0\0\0\x08\x04\xd2\x16\x2f", 8));
-  w.RunUntil([&] { return ssl.received == "N"; });
+  fleet.RunUntil([&] { return ssl.received == "N"; });
 }
 
-TEST_CASE("a stop serves on for a while, finishes what was taken, closes clients between requests and ends") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& idle = w.ConnectClient({""});
-  TestConnection& busy = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return server.queries.size() == 1 && idle.HasReceived("I"); });
+TEST_CASE("a graceful shutdown serves for a while, completes requests in flight and closes the clients") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& idle = fleet.ConnectClient({""});
+  TestConnection& busy = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return server.queries.size() == 1 && idle.HasReceived("I"); });
   bool done = false;
-  w.frontend.StartDrain([&] { done = true; });
-  const TimePoint from = w.loop.Now();
-  TestConnection& late = w.ConnectClient({""});  // connections still come for a while
-  w.RunUntil([&] { return late.MessageTypes().ends_with("IZ"); });
-  // The front layer has let go of this pooler, and another may not be back: who is connected is served on.
-  w.RunUntil([&] { return w.loop.Now() - from > Duration(900000); });
+  fleet.frontend.StartDrain([&] { done = true; });
+  const TimePoint start = fleet.loop.Now();
+  TestConnection& late = fleet.ConnectClient({""});  // new connections are still accepted
+  fleet.RunUntil([&] { return late.MessageTypes().ends_with("IZ"); });
+  // Connected clients are served until another pooler that is restarting can have been added to the load
+  // balancer.
+  fleet.RunUntil([&] { return fleet.loop.Now() - start > Duration(900000); });
   std::string query;
   pg::AppendQuery(query, "");
   idle.Send(query);
-  w.RunUntil([&] { return idle.MessageTypes().ends_with("IZIZ"); });
-  w.RunUntil([&] { return late.peer_closed; });
+  fleet.RunUntil([&] { return idle.MessageTypes().ends_with("IZIZ"); });
+  fleet.RunUntil([&] { return late.peer_closed; });
   CHECK_FALSE(done);
   for (const auto& peer : server.connections) peer->Send(RowResponse("v"));
-  w.RunUntil([&] { return done && busy.MessageTypes().ends_with("TDCZ"); });
+  fleet.RunUntil([&] { return done && busy.MessageTypes().ends_with("TDCZ"); });
 }
 
-// The program may be killed 3.7 s after it was told to stop: what it has then not answered would be lost.
-TEST_CASE("what is asked during a stop is answered before the program may be killed") {
-  SimulatedFleet w;
-  w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({""});
-  w.RunUntil([&] { return client.HasReceived("I"); });
-  w.frontend.StartDrain([] {});
-  const TimePoint from = w.loop.Now();
+// The process may be killed 3.7 s after SIGTERM; requests not answered by then would be lost.
+TEST_CASE("a request received during the shutdown is answered before the process may be killed") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({""});
+  fleet.RunUntil([&] { return client.HasReceived("I"); });
+  fleet.frontend.StartDrain([] {});
+  const TimePoint start = fleet.loop.Now();
   std::string query;
   pg::AppendQuery(query, RequestText("any", "k", 60000));
   client.Send(query);
-  w.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
-  CHECK(w.loop.Now() - from < Duration(3700000));
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
+  CHECK(fleet.loop.Now() - start < Duration(3700000));
 }
 
-TEST_CASE("silent clients and unfinished messages are closed in time, idle and served clients stay") {
-  SimulatedFleet w;
-  w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& idle = w.ConnectClient({""});
-  TestConnection& served = w.ConnectClient({RequestText("any", "k", 9000)});
-  TestConnection& begun = w.ConnectClient({});
-  begun.Send(std::string("Q\0\0\2\0", 5) + "/* id=");
-  TestConnection& silent = w.OpenConnection(w.frontend.port());
-  const TimePoint from = w.loop.Now();
-  w.RunUntil([&] { return begun.peer_closed && silent.peer_closed; });
-  CHECK(w.loop.Now() - from < Duration(3000000));
-  CHECK(begun.HasReceived("08P01"));
+TEST_CASE("silent clients and partial messages are closed within 3 s; idle and waiting clients stay") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& idle = fleet.ConnectClient({""});
+  TestConnection& served = fleet.ConnectClient({RequestText("any", "k", 9000)});
+  TestConnection& partial = fleet.ConnectClient({});
+  partial.Send(std::string("Q\0\0\2\0", 5) + "/* id=");
+  TestConnection& silent = fleet.OpenConnection(fleet.frontend.port());
+  const TimePoint start = fleet.loop.Now();
+  fleet.RunUntil([&] { return partial.peer_closed && silent.peer_closed; });
+  CHECK(fleet.loop.Now() - start < Duration(3000000));
+  CHECK(partial.HasReceived("08P01"));
   CHECK_FALSE(idle.peer_closed);
   CHECK_FALSE(served.peer_closed);
 }
 
-TEST_CASE("connections that say nothing make room before clients that are of use") {
-  SimulatedFleet w(100);  // 60 to share, 15 of them for backends
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  std::vector<TestConnection*> useful;
+TEST_CASE("silent connections are closed to free descriptors before idle clients are") {
+  SimulatedFleet fleet(100);  // 60 are shared, 15 of them for data servers
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  std::vector<TestConnection*> idle;
   for (int i = 0; i < 10; ++i) {
-    useful.push_back(&w.ConnectClient({""}));
-    w.RunUntil([&] { return useful.back()->HasReceived("I"); });
+    idle.push_back(&fleet.ConnectClient({""}));
+    fleet.RunUntil([&] { return idle.back()->HasReceived("I"); });
   }
   std::vector<TestConnection*> silent;
   silent.reserve(60);
-  for (int i = 0; i < 60; ++i) silent.push_back(&w.OpenConnection(w.frontend.port()));
-  w.RunUntil(
-      [&] { return std::ranges::count_if(silent, [](TestConnection* p) { return p->peer_closed; }) >= 20; });
-  TestConnection& asks = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return asks.MessageTypes().ends_with("TDCZ"); });
-  CHECK(std::ranges::none_of(useful, [](TestConnection* p) { return p->peer_closed; }));
+  for (int i = 0; i < 60; ++i) silent.push_back(&fleet.OpenConnection(fleet.frontend.port()));
+  fleet.RunUntil([&] {
+    return std::ranges::count_if(silent,
+                                 [](TestConnection* connection) { return connection->peer_closed; }) >= 20;
+  });
+  TestConnection& client = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+  CHECK(std::ranges::none_of(idle, [](TestConnection* connection) { return connection->peer_closed; }));
 }
 
-// Those that asked once and stay hold what others need to ask at all.
-TEST_CASE("idle clients go the sooner, the more there are") {
-  SimulatedFleet w(100);  // 60 to share: 20 clients are over a quarter
-  w.ApplyEndpointList();
-  for (int i = 0; i < 20; ++i) w.ConnectClient({""});
-  const TimePoint from = w.loop.Now();
-  w.RunUntil([&] { return std::ranges::any_of(w.clients, [](const auto& p) { return p->peer_closed; }); });
-  CHECK(w.loop.Now() - from < Duration(2000000));
+// Idle clients hold descriptors that new clients need.
+TEST_CASE("the idle timeout of clients is shorter while there are many") {
+  SimulatedFleet fleet(100);  // 60 are shared; 20 clients hold more than a quarter
+  fleet.ApplyEndpointList();
+  for (int i = 0; i < 20; ++i) fleet.ConnectClient({""});
+  const TimePoint start = fleet.loop.Now();
+  fleet.RunUntil([&] {
+    return std::ranges::any_of(fleet.clients, [](const auto& connection) { return connection->peer_closed; });
+  });
+  CHECK(fleet.loop.Now() - start < Duration(2000000));
 }
 
-TEST_CASE("hundreds of queries at once do not keep another client waiting") {
-  SimulatedFleet w;
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  TestConnection& flood = w.ConnectClient(Strings(1500, "SELECT 1"));
-  TestConnection& asks = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return asks.MessageTypes().ends_with("TDCZ"); });
+TEST_CASE("a client that pipelines hundreds of queries does not delay another client") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  TestConnection& flood = fleet.ConnectClient(Strings(1500, "SELECT 1"));
+  TestConnection& client = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
   CHECK(flood.CountOf("42601") < 1000);
-  w.RunUntil([&] { return flood.CountOf("42601") == 1500; });
+  fleet.RunUntil([&] { return flood.CountOf("42601") == 1500; });
 }
 
-TEST_CASE("an id that is open elsewhere gets an error, and the open request its answer") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
+TEST_CASE("a request whose id is in flight gets an error; the one in flight gets its response") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
   const std::string query = RequestText("any");
-  TestConnection& first = w.ConnectClient({query});
-  w.RunUntil([&] { return server.queries.size() == 1; });
-  TestConnection& second = w.ConnectClient({query});
-  w.RunUntil([&] { return second.MessageTypes().ends_with("EZ"); });
+  TestConnection& first = fleet.ConnectClient({query});
+  fleet.RunUntil([&] { return server.queries.size() == 1; });
+  TestConnection& second = fleet.ConnectClient({query});
+  fleet.RunUntil([&] { return second.MessageTypes().ends_with("EZ"); });
   CHECK(second.HasReceived("22023"));
   for (const auto& peer : server.connections) peer->Send(RowResponse("v"));
-  w.RunUntil([&] { return first.MessageTypes().ends_with("TDCZ"); });
+  fleet.RunUntil([&] { return first.MessageTypes().ends_with("TDCZ"); });
   CHECK(server.queries.size() == 1);
-  TestConnection& third = w.ConnectClient({query});  // it is not open any more
-  w.RunUntil([&] { return server.queries.size() == 2 && !third.peer_closed; });
+  TestConnection& third = fleet.ConnectClient({query});  // the id is no longer in flight
+  fleet.RunUntil([&] { return server.queries.size() == 2 && !third.peer_closed; });
 }
 
-TEST_CASE("a group that nobody knows is refused at once") {
-  SimulatedFleet w;
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
+TEST_CASE("a request for an unknown group is rejected at once") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
   std::string query = RequestText("any");
   query.replace(query.find("cluster=2"), 9, "cluster=9");
-  TestConnection& client = w.ConnectClient({query});
-  w.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
+  TestConnection& client = fleet.ConnectClient({query});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
   CHECK(client.HasReceived("53300"));
 }
 
-TEST_CASE("clients beyond the budget are taken in for idle ones") {
-  SimulatedFleet w(100);  // 60 to share, 15 of them for backends
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  for (int i = 0; i < 70; ++i) w.ConnectClient({""});
-  w.RunUntil([&] { return w.clients.back()->MessageTypes().ends_with("IZ"); });
-  CHECK(w.budget.clients() <= 45);
-  TestConnection& asks = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return asks.MessageTypes().ends_with("TDCZ"); });
+TEST_CASE("a client beyond the descriptor budget replaces an idle one") {
+  SimulatedFleet fleet(100);  // 60 are shared, 15 of them for data servers
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  for (int i = 0; i < 70; ++i) fleet.ConnectClient({""});
+  fleet.RunUntil([&] { return fleet.clients.back()->MessageTypes().ends_with("IZ"); });
+  CHECK(fleet.budget.clients() <= 45);
+  TestConnection& client = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
 }
 
-TEST_CASE("the watch goes on from the version it has reached when its connection ends") {
+TEST_CASE("the discovery watch resumes from the last revision when its connection ends") {
   net::Loop loop;
   Strings asked;
-  std::vector<std::unique_ptr<TestConnection>> peers;
+  std::vector<std::unique_ptr<TestConnection>> connections;
   net::Listener agent(
       loop, [] { return true; },
       [&](net::ObjectPtr<GSocket> socket) {
-        peers.push_back(std::make_unique<TestConnection>());
-        TestConnection& peer = *peers.back();
+        connections.push_back(std::make_unique<TestConnection>());
+        TestConnection& peer = *connections.back();
         peer.connection = Connection::Adopt(loop, std::move(socket), peer, 65536, 65536);
       });
   REQUIRE(agent.Open({"127.0.0.1", 0}));
@@ -420,25 +432,27 @@
   std::vector<std::int64_t> versions;
   discovery::DiscoveryWatch watch(
       loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
-      [&](const discovery::EndpointListUpdate& change) { versions.push_back(change.revision); });
+      [&](const discovery::EndpointListUpdate& update) { versions.push_back(update.revision); });
   watch.Start();
-  const auto until = [&](const std::function<bool()>& holds) {
-    while (!holds()) g_main_context_iteration(nullptr, TRUE);
+  const auto run_until = [&](const std::function<bool()>& condition) {
+    while (!condition()) g_main_context_iteration(nullptr, TRUE);
   };
-  until([&] { return peers.size() == 1 && peers[0]->HasReceived("\r\n\r\n"); });
-  CHECK(peers[0]->HasReceived("GET /registry/instances?follow=1&since=41 HTTP/1.1\r\n"));
+  run_until([&] { return connections.size() == 1 && connections[0]->HasReceived("\r\n\r\n"); });
+  CHECK(connections[0]->HasReceived("GET /registry/instances?follow=1&since=41 HTTP/1.1\r\n"));
   const std::string line = R"({"rev":43,"all":false,"targets":[{"uid":1}]})"
-                           "\n";  // its entry is malformed
-  peers[0]->Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n2d\r\n" + line + "\r\n");
-  until([&] { return versions.size() == 1; });
-  peers[0]->connection->Close();
-  until([&] { return peers.size() == 2 && peers[1]->HasReceived("\r\n\r\n"); });
-  CHECK(peers[1]->HasReceived("since=43 "));
+                           "\n";  // the entry is malformed
+  connections[0]->Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n2d\r\n" + line +
+                       "\r\n");
+  run_until([&] { return versions.size() == 1; });
+  connections[0]->connection->Close();
+  run_until([&] { return connections.size() == 2 && connections[1]->HasReceived("\r\n\r\n"); });
+  CHECK(connections[1]->HasReceived("since=43 "));
 }
 
-// 300 instances start together, or are told of a new address at once. An agent of their own is called at
-// once: what it has counts as told. Calls to one service for all are spread, within what the first may wait.
-TEST_CASE("an agent is called at once, a shared service within the time that is left to obey a drain") {
+// 300 instances start together, or are given a new address at the same time. A local agent is called at once,
+// since what it knows counts as known to the pooler. Calls to a service shared by all instances are spread
+// over time.
+TEST_CASE("a local agent is called at once, a shared service within the time left to obey a drain") {
   net::Loop loop;
   net::Listener agent(
       loop, [] { return true; }, [](net::ObjectPtr<GSocket>) {});
@@ -462,12 +476,12 @@
   }
 }
 
-// Discovery that is of no use: it turns calls away, cuts its answer in the head and in a list, answers what
-// is none, and says nothing at all. What is known serves on, and the first word that can be used binds.
-TEST_CASE("discovery that fails in each way costs no answer, one line an episode, and its next word counts") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
+// Discovery rejects a request, truncates the header or a list, sends malformed lists, or does not answer.
+// Requests are served by the known list, and the first valid update is applied.
+TEST_CASE("discovery failures fail no request and are logged once; the next valid update is applied") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
   const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const auto chunk = [](const std::string& line) {
     char size[16];
@@ -481,13 +495,13 @@
                             head + chunk("[1,2]\n"),
                             ""};
   std::size_t calls = 0;
-  std::vector<std::unique_ptr<TestConnection>> peers;
+  std::vector<std::unique_ptr<TestConnection>> connections;
   net::Listener agent(
-      w.loop, [] { return true; },
+      fleet.loop, [] { return true; },
       [&](net::ObjectPtr<GSocket> socket) {
-        peers.push_back(std::make_unique<TestConnection>());
-        TestConnection& peer = *peers.back();
-        peer.connection = Connection::Adopt(w.loop, std::move(socket), peer, 65536, 65536);
+        connections.push_back(std::make_unique<TestConnection>());
+        TestConnection& peer = *connections.back();
+        peer.connection = Connection::Adopt(fleet.loop, std::move(socket), peer, 65536, 65536);
         const std::size_t call = calls++;
         if (call < failures.size()) {
           peer.Send(failures[call]);
@@ -503,56 +517,57 @@
   REQUIRE(agent.Open({"127.0.0.1", 0}));
   discovery::EndpointListReader reader({"a"});
   const LogCapture log;
-  bool told = false;
-  discovery::DiscoveryWatch watch(w.loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
+  bool updated = false;
+  discovery::DiscoveryWatch watch(fleet.loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
                                   [&](const discovery::EndpointListUpdate&) {
-                                    told = true;
-                                    w.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+                                    updated = true;
+                                    fleet.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
                                   });
   watch.Start();
   for (std::size_t i = 0; i < failures.size(); ++i) {
-    w.RunUntil([&] { return calls > i; });
-    TestConnection& client = w.ConnectClient({RequestText("any")});
-    w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+    fleet.RunUntil([&] { return calls > i; });
+    TestConnection& client = fleet.ConnectClient({RequestText("any")});
+    fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
   }
-  w.RunUntil([&] { return told; });
+  fleet.RunUntil([&] { return updated; });
   const std::size_t before = server.queries.size();
-  TestConnection& client = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
+  TestConnection& client = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
   CHECK(client.HasReceived("53300"));
   CHECK(server.queries.size() == before);
   CHECK(before == failures.size());
   CHECK(log.CountOf("watch interrupted") == 1);
-  CHECK(peers.back()->HasReceived("since=41 "));
+  CHECK(connections.back()->HasReceived("since=41 "));
 }
 
-TEST_CASE("discovery whose connections are refused is logged once an episode, and requests are served on") {
-  SimulatedFleet w;
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  const std::uint16_t closed = ClosedPort(w.loop);
+TEST_CASE("refused connections to discovery are logged once, and requests are still served") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  const std::uint16_t closed = ClosedPort(fleet.loop);
   discovery::EndpointListReader reader({"a"});
   const LogCapture log;
-  discovery::DiscoveryWatch watch(w.loop, {"127.0.0.1", closed}, reader, 41, 1, {},
+  discovery::DiscoveryWatch watch(fleet.loop, {"127.0.0.1", closed}, reader, 41, 1, {},
                                   [](const discovery::EndpointListUpdate&) {});
   watch.Start();
-  std::set<TimePoint> calls;  // each time for which a call is put off
-  w.RunUntil([&] {
+  std::set<TimePoint> calls;  // the times at which requests are scheduled
+  fleet.RunUntil([&] {
     if (watch.next_request_at()) calls.insert(*watch.next_request_at());
     return calls.size() >= 4;
   });
-  TestConnection& client = w.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+  TestConnection& client = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
   CHECK(log.CountOf("watch interrupted") == 1);
   CHECK_FALSE(watch.has_received_update());
 }
 
-// The agent has known for long that the only data server drains; the list in the configuration is older. The
-// agent is called before the first client has its answer, however many instances start: what it tells binds.
-TEST_CASE("a pooler of 300 that starts with an old list obeys a drain that its agent knows of") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kEchoValue);
-  DiscoveryAgent agent(w.loop);
+// The agent knows that the only data server is draining; the list in the configuration is older. The agent is
+// called before the first client gets a response, however many instances start, so its list has to be
+// applied.
+TEST_CASE("a pooler that starts with an outdated list obeys a drain that its agent knows of") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kEchoValue);
+  DiscoveryAgent agent(fleet.loop);
   const auto list = [&](const char* revision, const char* state) {
     return R"({"rev":)" + std::string(revision) +
            R"(,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:)" +
@@ -560,63 +575,63 @@
            R"("}]})";
   };
   agent.response = list("42", "Terminating") + "\n";
-  PoolerProcess program(w);
-  std::string config = program.PlatformConfig(agent.Address(), list("41", "Ready"));
+  PoolerProcess pooler(fleet);
+  std::string config = pooler.PlatformConfig(agent.Address(), list("41", "Ready"));
   config.replace(config.find(R"("settings":{)"), 12,
                  R"("settings":{"peers_total":300,"discovery":"push",)"
                  R"("rules":{"drain_grace_us":2000000},)");
-  program.Configure(config);
-  program.Start();
+  pooler.Configure(config);
+  pooler.Start();
   for (TestConnection* first = nullptr; first == nullptr || first->peer_closed;) {
-    first = &program.ConnectClient({""});
-    w.RunUntil([&] { return first->peer_closed || first->MessageTypes().ends_with("IZ"); });
+    first = &pooler.ConnectClient({""});
+    fleet.RunUntil([&] { return first->peer_closed || first->MessageTypes().ends_with("IZ"); });
   }
   g_main_context_iteration(nullptr, FALSE);
   REQUIRE(agent.connections.size() == 1);
-  w.RunUntil([&] { return agent.HasReceived("since=41 "); });
-  TestConnection& client = program.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
+  fleet.RunUntil([&] { return agent.HasReceived("since=41 "); });
+  TestConnection& client = pooler.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
   CHECK(client.HasReceived("53300"));
   CHECK(server.queries.empty());
 }
 
-TEST_CASE("SIGHUP moves the watch and nothing else; a file that cannot be used changes nothing") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  DiscoveryAgent first(w.loop), second(w.loop);
+TEST_CASE("SIGHUP changes the address of discovery only; an invalid file changes nothing") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  DiscoveryAgent first(fleet.loop), second(fleet.loop);
   const std::string target = R"({"uid":"s-1","endpoint":"127.0.0.1:)" +
                              std::to_string(server.listener.port()) +
                              R"(","az":"a","pod_group":2,"state":"Ready"})";
   const std::string known = R"({"rev":41,"all":true,"targets":[)" + target + "]}";
   first.response = known + "\n";
   second.response = R"({"rev":7,"all":true,"targets":[]})"
-                    "\n";  // a whole list, of a count of its own
-  PoolerProcess program(w);
-  program.Configure(program.PlatformConfig(first.Address(), known));
-  program.Start();
-  w.RunUntil([&] { return first.HasReceived("since=41 "); });
-  TestConnection& client = program.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return server.queries.size() == 1; });
+                    "\n";  // a complete list, with its own revision numbers
+  PoolerProcess pooler(fleet);
+  pooler.Configure(pooler.PlatformConfig(first.Address(), known));
+  pooler.Start();
+  fleet.RunUntil([&] { return first.HasReceived("since=41 "); });
+  TestConnection& client = pooler.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return server.queries.size() == 1; });
   for (const char* bad : {"{", "{}"}) {
-    program.Configure(bad);
-    g_subprocess_send_signal(program.process.get(), SIGHUP);
-    TestConnection& alive = program.ConnectClient({""});
-    w.RunUntil([&] { return alive.MessageTypes().ends_with("IZ"); });
+    pooler.Configure(bad);
+    g_subprocess_send_signal(pooler.process.get(), SIGHUP);
+    TestConnection& alive = pooler.ConnectClient({""});
+    fleet.RunUntil([&] { return alive.MessageTypes().ends_with("IZ"); });
   }
   CHECK_FALSE(first.connections[0]->peer_closed);
-  program.Configure(program.PlatformConfig(second.Address(), known));
-  g_subprocess_send_signal(program.process.get(), SIGHUP);
-  w.RunUntil([&] { return second.HasReceived("since=41 ") && first.connections[0]->peer_closed; });
+  pooler.Configure(pooler.PlatformConfig(second.Address(), known));
+  g_subprocess_send_signal(pooler.process.get(), SIGHUP);
+  fleet.RunUntil([&] { return second.HasReceived("since=41 ") && first.connections[0]->peer_closed; });
   second.connections[0]->connection->Close();
-  w.RunUntil(
-      [&] { return second.HasReceived("since=7 "); });  // the list was taken, though its number is lower
+  fleet.RunUntil(
+      [&] { return second.HasReceived("since=7 "); });  // the list was applied although its revision is lower
   server.connections.back()->Send(RowResponse("v"));
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
-  g_subprocess_send_signal(program.process.get(), SIGTERM);
-  g_subprocess_send_signal(program.process.get(), SIGHUP);
-  w.RunUntil([&] { return program.exited; });
-  REQUIRE(g_subprocess_get_if_exited(program.process.get()));
-  CHECK(g_subprocess_get_exit_status(program.process.get()) == 0);
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+  g_subprocess_send_signal(pooler.process.get(), SIGTERM);
+  g_subprocess_send_signal(pooler.process.get(), SIGHUP);
+  fleet.RunUntil([&] { return pooler.exited; });
+  REQUIRE(g_subprocess_get_if_exited(pooler.process.get()));
+  CHECK(g_subprocess_get_exit_status(pooler.process.get()) == 0);
 }
 
 }  // namespace
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// What is still owed when something ends: each test forces the order in which it could be forgotten, on real
-// sockets. docs/endings.md lists them.
+// Ends of requests, connections and processes: each test forces an order of events in which a request could
+// be lost, answered twice or sent too late, on real sockets. docs/endings.md lists them.
 #include <netinet/in.h>
 #include <sys/resource.h>
 #include <sys/stat.h>
@@ -17,216 +17,220 @@
 namespace {
 
 constexpr Duration kSecond{1000000};
-constexpr int kLong = 60000;  // ms: what ends before was not ended by the deadline; longer than any test
+constexpr int kLongBudgetMs = 60000;  // longer than any test, so that no request ends by its deadline
 
-// Deadlines under the least time for which a stop serves on: it may be killed 1.1 s after the signal.
-Settings Short() {
-  Settings s = DefaultSettings();
-  for (RequestClass& kind : s.classes) kind.deadline = Duration(400000);
-  return s;
+// Deadlines shorter than the minimum drain time. The process may be killed 1.1 s after SIGTERM.
+Settings ShortDeadlineSettings() {
+  Settings settings = DefaultSettings();
+  for (RequestClass& request_class : settings.classes) request_class.deadline = Duration(400000);
+  return settings;
 }
 
-// ---- Clients that go -------------------------------------------------------------------------------------
+// ---- Clients that cancel or disconnect -------------------------------------------------------------------
 
 TEST_CASE(
-    "a cancel ends the open request with 57014, calls its attempt off, and leaves the connection usable") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
-  w.RunUntil([&] { return server.queries.size() == 1; });
-  const std::size_t asked_on = server.connections.size();
-  TestConnection& cancel = w.OpenConnection(w.frontend.port());
+    "a CancelRequest ends the request with 57014, cancels its attempt and leaves the connection usable") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({RequestText("any", "k", kLongBudgetMs)});
+  fleet.RunUntil([&] { return server.queries.size() == 1; });
+  const std::size_t connections_before = server.connections.size();
+  TestConnection& cancel = fleet.OpenConnection(fleet.frontend.port());
   cancel.Send(CancelRequestMessage(CancelKeyOf(client)));
-  w.RunUntil([&] { return client.MessageTypes().ends_with("EZ") && cancel.peer_closed; });
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("EZ") && cancel.peer_closed; });
   CHECK(client.HasReceived("57014"));
   CHECK(cancel.received.empty());
   CHECK_FALSE(cancel.was_reset);
-  CHECK(w.proxy.requests_in_flight() == 0);
-  w.RunUntil(
-      [&] { return std::ranges::any_of(server.connections, [](const auto& p) { return p->peer_closed; }); });
-  CHECK(server.connections.size() == asked_on);  // nothing further was sent
+  CHECK(fleet.proxy.requests_in_flight() == 0);
+  fleet.RunUntil([&] {
+    return std::ranges::any_of(server.connections,
+                               [](const auto& connection) { return connection->peer_closed; });
+  });
+  CHECK(server.connections.size() == connections_before);  // no further attempt
   server.on_query = kEchoValue;
   client.Send(QueryMessage(RequestText("any", "2")));
-  w.RunUntil([&] { return client.MessageTypes().ends_with("EZTDCZ"); });
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("EZTDCZ"); });
 }
 
-TEST_CASE("a cancel with a wrong key, or one that is nobody's, has no effect and gets a close alone") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
-  TestConnection& other = w.ConnectClient({""});
-  w.RunUntil([&] { return server.queries.size() == 1 && other.HasReceived("I"); });
+TEST_CASE("a CancelRequest with a wrong or unknown key has no effect, and its connection is closed") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({RequestText("any", "k", kLongBudgetMs)});
+  TestConnection& other = fleet.ConnectClient({""});
+  fleet.RunUntil([&] { return server.queries.size() == 1 && other.HasReceived("I"); });
   const std::string key = CancelKeyOf(client), others = CancelKeyOf(other);
   REQUIRE(key.size() == 8);
   CHECK(key.substr(0, 4) != others.substr(0, 4));
   CHECK(key.substr(4) != others.substr(4));
-  std::string wrong = key, nobodys = key;
+  std::string wrong = key, unknown = key;
   wrong[7] = static_cast<char>(wrong[7] ^ 1);
-  nobodys[0] = '\x7f';
-  for (const std::string& bad : {wrong, nobodys, others}) {
-    TestConnection& cancel = w.OpenConnection(w.frontend.port());
+  unknown[0] = '\x7f';
+  for (const std::string& bad : {wrong, unknown, others}) {
+    TestConnection& cancel = fleet.OpenConnection(fleet.frontend.port());
     cancel.Send(CancelRequestMessage(bad));
-    w.RunUntil([&] { return cancel.peer_closed; });
+    fleet.RunUntil([&] { return cancel.peer_closed; });
     CHECK(cancel.received.empty());
   }
-  CHECK(w.proxy.requests_in_flight() == 1);
+  CHECK(fleet.proxy.requests_in_flight() == 1);
   server.connections.back()->Send(RowResponse("v"));
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
-}
-
-TEST_CASE("a cancel that crosses the answer does not hit the next request of that connection") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("any", "1", kLong), RequestText("any", "2", kLong)});
-  w.RunUntil([&] { return server.queries.size() == 1; });
-  // On its way while the first is out; its bytes come when the second is.
-  TestConnection& cancel = w.OpenConnection(w.frontend.port());
-  w.RunUntil([&] { return w.frontend.sessions() == 2; });
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+}
+
+TEST_CASE("a CancelRequest that crosses the response does not cancel the next request of the session") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& client =
+      fleet.ConnectClient({RequestText("any", "1", kLongBudgetMs), RequestText("any", "2", kLongBudgetMs)});
+  fleet.RunUntil([&] { return server.queries.size() == 1; });
+  // Connects while the first request is in flight, and sends its message when the second one is.
+  TestConnection& cancel = fleet.OpenConnection(fleet.frontend.port());
+  fleet.RunUntil([&] { return fleet.frontend.sessions() == 2; });
   for (const auto& peer : server.connections) peer->Send(RowResponse("1"));
-  w.RunUntil([&] { return server.queries.size() == 2; });
+  fleet.RunUntil([&] { return server.queries.size() == 2; });
   cancel.Send(CancelRequestMessage(CancelKeyOf(client)));
-  w.RunUntil([&] { return cancel.peer_closed; });
-  CHECK(w.proxy.requests_in_flight() == 1);
+  fleet.RunUntil([&] { return cancel.peer_closed; });
+  CHECK(fleet.proxy.requests_in_flight() == 1);
   for (const auto& peer : server.connections) peer->Send(RowResponse("2"));
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZTDCZ"); });
-}
-
-TEST_CASE("a client that sends more than the ring holds and goes is missed at once") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  std::string much;
-  for (int i = 0; i < 8000; ++i) much += QueryMessage(RequestText("any", "k", kLong));
-  REQUIRE(much.size() > 2 * pg::kMaxBufferBytes);
-  RawClient client(w.frontend.port());
-  w.RunUntil([&] { return client.HasReceived("Z"); });
-  client.Send(QueryMessage(RequestText("any", "k", kLong)));
-  w.RunUntil([&] { return server.queries.size() == 1; });
-  client.SendNonBlocking(much);
-  // Until the ring is full and nothing is read any more.
-  const TimePoint from = w.loop.Now();
-  w.RunUntil([&] { return w.loop.Now() - from > Duration(50000); });
-  client.ReadAvailable();  // or the kernel would reset at once
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZTDCZ"); });
+}
+
+TEST_CASE("the close of a client that has sent more than the ring buffer holds is detected at once") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  std::string flood;
+  for (int i = 0; i < 8000; ++i) flood += QueryMessage(RequestText("any", "k", kLongBudgetMs));
+  REQUIRE(flood.size() > 2 * pg::kMaxBufferBytes);
+  RawClient client(fleet.frontend.port());
+  fleet.RunUntil([&] { return client.HasReceived("Z"); });
+  client.Send(QueryMessage(RequestText("any", "k", kLongBudgetMs)));
+  fleet.RunUntil([&] { return server.queries.size() == 1; });
+  client.SendNonBlocking(flood);
+  // Until the ring buffer is full and reading is paused.
+  const TimePoint start = fleet.loop.Now();
+  fleet.RunUntil([&] { return fleet.loop.Now() - start > Duration(50000); });
+  client.ReadAvailable();  // a close with unread input would be a reset
   client.Close();
-  w.RunUntil([&] { return w.proxy.counts().cancelled == 1; });
-  w.RunUntil([&] { return w.frontend.sessions() == 0; });
+  fleet.RunUntil([&] { return fleet.proxy.counts().cancelled == 1; });
+  fleet.RunUntil([&] { return fleet.frontend.sessions() == 0; });
   CHECK(server.queries.size() == 1);
 }
 
-TEST_CASE("a client that has ended its sending is told from one that closes after that") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& stays = w.ConnectClient({RequestText("any", "1", kLong)});
-  TestConnection& goes = w.ConnectClient({RequestText("any", "2", kLong)});
-  w.RunUntil([&] { return server.queries.size() == 2; });
-  for (TestConnection* peer : {&stays, &goes}) shutdown(peer->connection->descriptor(), SHUT_WR);
-  w.RunUntil([&] { return stays.HasReceived("still at work") && goes.HasReceived("still at work"); });
-  goes.connection->Close();
-  w.RunUntil([&] { return w.proxy.counts().cancelled == 1; });
+TEST_CASE("a client that has shut down sending is distinguished from one that closes after that") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& half_closed = fleet.ConnectClient({RequestText("any", "1", kLongBudgetMs)});
+  TestConnection& closed = fleet.ConnectClient({RequestText("any", "2", kLongBudgetMs)});
+  fleet.RunUntil([&] { return server.queries.size() == 2; });
+  for (TestConnection* peer : {&half_closed, &closed}) shutdown(peer->connection->descriptor(), SHUT_WR);
+  fleet.RunUntil(
+      [&] { return half_closed.HasReceived("still at work") && closed.HasReceived("still at work"); });
+  closed.connection->Close();
+  fleet.RunUntil([&] { return fleet.proxy.counts().cancelled == 1; });
   for (const auto& peer : server.connections) {
     if (!peer->peer_closed) peer->Send(RowResponse("v"));
   }
-  w.RunUntil([&] { return stays.MessageTypes().ends_with("TDCZ"); });
+  fleet.RunUntil([&] { return half_closed.MessageTypes().ends_with("TDCZ"); });
 }
 
-TEST_CASE("a write that waits for its primary is not sent on once its client has closed") {
-  Settings patient = DefaultSettings();
-  patient.classes[2].latency_objective = 30 * kSecond;
-  SimulatedFleet w(200, patient);
+TEST_CASE("a write that waits for a primary is not sent after its client has closed") {
+  Settings settings = DefaultSettings();
+  settings.classes[2].latency_objective = 30 * kSecond;
+  SimulatedFleet fleet(200, settings);
   DataServer& server =
-      w.AddServer([](TestConnection& p, const std::string&) { p.Send(ErrorResponse("25006")); });
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("write", "gone", kLong)});
-  w.RunUntil([&] { return !server.queries.empty() && w.proxy.requests_in_flight() == 1; });
+      fleet.AddServer([](TestConnection& peer, const std::string&) { peer.Send(ErrorResponse("25006")); });
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({RequestText("write", "gone", kLongBudgetMs)});
+  fleet.RunUntil([&] { return !server.queries.empty() && fleet.proxy.requests_in_flight() == 1; });
   client.connection->Close();
-  w.RunUntil([&] { return w.proxy.counts().cancelled == 1; });
-  const std::size_t before = server.queries.size();
-  server.load_report = "x1=1,x0=" + std::to_string(w.loop.Now().time_since_epoch().count() / 1000000);
-  server.on_query = [](TestConnection& p, const std::string&) { p.Send(RowResponse("v", "primary")); };
-  TestConnection& other = w.ConnectClient({RequestText("write", "here", kLong)});
-  w.RunUntil([&] { return other.MessageTypes().ends_with("TDCZ"); });
-  for (std::size_t i = before; i < server.queries.size(); ++i)
+  fleet.RunUntil([&] { return fleet.proxy.counts().cancelled == 1; });
+  const std::size_t queries_before = server.queries.size();
+  server.load_report = "x1=1,x0=" + std::to_string(fleet.loop.Now().time_since_epoch().count() / 1000000);
+  server.on_query = [](TestConnection& peer, const std::string&) { peer.Send(RowResponse("v", "primary")); };
+  TestConnection& other = fleet.ConnectClient({RequestText("write", "here", kLongBudgetMs)});
+  fleet.RunUntil([&] { return other.MessageTypes().ends_with("TDCZ"); });
+  for (std::size_t i = queries_before; i < server.queries.size(); ++i)
     CHECK(server.queries[i].find("'gone'") == std::string::npos);
 }
 
-// Where nothing may be called off, what has not begun must not begin all the same.
-TEST_CASE("an attempt whose connection comes up after its client has closed is not written") {
+// Even if the settings disable cancellation, an attempt that was not sent yet must not be sent.
+TEST_CASE("an attempt whose connection is established after its client has closed is not sent") {
   for (const bool may_cancel : {false, true}) {
     CAPTURE(may_cancel);
     Settings settings = DefaultSettings();
     settings.may_cancel = may_cancel;
     settings.load_reporting = LoadReporting::kNone;
-    SimulatedFleet w(200, settings);
-    DataServer& server = w.AddServer(kEchoValue);
+    SimulatedFleet fleet(200, settings);
+    DataServer& server = fleet.AddServer(kEchoValue);
     server.accepts_startup = false;
-    w.ApplyEndpointList();
-    TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
-    w.RunUntil([&] { return !server.connections.empty() && server.connections[0]->startup_received; });
+    fleet.ApplyEndpointList();
+    TestConnection& client = fleet.ConnectClient({RequestText("any", "k", kLongBudgetMs)});
+    fleet.RunUntil([&] { return !server.connections.empty() && server.connections[0]->startup_received; });
     client.connection->Close();
-    w.RunUntil([&] { return w.proxy.counts().cancelled == 1; });
+    fleet.RunUntil([&] { return fleet.proxy.counts().cancelled == 1; });
     for (const auto& peer : server.connections) peer->Send(StartupResponse());
     server.accepts_startup = true;
-    TestConnection& other = w.ConnectClient(
-        {RequestText("any", "2", kLong)});  // comes after, on the same connection or a new one
-    w.RunUntil([&] { return other.MessageTypes().ends_with("TDCZ"); });
+    TestConnection& other = fleet.ConnectClient(
+        {RequestText("any", "2", kLongBudgetMs)});  // sent after it, on the same connection or a new one
+    fleet.RunUntil([&] { return other.MessageTypes().ends_with("TDCZ"); });
     CHECK(server.queries.size() == 1);
   }
 }
 
-TEST_CASE(
-    "a message that trickles on without an end is closed in time, though something has always just come") {
-  SimulatedFleet w;
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({});
+TEST_CASE("a partial message that is continued byte by byte times out, although there is always new input") {
+  SimulatedFleet fleet;
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({});
   client.Send("Q\0\2\0\0"s + "/* id=");
-  net::Timer more(w.loop);
-  std::function<void()> say = [&] {
+  net::Timer timer(fleet.loop);
+  std::function<void()> send_byte = [&] {
     if (client.peer_closed) return;
     client.Send("x");
-    more.ScheduleAfter(Duration(100), say);  // so that a byte lies unread at every sweep
+    timer.ScheduleAfter(Duration(100), send_byte);  // so that a byte is unread at every sweep
   };
-  say();
-  w.RunUntil([&] { return client.peer_closed; });
+  send_byte();
+  fleet.RunUntil([&] { return client.peer_closed; });
   CHECK(client.HasReceived("08P01"));
 }
 
-TEST_CASE("hundreds of connections that send much and go in one segment cost the others nothing") {
-  SimulatedFleet w(1000);
-  DataServer& server = w.AddServer([](TestConnection& p, const std::string& text) {
-    if (text.find("'g'") != std::string::npos) p.Send(RowResponse("g"));  // the others' never come back
+TEST_CASE("hundreds of clients that send requests and close at once do not affect another client") {
+  SimulatedFleet fleet(1000);
+  DataServer& server = fleet.AddServer([](TestConnection& peer, const std::string& text) {
+    if (text.find("'g'") != std::string::npos)
+      peer.Send(RowResponse("g"));  // requests of the flood get no response
   });
-  w.ApplyEndpointList();
-  const std::uint16_t port = w.frontend.port();
+  fleet.ApplyEndpointList();
+  const std::uint16_t port = fleet.frontend.port();
   for (int i = 0; i < 300; ++i) {
-    RawClient flood(port, QueryMessage(RequestText("any", "f", kLong)) +
-                              QueryMessage(RequestText("any", "f", kLong)) + QueryMessage("SET x"));
+    RawClient flood(port, QueryMessage(RequestText("any", "f", kLongBudgetMs)) +
+                              QueryMessage(RequestText("any", "f", kLongBudgetMs)) + QueryMessage("SET x"));
   }
-  // Refused with advice while the flood stands, served once it has gone.
-  TestConnection& good = w.ConnectClient({""});
-  std::size_t heard = 0;
-  w.RunUntil([&] {
+  // Rejected with a Retry-After during the flood, served after it.
+  TestConnection& good = fleet.ConnectClient({""});
+  std::size_t types_seen = 0;
+  fleet.RunUntil([&] {
     const std::string types = good.MessageTypes();
-    if (types.ends_with("Z") && !types.ends_with("DCZ") && types.size() > heard) {
-      heard = types.size();
-      good.Send(QueryMessage(RequestText("any", "g", kLong)));
+    if (types.ends_with("Z") && !types.ends_with("DCZ") && types.size() > types_seen) {
+      types_seen = types.size();
+      good.Send(QueryMessage(RequestText("any", "g", kLongBudgetMs)));
     }
     return types.ends_with("TDCZ");
   });
-  w.RunUntil([&] { return w.proxy.requests_in_flight() == 0 && w.frontend.sessions() == 1; });
+  fleet.RunUntil([&] { return fleet.proxy.requests_in_flight() == 0 && fleet.frontend.sessions() == 1; });
   CHECK(std::ranges::count_if(server.queries, [](const auto& q) {
           return q.find("'f'") != std::string::npos;
         }) <= 300);  // none of the second requests
 }
 
-// ---- Stops -----------------------------------------------------------------------------------------------
+// ---- Graceful shutdown -----------------------------------------------------------------------------------
 
-// Whether the last answers are so many and whole: served, or refused for the little time that is left.
-bool Answered(const std::string& types, int count) {
+// Whether the last `count` responses are complete: served, or rejected because little time is left.
+bool EndsWithResponses(const std::string& types, int count) {
   std::string rest = types;
   while (count-- > 0) {
     if (rest.ends_with("TDCZ")) {
@@ -240,149 +244,154 @@
   return rest.ends_with("KZ") || rest.ends_with("IZ");
 }
 
-// Until the listener is closed, and those between requests are told to go.
-void UntilLeaving(SimulatedFleet& w, TimePoint from) {
-  w.RunUntil([&] { return w.loop.Now() - from >= Duration(720000); });
+// Runs until the listener is closed and idle sessions are being closed.
+void RunUntilListenerClosed(SimulatedFleet& fleet, TimePoint start) {
+  fleet.RunUntil([&] { return fleet.loop.Now() - start >= Duration(720000); });
 }
 
-TEST_CASE("a stop answers what was read behind an answer, and what is sent later is not sent on") {
-  SimulatedFleet w(200, Short());
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
+TEST_CASE("shutdown: requests that have arrived are answered, later ones are not forwarded") {
+  SimulatedFleet fleet(200, ShortDeadlineSettings());
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
   bool done = false;
-  w.frontend.StartDrain([&] { done = true; });
-  const TimePoint from = w.loop.Now();
-  w.RunUntil([&] { return w.loop.Now() - from >= Duration(600000); });
-  TestConnection& client = w.ConnectClient({RequestText("any", "1", kLong), RequestText("any", "2", kLong)});
-  w.RunUntil([&] { return server.queries.size() == 1; });
-  UntilLeaving(w, from);
+  fleet.frontend.StartDrain([&] { done = true; });
+  const TimePoint start = fleet.loop.Now();
+  fleet.RunUntil([&] { return fleet.loop.Now() - start >= Duration(600000); });
+  TestConnection& client =
+      fleet.ConnectClient({RequestText("any", "1", kLongBudgetMs), RequestText("any", "2", kLongBudgetMs)});
+  fleet.RunUntil([&] { return server.queries.size() == 1; });
+  RunUntilListenerClosed(fleet, start);
   server.on_query = kEchoValue;
   for (const auto& peer : server.connections) peer->Send(RowResponse("1"));
-  w.RunUntil([&] { return client.peer_closed; });
-  CHECK(Answered(client.MessageTypes(), 2));
+  fleet.RunUntil([&] { return client.peer_closed; });
+  CHECK(EndsWithResponses(client.MessageTypes(), 2));
   CHECK_FALSE(client.was_reset);
   const std::size_t before = server.queries.size();
-  client.Send(QueryMessage(RequestText("any", "3", kLong)));
-  w.RunUntil([&] { return client.connection->all_written(); });
-  CHECK_FALSE(done);  // while the client has not closed, what it sends is thrown away
+  client.Send(QueryMessage(RequestText("any", "3", kLongBudgetMs)));
+  fleet.RunUntil([&] { return client.connection->all_written(); });
+  CHECK_FALSE(done);  // input is discarded until the client closes
   client.connection->Close();
-  w.RunUntil([&] { return done; });
+  fleet.RunUntil([&] { return done; });
   CHECK(server.queries.size() == before);
 }
 
-TEST_CASE("a request that crosses the close of a resting connection is not sent on, and draws no reset") {
-  Settings patient = Short();
-  for (RequestClass& kind : patient.classes)
-    kind.latency_objective = 30 * kSecond;  // or it might be refused for its time
-  SimulatedFleet w(200, patient);
-  DataServer& server = w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  RawClient resting(w.frontend.port(), QueryMessage(""));
-  w.RunUntil([&] { return resting.HasReceived("I"); });
-  w.frontend.StartDrain([] {});
-  w.RunUntil([&] {
-    resting.ReadAvailable();
-    return resting.peer_closed;
+TEST_CASE(
+    "shutdown: a request that crosses the close of an idle connection is not forwarded, and not reset") {
+  Settings settings = ShortDeadlineSettings();
+  for (RequestClass& request_class : settings.classes)
+    request_class.latency_objective = 30 * kSecond;  // or requests might be rejected as late
+  SimulatedFleet fleet(200, settings);
+  DataServer& server = fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  RawClient idle(fleet.frontend.port(), QueryMessage(""));
+  fleet.RunUntil([&] { return idle.HasReceived("I"); });
+  fleet.frontend.StartDrain([] {});
+  fleet.RunUntil([&] {
+    idle.ReadAvailable();
+    return idle.peer_closed;
   });
-  resting.Send(QueryMessage(RequestText("any", "k", kLong)));
-  w.RunUntil([&] { return w.frontend.sessions() == 0; });
+  idle.Send(QueryMessage(RequestText("any", "k", kLongBudgetMs)));
+  fleet.RunUntil([&] { return fleet.frontend.sessions() == 0; });
   CHECK(server.queries.empty());
-  CHECK(resting.SocketError() == 0);
+  CHECK(idle.SocketError() == 0);
 }
 
-TEST_CASE("a client that asks again at each answer is told the end by a stop all the same") {
-  Settings patient = Short();
-  for (RequestClass& kind : patient.classes) kind.latency_objective = 30 * kSecond;
-  SimulatedFleet w(200, patient);
+TEST_CASE("shutdown: a client that sends its next request at each response is closed as well") {
+  Settings settings = ShortDeadlineSettings();
+  for (RequestClass& request_class : settings.classes) request_class.latency_objective = 30 * kSecond;
+  SimulatedFleet fleet(200, settings);
   std::vector<std::unique_ptr<net::Timer>> timers;
-  DataServer& server =
-      w.AddServer([&](TestConnection& p, const std::string&) {  // hardly a moment between two requests
-        timers.push_back(std::make_unique<net::Timer>(w.loop));
-        timers.back()->ScheduleAfter(Duration(15000), [&p] { p.Send(RowResponse("v")); });
+  DataServer& server = fleet.AddServer(
+      [&](TestConnection& peer, const std::string&) {  // hardly any pause between two requests
+        timers.push_back(std::make_unique<net::Timer>(fleet.loop));
+        timers.back()->ScheduleAfter(Duration(15000), [&peer] { peer.Send(RowResponse("v")); });
       });
-  w.ApplyEndpointList();
-  TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.ConnectClient({RequestText("any", "k", kLongBudgetMs)});
   bool done = false;
-  w.frontend.StartDrain([&] { done = true; });
-  const TimePoint from = w.loop.Now();
-  std::size_t heard = 0, at_stop = 0;
-  w.RunUntil([&] {
-    if (w.loop.Now() - from >= Duration(720000) && at_stop == 0) at_stop = server.queries.size();
+  fleet.frontend.StartDrain([&] { done = true; });
+  const TimePoint start = fleet.loop.Now();
+  std::size_t types_seen = 0, queries_at_close = 0;
+  fleet.RunUntil([&] {
+    if (fleet.loop.Now() - start >= Duration(720000) && queries_at_close == 0)
+      queries_at_close = server.queries.size();
     const std::size_t types = client.MessageTypes().size();
-    if (!client.peer_closed && types > heard && client.MessageTypes().ends_with("CZ")) {
-      client.Send(QueryMessage(RequestText("any", "k", kLong)));
+    if (!client.peer_closed && types > types_seen && client.MessageTypes().ends_with("CZ")) {
+      client.Send(QueryMessage(RequestText("any", "k", kLongBudgetMs)));
     }
-    heard = types;
+    types_seen = types;
     return client.peer_closed;
   });
-  CHECK((at_stop == 0 || server.queries.size() <= at_stop + 1));
+  CHECK((queries_at_close == 0 || server.queries.size() <= queries_at_close + 1));
   client.connection->Close();
-  w.RunUntil([&] { return done; });
-}
-
-TEST_CASE("half a request at a stop is refused with 57P03, or answered if its rest comes") {
-  SimulatedFleet w(200, Short());
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  w.frontend.StartDrain([] {});
-  const TimePoint from = w.loop.Now();
-  w.RunUntil([&] { return w.loop.Now() - from >= Duration(650000); });
-  const std::string query = QueryMessage(RequestText("any", "v", kLong));
-  TestConnection& half = w.ConnectClient({""});
-  TestConnection& whole = w.ConnectClient({""});
-  w.RunUntil([&] { return half.HasReceived("I") && whole.HasReceived("I"); });
-  for (TestConnection* peer : {&half, &whole}) peer->Send(query.substr(0, 30));
-  UntilLeaving(w, from);
-  whole.Send(query.substr(30));
-  w.RunUntil([&] { return whole.peer_closed && half.peer_closed; });
-  CHECK(Answered(whole.MessageTypes(), 1));
-  CHECK(half.HasReceived("57P03"));
-  CHECK_FALSE(half.was_reset);
-  CHECK_FALSE(whole.was_reset);
-}
-
-TEST_CASE("a connection that waits in the queue as the listener closes has its request answered") {
-  SimulatedFleet w(200, Short());
-  w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  w.frontend.StartDrain([] {});
-  const TimePoint from = w.loop.Now();
-  w.RunUntil([&] { return w.loop.Now() - from >= Duration(600000); });
-  // The loop stands still until the listener is due to close: the connection and its request come meanwhile.
-  RawClient queued(w.frontend.port(), QueryMessage(RequestText("any", "v", kLong)));
-  while (w.loop.PreciseNow() - from < Duration(705000))
+  fleet.RunUntil([&] { return done; });
+}
+
+TEST_CASE("shutdown: a partial request gets 57P03, or its response if the rest arrives in time") {
+  SimulatedFleet fleet(200, ShortDeadlineSettings());
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  fleet.frontend.StartDrain([] {});
+  const TimePoint start = fleet.loop.Now();
+  fleet.RunUntil([&] { return fleet.loop.Now() - start >= Duration(650000); });
+  const std::string query = QueryMessage(RequestText("any", "v", kLongBudgetMs));
+  TestConnection& partial = fleet.ConnectClient({""});
+  TestConnection& completed = fleet.ConnectClient({""});
+  fleet.RunUntil([&] { return partial.HasReceived("I") && completed.HasReceived("I"); });
+  for (TestConnection* peer : {&partial, &completed}) peer->Send(query.substr(0, 30));
+  RunUntilListenerClosed(fleet, start);
+  completed.Send(query.substr(30));
+  fleet.RunUntil([&] { return completed.peer_closed && partial.peer_closed; });
+  CHECK(EndsWithResponses(completed.MessageTypes(), 1));
+  CHECK(partial.HasReceived("57P03"));
+  CHECK_FALSE(partial.was_reset);
+  CHECK_FALSE(completed.was_reset);
+}
+
+TEST_CASE("shutdown: a connection that is not accepted yet when the listener closes gets its response") {
+  SimulatedFleet fleet(200, ShortDeadlineSettings());
+  fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  fleet.frontend.StartDrain([] {});
+  const TimePoint start = fleet.loop.Now();
+  fleet.RunUntil([&] { return fleet.loop.Now() - start >= Duration(600000); });
+  // The loop is blocked until the listener is due to close; the connection and its request arrive in the
+  // meantime.
+  RawClient queued(fleet.frontend.port(), QueryMessage(RequestText("any", "v", kLongBudgetMs)));
+  while (fleet.loop.PreciseNow() - start < Duration(705000))
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
-  w.RunUntil([&] { return queued.HasReceived("SELECT 1") || queued.HasReceived("53300"); });
-  w.RunUntil([&] {
+  fleet.RunUntil([&] { return queued.HasReceived("SELECT 1") || queued.HasReceived("53300"); });
+  fleet.RunUntil([&] {
     queued.ReadAvailable();
     return queued.peer_closed;
   });
 }
 
-TEST_CASE("what is owed is answered before the earliest kill, whatever its deadline") {
-  SimulatedFleet w(200, Short());
-  DataServer& server = w.AddServer(kNoResponse);
-  w.ApplyEndpointList();
-  TestConnection& out = w.ConnectClient({RequestText("any", "1", kLong)});
-  w.RunUntil([&] { return server.queries.size() == 1; });
-  server.on_query = [](TestConnection& p, const std::string&) { p.Send(ErrorResponse("25006")); };
-  TestConnection& held = w.ConnectClient({RequestText("write", "2", kLong)});
-  w.RunUntil([&] { return w.proxy.requests_in_flight() == 2; });
+TEST_CASE("shutdown: requests in flight are answered before the earliest kill, whatever their deadline") {
+  SimulatedFleet fleet(200, ShortDeadlineSettings());
+  DataServer& server = fleet.AddServer(kNoResponse);
+  fleet.ApplyEndpointList();
+  TestConnection& attempted = fleet.ConnectClient({RequestText("any", "1", kLongBudgetMs)});
+  fleet.RunUntil([&] { return server.queries.size() == 1; });
+  server.on_query = [](TestConnection& peer, const std::string&) { peer.Send(ErrorResponse("25006")); };
+  TestConnection& waiting = fleet.ConnectClient({RequestText("write", "2", kLongBudgetMs)});
+  fleet.RunUntil([&] { return fleet.proxy.requests_in_flight() == 2; });
   bool done = false;
-  w.frontend.StartDrain([&] { done = true; });
-  w.frontend.StartDrain([&] { FAIL("a second stop is none of its own"); });
-  const TimePoint from = w.loop.Now();
-  w.RunUntil([&] { return out.MessageTypes().ends_with("EZ") && held.MessageTypes().ends_with("EZ"); });
-  // The loop's own times: this is the moment that was chosen, not how fast the machine is.
-  CHECK(w.loop.Now() - from >= Duration(850000));
-  CHECK(out.HasReceived("58000"));
-  w.RunUntil([&] { return done || (out.peer_closed && held.peer_closed); });
-}
-
-TEST_CASE("an answer larger than the client's window at the stop arrives whole, and then the end") {
-  SimulatedFleet w(200, Short());
+  fleet.frontend.StartDrain([&] { done = true; });
+  fleet.frontend.StartDrain([&] { FAIL("a second call of StartDrain has an effect"); });
+  const TimePoint start = fleet.loop.Now();
+  fleet.RunUntil(
+      [&] { return attempted.MessageTypes().ends_with("EZ") && waiting.MessageTypes().ends_with("EZ"); });
+  // By the clock of the loop, so that the speed of the machine does not matter.
+  CHECK(fleet.loop.Now() - start >= Duration(850000));
+  CHECK(attempted.HasReceived("58000"));
+  fleet.RunUntil([&] { return done || (attempted.peer_closed && waiting.peer_closed); });
+}
+
+TEST_CASE("shutdown: responses larger than the client's receive window arrive complete before the close") {
+  SimulatedFleet fleet(200, ShortDeadlineSettings());
   const std::string large(60000, 'x');
-  DataServer& server = w.AddServer([&](TestConnection& p, const std::string&) {
+  DataServer& server = fleet.AddServer([&](TestConnection& peer, const std::string&) {
     std::string out;
     pg::AppendMessage(out, 'T', kRowDescription);
     std::string row("\0\1\0\0", 4);
@@ -391,68 +400,70 @@
     pg::AppendMessage(out, 'D', row + large);
     pg::AppendCommandComplete(out, "SELECT 1");
     pg::AppendReadyForQuery(out);
-    p.Send(out);
+    peer.Send(out);
   });
-  w.ApplyEndpointList();
-  TestConnection& client = w.OpenConnection(w.frontend.port());
-  const int small = 65536;
-  setsockopt(client.connection->descriptor(), SOL_SOCKET, SO_RCVBUF, &small, sizeof small);
+  fleet.ApplyEndpointList();
+  TestConnection& client = fleet.OpenConnection(fleet.frontend.port());
+  const int receive_bytes = 65536;
+  setsockopt(client.connection->descriptor(), SOL_SOCKET, SO_RCVBUF, &receive_bytes, sizeof receive_bytes);
   client.connection->PauseReading();
   std::string out;
   pg::AppendStartupMessage(out, "worker", "catalog");
-  for (int i = 0; i < 60; ++i) pg::AppendQuery(out, RequestText("any", "k", kLong));
+  for (int i = 0; i < 60; ++i) pg::AppendQuery(out, RequestText("any", "k", kLongBudgetMs));
   client.Send(out);
-  w.RunUntil([&] { return !server.queries.empty(); });
-  w.frontend.StartDrain([] {});
-  const TimePoint from = w.loop.Now();
-  UntilLeaving(w, from);
+  fleet.RunUntil([&] { return !server.queries.empty(); });
+  fleet.frontend.StartDrain([] {});
+  const TimePoint start = fleet.loop.Now();
+  RunUntilListenerClosed(fleet, start);
   client.connection->ResumeReading();
-  w.RunUntil([&] { return client.peer_closed; });
+  fleet.RunUntil([&] { return client.peer_closed; });
   CHECK_FALSE(client.was_reset);
-  // Every answer that was begun is whole.
+  // Every message that was started is complete.
   std::string rest = client.received;
-  for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kComplete;) rest.erase(0, f.size);
+  for (pg::Frame frame; (frame = pg::ReadFrame(rest)).framing == pg::Framing::kComplete;)
+    rest.erase(0, frame.size);
   CHECK(rest.empty());
   CHECK(client.MessageTypes().ends_with("Z"));
 }
 
-TEST_CASE("an idle client that is closed for its age reads the end; its next request is not run, nor reset") {
-  SimulatedFleet w(100);
-  DataServer& server = w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  RawClient first(w.frontend.port(), QueryMessage(""));
-  w.RunUntil([&] { return first.HasReceived("I"); });
-  for (int i = 0; i < 20; ++i) w.ConnectClient({""});  // more than a quarter of what clients may hold
-  w.RunUntil([&] {
+TEST_CASE(
+    "a request that crosses the close of a session at its idle timeout is not forwarded, and not reset") {
+  SimulatedFleet fleet(100);
+  DataServer& server = fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  RawClient first(fleet.frontend.port(), QueryMessage(""));
+  fleet.RunUntil([&] { return first.HasReceived("I"); });
+  for (int i = 0; i < 20; ++i) fleet.ConnectClient({""});  // more than a quarter of the shared descriptors
+  fleet.RunUntil([&] {
     first.ReadAvailable();
     return first.peer_closed;
   });
   first.Send(QueryMessage(RequestText("any")));
   first.ShutdownSending();
-  w.RunUntil([&] { return w.frontend.sessions() == 0; });
+  fleet.RunUntil([&] { return fleet.frontend.sessions() == 0; });
   CHECK(server.queries.empty());
   CHECK(first.SocketError() == 0);
 }
 
-// ---- Data servers that end -------------------------------------------------------------------------------
+// ---- Attempts and data servers that end ------------------------------------------------------------------
 
-struct Ends final : proxy::UpstreamEvents {
+struct AttemptRecorder final : proxy::UpstreamEvents {
   std::vector<proxy::AttemptResult> attempts;
   void OnAttemptFinished(proxy::AttemptResult end) override { attempts.push_back(std::move(end)); }
   void OnHealthCheckFinished(const HealthCheckEvent&) override {}
 };
 
-struct Text final : proxy::Statement {
+struct WriteStatement final : proxy::Statement {
   std::string TextWithBudget(Duration) const override { return RequestText("write"); }
 };
 
-// The window was open when the repeat was decided; its connection comes up when it is not any more.
-TEST_CASE("a repeat whose connection comes up after its window has closed is not written") {
+// The retry was decided within the idempotency window, but its connection is established after the window.
+TEST_CASE("a retry whose connection is established after the idempotency window is not sent") {
   net::Loop loop;
   net::DescriptorBudget budget(100);
   upstream::ConnectionPool pool(loop, {.connect_timeout = Duration(5000000)}, budget, [] { return false; });
-  Ends ends;
-  pool.SetEvents(ends);
+  AttemptRecorder recorder;
+  pool.SetEvents(recorder);
   std::vector<std::unique_ptr<TestConnection>> peers;
   Strings queries;
   net::Listener listener(
@@ -465,34 +476,34 @@
         peer.connection = Connection::Adopt(loop, std::move(socket), peer, 65536, 65536);
       });
   REQUIRE(listener.Open({"127.0.0.1", 0}));
-  const auto until = [&](const std::function<bool()>& holds) {
-    while (!holds()) g_main_context_iteration(nullptr, TRUE);
+  const auto run_until = [&](const std::function<bool()>& condition) {
+    while (!condition()) g_main_context_iteration(nullptr, TRUE);
   };
   pool.SetAddress(ServerId(1), {"127.0.0.1", listener.port()});
-  const auto work = std::make_shared<Text>();
-  pool.StartAttempt(RequestId(1), 1, ServerId(1), work, {Duration(4000000), Duration(30000)});
-  until([&] { return queries.size() == 1; });  // the hello
-  until([&] { return ends.attempts.size() == 1; });
-  CHECK(ends.attempts[0].outcome == Outcome::kUnreachable);
+  const auto statement = std::make_shared<WriteStatement>();
+  pool.StartAttempt(RequestId(1), 1, ServerId(1), statement, {Duration(4000000), Duration(30000)});
+  run_until([&] { return queries.size() == 1; });  // the startup packet
+  run_until([&] { return recorder.attempts.size() == 1; });
+  CHECK(recorder.attempts[0].outcome == Outcome::kUnreachable);
   peers[0]->Send(StartupResponse());
-  // Up now, for one that may still be written, and for one whose time passes while the loop stands still.
-  pool.StartAttempt(RequestId(2), 0, ServerId(1), work, {Duration(4000000)});
-  until([&] { return queries.size() == 2; });
+  // The connection is established now: for an attempt in time, and for one whose write timeout has passed.
+  pool.StartAttempt(RequestId(2), 0, ServerId(1), statement, {Duration(4000000)});
+  run_until([&] { return queries.size() == 2; });
   peers[0]->Send(RowResponse("v"));
-  until([&] { return ends.attempts.size() == 2; });
-  CHECK(ends.attempts[1].outcome == Outcome::kOk);
-  pool.StartAttempt(RequestId(3), 1, ServerId(1), work, {Duration(4000000), Duration(0)});
-  until([&] { return ends.attempts.size() == 3; });
-  CHECK(ends.attempts[2].outcome == Outcome::kUnreachable);
+  run_until([&] { return recorder.attempts.size() == 2; });
+  CHECK(recorder.attempts[1].outcome == Outcome::kOk);
+  pool.StartAttempt(RequestId(3), 1, ServerId(1), statement, {Duration(4000000), Duration(0)});
+  run_until([&] { return recorder.attempts.size() == 3; });
+  CHECK(recorder.attempts[2].outcome == Outcome::kUnreachable);
   CHECK(queries.size() == 2);
 }
 
-// Of each effect, one whose first attempt broke after its last byte, in a window shorter than the deadline.
-TEST_CASE("what may have run is sent again as its class allows: never, within the window, or freely") {
+// For each kind of idempotency: the first attempt fails after its last byte was sent.
+TEST_CASE("a statement that may have been executed is retried as its class allows") {
   const struct {
     Idempotency idempotency;
     Duration window;
-    std::size_t least, most;
+    std::size_t min_attempts, max_attempts;
   } cases[] = {{Idempotency::kNotIdempotent, kSecond, 1, 1},
                {Idempotency::kIdempotencyKey, Duration(1), 1, 1},
                {Idempotency::kIdempotencyKey, 30 * kSecond, 2, 8},
@@ -503,190 +514,196 @@
     Settings settings = DefaultSettings();
     settings.classes[2].idempotency = c.idempotency;
     settings.classes[2].idempotency_window = c.window;
-    SimulatedFleet w(200, settings);
-    DataServer& server = w.AddServer([](TestConnection& p, const std::string&) { p.connection->Close(); });
+    SimulatedFleet fleet(200, settings);
+    DataServer& server =
+        fleet.AddServer([](TestConnection& peer, const std::string&) { peer.connection->Close(); });
     server.load_report = "x1=1,x0=1";
-    w.ApplyEndpointList();
-    TestConnection& client = w.ConnectClient({RequestText("write", "k", 2000)});
-    w.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
-    CHECK(server.queries.size() >= c.least);
-    CHECK(server.queries.size() <= c.most);
+    fleet.ApplyEndpointList();
+    TestConnection& client = fleet.ConnectClient({RequestText("write", "k", 2000)});
+    fleet.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
+    CHECK(server.queries.size() >= c.min_attempts);
+    CHECK(server.queries.size() <= c.max_attempts);
     CHECK(client.HasReceived("53300") == (c.idempotency == Idempotency::kIdempotent));
   }
 }
 
-TEST_CASE("an answer and a reset in one turn is an answer, and one that is cut is none") {
-  for (const bool whole : {true, false}) {
-    CAPTURE(whole);
-    SimulatedFleet w;
+TEST_CASE("a complete response followed by a reset is served, a truncated one is not") {
+  for (const bool complete : {true, false}) {
+    CAPTURE(complete);
+    SimulatedFleet fleet;
     int asked = 0;
-    const auto reset = [](TestConnection& p) {
+    const auto reset = [](TestConnection& peer) {
       const linger now{1, 0};
-      setsockopt(p.connection->descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
-      p.connection->Close();
+      setsockopt(peer.connection->descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+      peer.connection->Close();
     };
-    w.AddServer([&](TestConnection& p, const std::string&) {
-      if (++asked > 1) return p.Send(RowResponse("2"));
-      p.Send(whole ? RowResponse("1") : RowResponse("1").substr(0, 20));
-      reset(p);
+    fleet.AddServer([&](TestConnection& peer, const std::string&) {
+      if (++asked > 1) return peer.Send(RowResponse("2"));
+      peer.Send(complete ? RowResponse("1") : RowResponse("1").substr(0, 20));
+      reset(peer);
     });
-    w.ApplyEndpointList();
-    TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
-    w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
-    CHECK(client.MessageTypes().ends_with("KZTDCZ"));  // once
-    // A reset may overtake an answer in the kernel: then it was none, and the second is given.
+    fleet.ApplyEndpointList();
+    TestConnection& client = fleet.ConnectClient({RequestText("any", "k", kLongBudgetMs)});
+    fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+    CHECK(client.MessageTypes().ends_with("KZTDCZ"));  // exactly one response
+    // A reset may overtake the response in the kernel: then the second response is served.
     CHECK((client.HasReceived("\0011C") || client.HasReceived("\0012C")));
-    if (!whole) CHECK(client.HasReceived("\0012C"));
-    CHECK(w.proxy.requests_in_flight() == 0);
+    if (!complete) CHECK(client.HasReceived("\0012C"));
+    CHECK(fleet.proxy.requests_in_flight() == 0);
   }
 }
 
-TEST_CASE("an answer that goes on for ever is cut, and its request tried again") {
-  Settings patient = DefaultSettings();
-  // Or it might be refused for the time it has lost.
-  for (RequestClass& kind : patient.classes) kind.latency_objective = 30 * kSecond;
-  SimulatedFleet w(200, patient);
+TEST_CASE("a response that never ends is aborted, and its request is retried") {
+  Settings settings = DefaultSettings();
+  // Or the request might be rejected as late.
+  for (RequestClass& request_class : settings.classes) request_class.latency_objective = 30 * kSecond;
+  SimulatedFleet fleet(200, settings);
   TestConnection* endless = nullptr;
-  w.AddServer([&](TestConnection& p, const std::string&) {
-    if (endless != nullptr) return p.Send(RowResponse("v"));
-    endless = &p;
+  fleet.AddServer([&](TestConnection& peer, const std::string&) {
+    if (endless != nullptr) return peer.Send(RowResponse("v"));
+    endless = &peer;
   });
-  w.ApplyEndpointList();
-  net::Timer more(w.loop);
-  std::function<void()> say = [&] {
+  fleet.ApplyEndpointList();
+  net::Timer timer(fleet.loop);
+  std::function<void()> send_notice = [&] {
     std::string notice;
     pg::AppendNoticeResponse(notice, "more to come");
     if (endless != nullptr && !endless->peer_closed) endless->Send(notice);
-    more.ScheduleAfter(Duration(0), say);  // so that something is unread at every moment
+    timer.ScheduleAfter(Duration(0), send_notice);  // so that there is unread input at any time
   };
-  say();
-  TestConnection& client = w.ConnectClient({RequestText("any", "k", kLong)});
-  w.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
-  w.RunUntil([&] { return endless->peer_closed; });
-}
-
-TEST_CASE("a data server that drained and is back under its id, with a new start, is used again") {
-  SimulatedFleet w;
-  DataServer& server = w.AddServer(kEchoValue);
-  w.ApplyEndpointList();
-  w.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
-  TestConnection& refused = w.ConnectClient({RequestText("any", "k", 300)});
-  w.RunUntil([&] { return refused.HasReceived("53300"); });
-  ListEvent back{ListKind::kPartial, {}};
-  back.entries.push_back({.server = ServerId(1), .group = GroupId(2), .started = w.loop.Now()});
-  w.proxy.ApplyEndpointList(back);
-  TestConnection& served = w.ConnectClient({RequestText("any", "k", 3000)});
-  w.RunUntil([&] { return served.MessageTypes().ends_with("TDCZ"); });
+  send_notice();
+  TestConnection& client = fleet.ConnectClient({RequestText("any", "k", kLongBudgetMs)});
+  fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
+  fleet.RunUntil([&] { return endless->peer_closed; });
+}
+
+TEST_CASE("a data server that returns after a drain, with its id and a new start time, is used again") {
+  SimulatedFleet fleet;
+  DataServer& server = fleet.AddServer(kEchoValue);
+  fleet.ApplyEndpointList();
+  fleet.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+  TestConnection& refused = fleet.ConnectClient({RequestText("any", "k", 300)});
+  fleet.RunUntil([&] { return refused.HasReceived("53300"); });
+  ListEvent returned{ListKind::kPartial, {}};
+  returned.entries.push_back({.server = ServerId(1), .group = GroupId(2), .started = fleet.loop.Now()});
+  fleet.proxy.ApplyEndpointList(returned);
+  TestConnection& served = fleet.ConnectClient({RequestText("any", "k", 3000)});
+  fleet.RunUntil([&] { return served.MessageTypes().ends_with("TDCZ"); });
   CHECK(server.queries.size() == 1);
 }
 
-// ---- Discovery that goes quiet ---------------------------------------------------------------------------
+// ---- Discovery -------------------------------------------------------------------------------------------
 
-// An agent that answers each call by its number, and a watch on it.
-struct Watched {
-  using Answer = std::function<void(TestConnection&, std::size_t)>;
-  explicit Watched(Answer answer, discovery::DiscoveryService service = {.drain_grace = 2 * kSecond})
+// An agent of discovery that handles each request by its number, and a watch on it.
+struct WatchFixture {
+  using RequestHandler = std::function<void(TestConnection&, std::size_t)>;
+  explicit WatchFixture(RequestHandler on_request,
+                        discovery::DiscoveryService service = {.drain_grace = 2 * kSecond})
       : listener(
             loop, [] { return true; },
-            [this, answer = std::move(answer)](net::ObjectPtr<GSocket> socket) {
+            [this, on_request = std::move(on_request)](net::ObjectPtr<GSocket> socket) {
               connections.push_back(std::make_unique<TestConnection>());
               TestConnection& peer = *connections.back();
               peer.connection = Connection::Adopt(loop, std::move(socket), peer, 65536, 65536);
-              answer(peer, connections.size());
+              on_request(peer, connections.size());
             }),
         reader({"a"}) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
     watch.emplace(loop, net::Address{"127.0.0.1", listener.port()}, reader, 41, 1, service,
-                  [this](const discovery::EndpointListUpdate& change) { changes.push_back(change); });
+                  [this](const discovery::EndpointListUpdate& update) { updates.push_back(update); });
     watch->Start();
   }
   // The time limit is for a test that hangs, not a measure of speed.
-  void RunUntil(const std::function<bool()>& holds) {
-    bool late = false;
-    net::Timer limit(loop);
-    limit.ScheduleAfter(10 * kSecond, [&] { late = true; });
-    while (!holds() && !late) g_main_context_iteration(nullptr, TRUE);
-    REQUIRE(holds());
+  void RunUntil(const std::function<bool()>& condition) {
+    bool timed_out = false;
+    net::Timer timeout(loop);
+    timeout.ScheduleAfter(10 * kSecond, [&] { timed_out = true; });
+    while (!condition() && !timed_out) g_main_context_iteration(nullptr, TRUE);
+    REQUIRE(condition());
   }
   net::Loop loop;
   net::Listener listener;
   discovery::EndpointListReader reader;
   std::vector<std::unique_ptr<TestConnection>> connections;
-  std::vector<discovery::EndpointListUpdate> changes;
+  std::vector<discovery::EndpointListUpdate> updates;
   std::optional<discovery::DiscoveryWatch> watch;
 };
 
-const std::string kOpenEnded = "HTTP/1.1 200 OK\r\n\r\n";
-const std::string kDrains =
+const std::string kResponseHeader = "HTTP/1.1 200 OK\r\n\r\n";
+const std::string kDrainingEntry =
     R"({"uid":"s-1","endpoint":"127.0.0.1:1","az":"a","pod_group":2,"state":"Terminating"})";
-std::string Listing(const char* revision) {
-  return R"({"rev":)" + std::string(revision) + R"(,"all":true,"targets":[)" + kDrains + "]}";
+std::string CompleteList(const char* revision) {
+  return R"({"rev":)" + std::string(revision) + R"(,"all":true,"targets":[)" + kDrainingEntry + "]}";
 }
 
-TEST_CASE("a watch that trickles a line that never ends is silent, and opened anew") {
-  Watched w([](TestConnection& p, std::size_t call) {
-    p.Send(kOpenEnded + (call == 1 ? "{" : Listing("43") + "\n"));
+TEST_CASE("a watch whose line never ends counts as silent and is reopened") {
+  WatchFixture watcher([](TestConnection& peer, std::size_t call) {
+    peer.Send(kResponseHeader + (call == 1 ? "{" : CompleteList("43") + "\n"));
   });
-  net::Timer trickle(w.loop);
-  std::function<void()> drop = [&] {
-    if (!w.connections.empty() && !w.connections[0]->peer_closed) w.connections[0]->Send(" ");
-    trickle.ScheduleAfter(Duration(50000), drop);
+  net::Timer timer(watcher.loop);
+  std::function<void()> send_byte = [&] {
+    if (!watcher.connections.empty() && !watcher.connections[0]->peer_closed)
+      watcher.connections[0]->Send(" ");
+    timer.ScheduleAfter(Duration(50000), send_byte);
   };
-  drop();
-  w.RunUntil([&] { return w.changes.size() == 1; });
-  CHECK(w.connections.size() == 2);
-  CHECK(w.connections[1]->HasReceived("since=41 "));
+  send_byte();
+  watcher.RunUntil([&] { return watcher.updates.size() == 1; });
+  CHECK(watcher.connections.size() == 2);
+  CHECK(watcher.connections[1]->HasReceived("since=41 "));
 }
 
-TEST_CASE("a list that comes indented over several lines is one list") {
+TEST_CASE("an indented list over several lines is one list") {
   const std::string indented =
-      "{\n  \"rev\": 43,\n  \"all\": true,\n  \"targets\": [\n    " + kDrains + "\n  ]\n}\n\n";
-  Watched w([&](TestConnection& p, std::size_t) { p.Send(kOpenEnded + indented); });
-  w.RunUntil([&] { return !w.changes.empty(); });
-  REQUIRE(w.changes[0].endpoints.size() == 1);
-  CHECK(w.changes[0].revision == 43);
-  CHECK(w.changes[0].endpoints[0].entry.lifecycle == Lifecycle::kDraining);
-  CHECK(w.connections.size() == 1);
+      "{\n  \"rev\": 43,\n  \"all\": true,\n  \"targets\": [\n    " + kDrainingEntry + "\n  ]\n}\n\n";
+  WatchFixture watcher([&](TestConnection& peer, std::size_t) { peer.Send(kResponseHeader + indented); });
+  watcher.RunUntil([&] { return !watcher.updates.empty(); });
+  REQUIRE(watcher.updates[0].endpoints.size() == 1);
+  CHECK(watcher.updates[0].revision == 43);
+  CHECK(watcher.updates[0].endpoints[0].entry.lifecycle == Lifecycle::kDraining);
+  CHECK(watcher.connections.size() == 1);
 }
 
-TEST_CASE("an answer without a length that is reset is no list, and one that ends is") {
+TEST_CASE("a response without a length is a list if the connection ends, but not if it is reset") {
   for (const bool reset : {true, false}) {
     CAPTURE(reset);
-    const std::string list = Listing("43");
-    Watched w([&](TestConnection& p, std::size_t call) {
-      if (call > 1) return p.Send(kOpenEnded + Listing("44") + "\n");
-      p.Send(kOpenEnded + (reset ? list.substr(0, list.size() - 2) : list));  // without a line's end
-      if (!reset) return p.connection->ShutdownSending();
+    const std::string list = CompleteList("43");
+    WatchFixture watcher([&](TestConnection& peer, std::size_t call) {
+      if (call > 1) return peer.Send(kResponseHeader + CompleteList("44") + "\n");
+      peer.Send(kResponseHeader +
+                (reset ? list.substr(0, list.size() - 2) : list));  // without a final newline
+      if (!reset) return peer.connection->ShutdownSending();
     });
-    w.RunUntil([&] { return !w.connections.empty() && w.connections[0]->HasReceived("\r\n\r\n"); });
+    watcher.RunUntil(
+        [&] { return !watcher.connections.empty() && watcher.connections[0]->HasReceived("\r\n\r\n"); });
     if (reset) {
       const linger now{1, 0};
-      setsockopt(w.connections[0]->connection->descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
-      w.connections[0]->connection->Close();
+      setsockopt(watcher.connections[0]->connection->descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+      watcher.connections[0]->connection->Close();
     }
-    w.RunUntil([&] { return w.connections.size() == 2 && w.connections[1]->HasReceived("\r\n\r\n"); });
-    CHECK(w.connections[1]->HasReceived(reset ? "since=41 " : "since=43 "));
-    w.RunUntil([&] { return w.changes.size() == (reset ? 1 : 2); });
-    CHECK(w.changes.back().revision == 44);
+    watcher.RunUntil(
+        [&] { return watcher.connections.size() == 2 && watcher.connections[1]->HasReceived("\r\n\r\n"); });
+    CHECK(watcher.connections[1]->HasReceived(reset ? "since=41 " : "since=43 "));
+    watcher.RunUntil([&] { return watcher.updates.size() == (reset ? 1 : 2); });
+    CHECK(watcher.updates.back().revision == 44);
   }
 }
 
-// The next change would build on it: what it told would never be known.
-TEST_CASE("a spoilt line on a watch is asked for again at once") {
-  for (const std::string spoilt : {"{\"rev\":42,\"all\":fal\n", "{\"rev\":42,\"all\"\n\n", "noise\n"}) {
-    CAPTURE(spoilt);
-    Watched w([&](TestConnection& p, std::size_t call) {
-      p.Send(kOpenEnded +
-             (call == 1 ? spoilt + R"({"rev":43,"all":false,"targets":[]})" + "\n" : Listing("43") + "\n"));
+// The next update builds on it, so its content would never be received.
+TEST_CASE("a malformed line on a watch is requested again at once") {
+  for (const std::string malformed : {"{\"rev\":42,\"all\":fal\n", "{\"rev\":42,\"all\"\n\n", "noise\n"}) {
+    CAPTURE(malformed);
+    WatchFixture watcher([&](TestConnection& peer, std::size_t call) {
+      peer.Send(kResponseHeader + (call == 1 ? malformed + R"({"rev":43,"all":false,"targets":[]})" + "\n"
+                                             : CompleteList("43") + "\n"));
     });
-    w.RunUntil([&] { return !w.changes.empty(); });
-    CHECK(w.connections.size() == 2);
-    CHECK(w.changes[0].complete);
-    CHECK(w.connections[1]->HasReceived("since=41 "));
+    watcher.RunUntil([&] { return !watcher.updates.empty(); });
+    CHECK(watcher.connections.size() == 2);
+    CHECK(watcher.updates[0].complete);
+    CHECK(watcher.connections[1]->HasReceived("since=41 "));
   }
 }
 
-TEST_CASE("the role that the list shows is read, and a start beyond all time is none") {
+TEST_CASE("the role in the list is parsed, and a start time out of range is ignored") {
   discovery::EndpointListReader reader({"a"});
   const auto change = reader.Read(
       R"({"rev":1,"all":true,"targets":[)"
@@ -702,40 +719,41 @@
   CHECK(change->endpoints[1].entry.started);
 }
 
-// ---- The program itself ----------------------------------------------------------------------------------
+// ---- The pooler process ----------------------------------------------------------------------------------
 
 const char kNoList[] = R"({"rev":41,"all":true,"targets":[]})";
 
-// It stands in the read of its configuration, a pipe here, when the signal comes: after that the file names
-// another address.
-TEST_CASE("SIGHUP that comes while the program starts is obeyed once it has started") {
-  SimulatedFleet w;
-  DiscoveryAgent first(w.loop), second(w.loop);
+// The signal arrives while the process reads its configuration from a pipe; after that the file contains
+// another address of discovery.
+TEST_CASE("a SIGHUP during the start is handled once the pooler has started") {
+  SimulatedFleet fleet;
+  DiscoveryAgent first(fleet.loop), second(fleet.loop);
   first.response = second.response = std::string(kNoList) + "\n";
-  PoolerProcess program(w);
-  const std::string path = program.folder + "/config.json";
+  PoolerProcess pooler(fleet);
+  const std::string path = pooler.folder + "/config.json";
   REQUIRE(mkfifo(path.c_str(), 0600) == 0);
-  program.Start();
+  pooler.Start();
   FILE* pipe = nullptr;
-  std::thread opener([&] { pipe = std::fopen(path.c_str(), "w"); });  // returns once it is being read
+  std::thread opener(
+      [&] { pipe = std::fopen(path.c_str(), "w"); });  // returns once the process opens the pipe
   opener.join();
   REQUIRE(pipe != nullptr);
-  g_subprocess_send_signal(program.process.get(), SIGHUP);
-  const std::string text = program.PlatformConfig(first.Address(), kNoList);
+  g_subprocess_send_signal(pooler.process.get(), SIGHUP);
+  const std::string text = pooler.PlatformConfig(first.Address(), kNoList);
   std::remove(path.c_str());
-  program.Configure(program.PlatformConfig(second.Address(), kNoList));
+  pooler.Configure(pooler.PlatformConfig(second.Address(), kNoList));
   std::fwrite(text.data(), 1, text.size(), pipe);
   std::fclose(pipe);
-  w.RunUntil([&] { return program.exited || second.HasReceived("GET "); });
-  CHECK_FALSE(program.exited);
+  fleet.RunUntil([&] { return pooler.exited || second.HasReceived("GET "); });
+  CHECK_FALSE(pooler.exited);
 }
 
-TEST_CASE("a malformed field of the configuration ends the start with one sentence that names it") {
-  SimulatedFleet w;
-  PoolerProcess program(w);
-  const std::string sound = program.PlatformConfig("127.0.0.1:1", kNoList);
+TEST_CASE("a malformed field of the configuration fails the start with one sentence that names it") {
+  SimulatedFleet fleet;
+  PoolerProcess pooler(fleet);
+  const std::string valid = pooler.PlatformConfig("127.0.0.1:1", kNoList);
   const struct {
-    const char *old, *now, *named;
+    const char *valid_text, *malformed_text, *field;
   } cases[] = {
       {R"("max_attempts":8)", R"("max_attempts":-1)", "max_attempts"},
       {R"("max_attempts":8)", R"("conn_idle_us":"long")", "conn_idle_us"},
@@ -754,127 +772,128 @@
       {R"("seed":"1f")", R"("limits":{"sockets":-1},"seed":"1f")", "sockets"},
   };
   for (const auto& c : cases) {
-    CAPTURE(c.now);
-    std::string config = sound;
-    REQUIRE(config.find(c.old) != std::string::npos);
-    config.replace(config.find(c.old), std::strlen(c.old), c.now);
-    program.Configure(config);
-    g_setenv("RELAY_CONFIG", (program.folder + "/config.json").c_str(), TRUE);
+    CAPTURE(c.malformed_text);
+    std::string config = valid;
+    REQUIRE(config.find(c.valid_text) != std::string::npos);
+    config.replace(config.find(c.valid_text), std::strlen(c.valid_text), c.malformed_text);
+    pooler.Configure(config);
+    g_setenv("RELAY_CONFIG", (pooler.folder + "/config.json").c_str(), TRUE);
     gchar *out = nullptr, *error = nullptr;
     gint status = 0;
     gchar* argv[] = {const_cast<gchar*>(POOLER), nullptr};
     REQUIRE(g_spawn_sync(nullptr, argv, nullptr, G_SPAWN_DEFAULT, nullptr, nullptr, &out, &error, &status,
                          nullptr));
-    const std::string said = error;
+    const std::string message = error;
     g_free(out);
     g_free(error);
     CHECK(WEXITSTATUS(status) == 2);
-    CHECK(std::ranges::count(said, '\n') == 1);
-    CHECK(said.find(c.named) != std::string::npos);
+    CHECK(std::ranges::count(message, '\n') == 1);
+    CHECK(message.find(c.field) != std::string::npos);
   }
 }
 
-TEST_CASE("a program that knows nobody, with discovery down, is ready in time and refuses with advice") {
-  SimulatedFleet w;
-  const std::uint16_t closed = ClosedPort(w.loop);
-  PoolerProcess program(w);
-  program.Configure(program.PlatformConfig("127.0.0.1:" + std::to_string(closed), kNoList));
-  program.Start();
-  // On one connection, once it is taken in: one for each look were more than this process may hold.
+TEST_CASE("a pooler without an endpoint list, with discovery down, becomes ready and rejects requests") {
+  SimulatedFleet fleet;
+  const std::uint16_t closed = ClosedPort(fleet.loop);
+  PoolerProcess pooler(fleet);
+  pooler.Configure(pooler.PlatformConfig("127.0.0.1:" + std::to_string(closed), kNoList));
+  pooler.Start();
+  // All polls use one connection: one for each would exceed the descriptors of this process.
   TestConnection* client = nullptr;
   for (bool ready = false; !ready;) {
     if (client == nullptr || client->peer_closed) {
-      client = &program.ConnectClient({""});
+      client = &pooler.ConnectClient({""});
     } else {
       client->received.clear();
       client->Send(QueryMessage(""));
     }
-    w.RunUntil([&] {
+    fleet.RunUntil([&] {
       return client->peer_closed || client->MessageTypes().ends_with("EZ") ||
              client->MessageTypes().ends_with("IZ");
     });
     ready = client->MessageTypes().ends_with("IZ");
-    REQUIRE_FALSE(program.exited);
+    REQUIRE_FALSE(pooler.exited);
   }
   client->Send(QueryMessage(RequestText("any")));
-  w.RunUntil([&] { return client->MessageTypes().ends_with("EZ"); });
+  fleet.RunUntil([&] { return client->MessageTypes().ends_with("EZ"); });
   CHECK(client->HasReceived("53300"));
 }
 
-TEST_CASE("SIGTERM twice, and before it is ready, ends the program in order") {
-  SimulatedFleet w;
-  DiscoveryAgent silent(w.loop);
-  PoolerProcess program(w);
-  std::string config = program.PlatformConfig(silent.Address(), kNoList);
+TEST_CASE("SIGTERM, also twice and before the pooler is ready, ends the process with exit code 0") {
+  SimulatedFleet fleet;
+  DiscoveryAgent silent(fleet.loop);
+  PoolerProcess pooler(fleet);
+  std::string config = pooler.PlatformConfig(silent.Address(), kNoList);
   config.replace(config.find("4000000"), 7, "400000");
-  program.Configure(config);
-  program.Start();
-  w.RunUntil([&] { return silent.HasReceived("GET "); });
-  TestConnection& early = program.ConnectClient({""});
-  w.RunUntil([&] { return early.HasReceived("57P03"); });
-  for (int i = 0; i < 2; ++i) g_subprocess_send_signal(program.process.get(), SIGTERM);
-  w.RunUntil([&] { return program.exited; });
-  REQUIRE(g_subprocess_get_if_exited(program.process.get()));
-  CHECK(g_subprocess_get_exit_status(program.process.get()) == 0);
-}
-
-// The process may hold no more descriptors than its configuration says, and idle clients ask for all of them.
-TEST_CASE(
-    "clients that fill the descriptors while discovery is down do not keep its word out at its return") {
-  SimulatedFleet w(2000);
-  DataServer& server = w.AddServer(kEchoValue);
-  const std::uint16_t port = ClosedPort(w.loop);
+  pooler.Configure(config);
+  pooler.Start();
+  fleet.RunUntil([&] { return silent.HasReceived("GET "); });
+  TestConnection& early = pooler.ConnectClient({""});
+  fleet.RunUntil([&] { return early.HasReceived("57P03"); });
+  for (int i = 0; i < 2; ++i) g_subprocess_send_signal(pooler.process.get(), SIGTERM);
+  fleet.RunUntil([&] { return pooler.exited; });
+  REQUIRE(g_subprocess_get_if_exited(pooler.process.get()));
+  CHECK(g_subprocess_get_exit_status(pooler.process.get()) == 0);
+}
+
+// The process may hold no more descriptors than its configuration allows, and idle clients try to occupy all
+// of them.
+TEST_CASE("clients that use up the descriptors while discovery is down do not block its update later") {
+  SimulatedFleet fleet(2000);
+  DataServer& server = fleet.AddServer(kEchoValue);
+  const std::uint16_t port = ClosedPort(fleet.loop);
   const std::string known = R"({"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:)" +
                             std::to_string(server.listener.port()) +
                             R"(","az":"a","pod_group":2,"state":"Ready"}]})";
-  std::string now = known;
-  now.replace(now.find("Ready"), 5, "Terminating");
-  PoolerProcess program(w);
-  std::string config = program.PlatformConfig("127.0.0.1:" + std::to_string(port), known);
+  std::string draining = known;
+  draining.replace(draining.find("Ready"), 5, "Terminating");
+  PoolerProcess pooler(fleet);
+  std::string config = pooler.PlatformConfig("127.0.0.1:" + std::to_string(port), known);
   config.replace(config.find(R"("seed")"), 6, R"("limits":{"sockets":100},"seed")");
-  program.Configure(config);
-  program.Start();
+  pooler.Configure(config);
+  pooler.Start();
   for (bool ready = false; !ready;) {
-    TestConnection& client = program.ConnectClient({""});
-    w.RunUntil([&] {
+    TestConnection& client = pooler.ConnectClient({""});
+    fleet.RunUntil([&] {
       return client.peer_closed || client.MessageTypes().ends_with("EZ") ||
              client.MessageTypes().ends_with("IZ");
     });
     ready = client.MessageTypes().ends_with("IZ");
   }
-  const rlimit most{100, 100};
-  const pid_t pid = std::stoi(g_subprocess_get_identifier(program.process.get()));
-  REQUIRE(prlimit(pid, RLIMIT_NOFILE, &most, nullptr) == 0);
-  for (int i = 0; i < 150; ++i) program.ConnectClient({""});
-  w.RunUntil([&] { return program.fleet.clients.back()->MessageTypes().ends_with("IZ"); });
-  TestConnection& before = program.ConnectClient({RequestText("any")});
-  w.RunUntil([&] { return before.MessageTypes().ends_with("TDCZ"); });
-  // What clients cannot have stays free for the watch, and for the program's own.
-  const auto held = std::distance(std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd"),
-                                  std::filesystem::directory_iterator());
-  CHECK(held <= 90);
-  // It returns, while clients go on to fill what is free.
+  const rlimit limit{100, 100};
+  const pid_t pid = std::stoi(g_subprocess_get_identifier(pooler.process.get()));
+  REQUIRE(prlimit(pid, RLIMIT_NOFILE, &limit, nullptr) == 0);
+  for (int i = 0; i < 150; ++i) pooler.ConnectClient({""});
+  fleet.RunUntil([&] { return pooler.fleet.clients.back()->MessageTypes().ends_with("IZ"); });
+  TestConnection& before = pooler.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return before.MessageTypes().ends_with("TDCZ"); });
+  // The descriptors that clients cannot use stay free for the watch and for the process itself.
+  const auto descriptors =
+      std::distance(std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd"),
+                    std::filesystem::directory_iterator());
+  CHECK(descriptors <= 90);
+  // Discovery returns while clients still occupy whatever becomes free.
   std::vector<std::unique_ptr<TestConnection>> agents;
   net::Listener agent(
-      w.loop, [] { return true; },
+      fleet.loop, [] { return true; },
       [&](net::ObjectPtr<GSocket> socket) {
         agents.push_back(std::make_unique<TestConnection>());
         agents.back()->connection =
-            Connection::Adopt(w.loop, std::move(socket), *agents.back(), 65536, 65536);
-        agents.back()->Send(kOpenEnded + now + "\n");
+            Connection::Adopt(fleet.loop, std::move(socket), *agents.back(), 65536, 65536);
+        agents.back()->Send(kResponseHeader + draining + "\n");
       });
   REQUIRE(agent.Open({"127.0.0.1", port}));
-  for (int i = 0; i < 150; ++i) program.ConnectClient({""});
-  w.RunUntil([&] { return !agents.empty() && agents.back()->HasReceived("\r\n\r\n"); });
-  for (bool told = false; !told;) {
-    TestConnection& client = program.ConnectClient({RequestText("any", "k", 300)});
-    w.RunUntil([&] {
+  for (int i = 0; i < 150; ++i) pooler.ConnectClient({""});
+  fleet.RunUntil([&] { return !agents.empty() && agents.back()->HasReceived("\r\n\r\n"); });
+  for (bool rejected = false; !rejected;) {
+    TestConnection& client = pooler.ConnectClient({RequestText("any", "k", 300)});
+    fleet.RunUntil([&] {
       return client.peer_closed || client.MessageTypes().ends_with("EZ") ||
              client.MessageTypes().ends_with("CZ");
     });
-    told = client.HasReceived("53300");
+    rejected = client.HasReceived("53300");
   }
-  CHECK_FALSE(program.exited);
+  CHECK_FALSE(pooler.exited);
 }
 
 }  // namespace
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -1,5 +1,6 @@
-// What the socket tests share: scripted data servers, clients and discovery in one loop with the parts of the
-// pooler, ports by the kernel; and the program itself as a process.
+// Fixtures of the tests that use real sockets: the parts of the pooler, and data servers, clients and
+// discovery under the test's control, all in one event loop; and the pooler as a separate process. The kernel
+// assigns the ports.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -32,14 +33,22 @@
 using net::Connection;
 using Strings = std::vector<std::string>;
 
+inline const std::string kStartup = "startup";
+
+constexpr std::size_t kRingBytes = std::size_t{1} << 18;  // of both ring buffers of a test connection
+
 struct TestConnection;
 using QueryHandler = std::function<void(TestConnection&, const std::string&)>;
 
-// One end of a connection under a test's control; calls its script with each query or line of bytes.
+// One end of a connection under the test's control. On the server side, `on_query` is called with the text of
+// each query, and first with kStartup for the startup packet.
 struct TestConnection final : Connection::Owner {
   QueryHandler on_query;
-  bool is_server = false, startup_received = false, peer_closed = false, was_reset = false;
-  std::string received;  // what came and is not taken apart here
+  bool is_server = false;
+  bool startup_received = false;
+  bool peer_closed = false;
+  bool was_reset = false;
+  std::string received;  // on the server side, without the queries that were handled
   std::shared_ptr<Connection> connection;
 
   void OnReadable() override {
@@ -51,17 +60,20 @@
       const std::string text(frame.body);
       received.erase(0, frame.size);
       const bool first = !std::exchange(startup_received, true);
-      on_query(*this, first ? "hello" : text.substr(0, text.size() - 1));
+      on_query(*this, first ? kStartup : text.substr(0, text.size() - 1));
     }
   }
   void OnEndOfStream() override { peer_closed = true; }
   void OnDisconnected() override { peer_closed = was_reset = true; }
   void Send(const std::string& text) { connection->Write(text); }
-  // The codes of the messages that came, as letters.
+  // The type bytes of the complete messages received.
   std::string MessageTypes() const {
-    std::string types, rest = received;
-    for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kComplete; rest.erase(0, f.size))
-      types += f.type;
+    std::string types;
+    std::string rest = received;
+    for (pg::Frame frame; (frame = pg::ReadFrame(rest)).framing == pg::Framing::kComplete;
+         rest.erase(0, frame.size)) {
+      types += frame.type;
+    }
     return types;
   }
   int CountOf(const std::string& text) const {
@@ -100,70 +112,73 @@
   return out;
 }
 
-// A data server that answers by its script; the queries that came are kept, probes apart.
+// A data server that answers each query by `on_query`, and health checks by `load_report`. Keeps the queries
+// that it received, without health checks.
 struct DataServer {
   DataServer(net::Loop& loop, QueryHandler query_handler)
       : loop(loop),
         on_query(std::move(query_handler)),
         listener(
-            loop, [] { return true; }, [this](net::ObjectPtr<GSocket> s) { Accept(std::move(s)); }) {
+            loop, [] { return true; },
+            [this](net::ObjectPtr<GSocket> socket) { Accept(std::move(socket)); }) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
   }
   void Accept(net::ObjectPtr<GSocket> socket) {
-    auto peer = std::make_unique<TestConnection>();
-    peer->is_server = true;
-    peer->on_query = [this](TestConnection& p, const std::string& text) {
-      if (text == "hello") return accepts_startup ? p.Send(StartupResponse()) : void();
-      if (text == "SHOW pressure") return p.Send(RowResponse(load_report));
+    auto accepted = std::make_unique<TestConnection>();
+    accepted->is_server = true;
+    accepted->on_query = [this](TestConnection& connection, const std::string& text) {
+      if (text == kStartup) return accepts_startup ? connection.Send(StartupResponse()) : void();
+      if (text == "SHOW pressure") return connection.Send(RowResponse(load_report));
       queries.push_back(text);
-      on_query(p, text);
+      on_query(connection, text);
     };
-    peer->connection = Connection::Adopt(loop, std::move(socket), *peer, 1 << 18, 1 << 18);
-    connections.push_back(std::move(peer));
+    accepted->connection = Connection::Adopt(loop, std::move(socket), *accepted, kRingBytes, kRingBytes);
+    connections.push_back(std::move(accepted));
   }
   net::Loop& loop;
   QueryHandler on_query;
   net::Listener listener;
-  bool accepts_startup = true;  // else its connections come up when the test says so
+  bool accepts_startup = true;  // if false, the test sends StartupResponse itself
   std::string load_report = "x1=0,x0=1";
   std::vector<std::unique_ptr<TestConnection>> connections;
   Strings queries;
 };
 
 inline Settings DefaultSettings() {
-  Settings s;
-  const auto cls = [](AccessKind kind, Idempotency effect) {
-    RequestClass c;
-    c.kind = kind;
-    c.idempotency = effect;
-    c.latency_objective = Duration(400000);
-    c.deadline = Duration(4000000);
-    c.idempotency_window = Duration(3000000);
-    c.deduplicated_everywhere = false;
-    return c;
+  Settings settings;
+  const auto make_class = [](AccessKind kind, Idempotency idempotency) {
+    RequestClass request_class;
+    request_class.kind = kind;
+    request_class.idempotency = idempotency;
+    request_class.latency_objective = Duration(400000);
+    request_class.deadline = Duration(4000000);
+    request_class.idempotency_window = Duration(3000000);
+    request_class.deduplicated_everywhere = false;
+    return request_class;
   };
-  s.classes = {cls(AccessKind::kEventualRead, Idempotency::kIdempotent),
-               cls(AccessKind::kSessionRead, Idempotency::kIdempotent),
-               cls(AccessKind::kWrite, Idempotency::kIdempotencyKey)};
-  s.position_check = PositionCheck::kWait;
-  s.responses_report_position = true;
-  s.clients_carry_watermarks = false;
-  s.load_reporting = LoadReporting::kOnHealthCheck;
-  s.may_cancel = s.may_health_check = s.clients_honor_retry_after = true;
-  s.max_retry_after = Duration(500000);
-  s.max_attempts = 8;
-  return s;
+  settings.classes = {make_class(AccessKind::kEventualRead, Idempotency::kIdempotent),
+                      make_class(AccessKind::kSessionRead, Idempotency::kIdempotent),
+                      make_class(AccessKind::kWrite, Idempotency::kIdempotencyKey)};
+  settings.position_check = PositionCheck::kWait;
+  settings.responses_report_position = true;
+  settings.clients_carry_watermarks = false;
+  settings.load_reporting = LoadReporting::kOnHealthCheck;
+  settings.may_cancel = settings.may_health_check = settings.clients_honor_retry_after = true;
+  settings.max_retry_after = Duration(500000);
+  settings.max_attempts = 8;
+  return settings;
 }
 
-// Nothing is turned away for being late: an answer is worth as much up to its deadline, and is expected soon.
+// No request is rejected for being late: deadlines are long, and a response has its full value up to the
+// deadline.
 inline Settings LongDeadlineSettings() {
-  Settings s = DefaultSettings();
-  for (RequestClass& kind : s.classes) {
-    kind.latency_objective = Duration(40000);
-    kind.deadline = Duration(60000000);
-    kind.late_response_value = 1;
+  Settings settings = DefaultSettings();
+  for (RequestClass& request_class : settings.classes) {
+    request_class.latency_objective = Duration(40000);
+    request_class.deadline = Duration(60000000);
+    request_class.late_response_value = 1;
   }
-  return s;
+  return settings;
 }
 
 struct SimulatedFleet {
@@ -180,6 +195,7 @@
     servers.push_back(std::make_unique<DataServer>(loop, std::move(query_handler)));
     return *servers.back();
   }
+  // Lists all servers as members of group 2, the first of them in the given lifecycle.
   void ApplyEndpointList(ListKind kind = ListKind::kPersisted, Lifecycle first = Lifecycle::kServing) {
     ListEvent event{kind, {}};
     for (std::size_t i = 0; i < servers.size(); ++i) {
@@ -191,33 +207,35 @@
     proxy.ApplyEndpointList(event);
     frontend.SetReady();
   }
-  // A client that says who it is and sends all of `queries` in one segment.
+  // Connects a client that sends its startup packet and all `queries` in one segment.
   TestConnection& ConnectClient(const Strings& queries) { return ConnectClient(queries, frontend.port()); }
+  // Connects a client that sends nothing yet.
   TestConnection& OpenConnection(std::uint16_t port) {
     clients.push_back(std::make_unique<TestConnection>());
-    TestConnection& peer = *clients.back();
-    bool full = false;
-    peer.connection = Connection::Connect(loop, {"127.0.0.1", port}, peer, 1 << 18, 1 << 18, &full);
-    REQUIRE(peer.connection != nullptr);
-    return peer;
+    TestConnection& client = *clients.back();
+    bool descriptors_exhausted = false;
+    client.connection = Connection::Connect(loop, {"127.0.0.1", port}, client, kRingBytes, kRingBytes,
+                                            &descriptors_exhausted);
+    REQUIRE(client.connection != nullptr);
+    return client;
   }
   TestConnection& ConnectClient(const Strings& queries, std::uint16_t port) {
-    TestConnection& peer = OpenConnection(port);
+    TestConnection& client = OpenConnection(port);
     std::string out;
     pg::AppendStartupMessage(out, "worker", "catalog");
     for (const std::string& query : queries) pg::AppendQuery(out, query);
-    peer.Send(out);
-    return peer;
+    client.Send(out);
+    return client;
   }
-  // Runs until it holds. The time limit is for a test that hangs, not a measure of speed.
-  void RunUntil(const std::function<bool()>& holds) {
-    bool late = false;
-    net::Timer limit(loop), look(loop);
-    limit.ScheduleAfter(Duration(10000000), [&] { late = true; });
-    std::function<void()> again = [&] { look.ScheduleAfter(Duration(1000), again); };
-    again();
-    while (!holds() && !late) g_main_context_iteration(nullptr, TRUE);
-    REQUIRE(holds());
+  // Runs the loop until the condition holds. The time limit is for a test that hangs, not a measure of speed.
+  void RunUntil(const std::function<bool()>& condition) {
+    bool timed_out = false;
+    net::Timer timeout(loop), poll(loop);
+    timeout.ScheduleAfter(Duration(10000000), [&] { timed_out = true; });
+    std::function<void()> poll_again = [&] { poll.ScheduleAfter(Duration(1000), poll_again); };
+    poll_again();
+    while (!condition() && !timed_out) g_main_context_iteration(nullptr, TRUE);
+    REQUIRE(condition());
   }
 
   net::Loop loop;
@@ -229,21 +247,23 @@
   std::vector<std::unique_ptr<TestConnection>> clients;
 };
 
-inline std::string RequestText(const char* cls, const char* object = "k", int budget = 3000) {
-  static int last = 0;
-  return "/* id=" + std::to_string(++last) + ",c=" + cls + ",t=acme,d=" + std::to_string(budget) +
-         ",k=5c,cluster=2 */ SELECT '" + object + "'";
+// The text of a request with a new id.
+inline std::string RequestText(const char* request_class, const char* object = "k", int budget_ms = 3000) {
+  static int last_id = 0;
+  return "/* id=" + std::to_string(++last_id) + ",c=" + request_class +
+         ",t=acme,d=" + std::to_string(budget_ms) + ",k=5c,cluster=2 */ SELECT '" + object + "'";
 }
 
 inline Strings RequestTexts(int count) {
-  Strings asks;
-  while (count-- > 0) asks.push_back(RequestText("any"));
-  return asks;
+  Strings requests;
+  while (count-- > 0) requests.push_back(RequestText("any"));
+  return requests;
 }
 
 inline const QueryHandler kNoResponse = [](TestConnection&, const std::string&) {};
-inline const QueryHandler kEchoValue = [](TestConnection& p, const std::string& text) {
-  p.Send(RowResponse(text.substr(text.rfind('\'') - 1, 1)));
+// Responds with the last character of the requested object.
+inline const QueryHandler kEchoValue = [](TestConnection& connection, const std::string& text) {
+  connection.Send(RowResponse(text.substr(text.rfind('\'') - 1, 1)));
 };
 
 inline std::string QueryMessage(const std::string& text) {
@@ -252,7 +272,8 @@
   return out;
 }
 
-// A client that has said who it is, as a bare socket: what it does happens while the loop stands still.
+// A client on a plain socket, whose calls take effect while the event loop is blocked. Sends the startup
+// packet when it connects.
 class RawClient {
  public:
   explicit RawClient(std::uint16_t port, const std::string& bytes = {}) : RawClient(port, kWithoutStartup) {
@@ -260,7 +281,7 @@
     pg::AppendStartupMessage(out, "worker", "catalog");
     Send(out + bytes);
   }
-  // One that has said nothing yet.
+  // Connects without sending anything.
   static std::unique_ptr<RawClient> WithoutStartup(std::uint16_t port) {
     return std::unique_ptr<RawClient>(new RawClient(port, kWithoutStartup));
   }
@@ -270,7 +291,7 @@
   void Send(const std::string& bytes) {
     REQUIRE(send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
-  // As much as the kernel takes.
+  // Sends as much as fits the kernel's send buffer.
   void SendNonBlocking(const std::string& bytes) {
     send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   }
@@ -278,7 +299,7 @@
     if (socket_ >= 0) close(socket_);
     socket_ = -1;
   }
-  // What has come so far; `ended` where the end has.
+  // Returns all input so far, and sets `peer_closed` at its end.
   std::string ReadAvailable() {
     char block[4096];
     for (ssize_t count = 0; (count = recv(socket_, block, sizeof block, MSG_DONTWAIT)) >= 0;) {
@@ -288,12 +309,12 @@
     }
     return received;
   }
-  // What the connection has come to, or 0.
+  // The pending error of the socket, or 0.
   int SocketError() const {
-    int fault = 0;
-    socklen_t size = sizeof fault;
-    getsockopt(socket_, SOL_SOCKET, SO_ERROR, &fault, &size);
-    return fault;
+    int error = 0;
+    socklen_t size = sizeof error;
+    getsockopt(socket_, SOL_SOCKET, SO_ERROR, &error, &size);
+    return error;
   }
   void ShutdownSending() { shutdown(socket_, SHUT_WR); }
   bool HasReceived(const std::string& text) { return ReadAvailable().find(text) != std::string::npos; }
@@ -301,22 +322,24 @@
   bool peer_closed = false;
 
  private:
-  enum Kind { kWithoutStartup };
-  RawClient(std::uint16_t port, Kind) : socket_(socket(AF_INET, SOCK_STREAM, 0)) {
-    sockaddr_in to{};
-    to.sin_family = AF_INET;
-    to.sin_port = htons(port);
-    to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    REQUIRE(connect(socket_, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0);
+  enum StartupMode { kWithoutStartup };
+  RawClient(std::uint16_t port, StartupMode) : socket_(socket(AF_INET, SOCK_STREAM, 0)) {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(port);
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    REQUIRE(connect(socket_, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0);
   }
   int socket_;
 };
 
-// What BackendKeyData gave a client, as the body of a CancelRequest.
+// The body of the BackendKeyData message that a client has received, which is also that of its CancelRequest.
 inline std::string CancelKeyOf(const TestConnection& client) {
   std::string rest = client.received;
-  for (pg::Frame f; (f = pg::ReadFrame(rest)).framing == pg::Framing::kComplete; rest.erase(0, f.size))
-    if (f.type == 'K') return std::string(f.body);
+  for (pg::Frame frame; (frame = pg::ReadFrame(rest)).framing == pg::Framing::kComplete;
+       rest.erase(0, frame.size)) {
+    if (frame.type == 'K') return std::string(frame.body);
+  }
   return {};
 }
 
@@ -324,20 +347,21 @@
   return std::string("\0\0\0\x10\x04\xd2\x16\x2e", 8) + key;
 }
 
-// A port at which connections are refused.
+// Returns a port on which connections are refused.
 inline std::uint16_t ClosedPort(net::Loop& loop) {
-  net::Listener gone(
+  net::Listener listener(
       loop, [] { return true; }, [](net::ObjectPtr<GSocket>) {});
-  REQUIRE(gone.Open({"127.0.0.1", 0}));
-  return gone.port();
+  REQUIRE(listener.Open({"127.0.0.1", 0}));
+  return listener.port();
 }
 
-// Discovery's agent: keeps what each watch asks and answers with `line`.
+// An agent of discovery: keeps the request of each watch, and answers each with `response`.
 struct DiscoveryAgent {
   explicit DiscoveryAgent(net::Loop& loop)
       : loop(loop),
         listener(
-            loop, [] { return true; }, [this](net::ObjectPtr<GSocket> s) { Accept(std::move(s)); }) {
+            loop, [] { return true; },
+            [this](net::ObjectPtr<GSocket> socket) { Accept(std::move(socket)); }) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
   }
   void Accept(net::ObjectPtr<GSocket> socket) {
@@ -356,41 +380,42 @@
   std::vector<std::unique_ptr<TestConnection>> connections;
 };
 
-// Keeps what is logged while it stands.
+// Captures the log output during its lifetime.
 struct LogCapture {
-  LogCapture() : before(spdlog::default_logger()) {
+  LogCapture() : previous_logger(spdlog::default_logger()) {
     auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(text);
     spdlog::set_default_logger(std::make_shared<spdlog::logger>("test", sink));
   }
-  ~LogCapture() { spdlog::set_default_logger(before); }
+  ~LogCapture() { spdlog::set_default_logger(previous_logger); }
   LogCapture(const LogCapture&) = delete;
   LogCapture& operator=(const LogCapture&) = delete;
-  int CountOf(const std::string& what) const {
+  int CountOf(const std::string& phrase) const {
     int count = 0;
-    const std::string all = text.str();
-    for (std::size_t at = 0; (at = all.find(what, at)) != std::string::npos; ++at) ++count;
+    const std::string log = text.str();
+    for (std::size_t at = 0; (at = log.find(phrase, at)) != std::string::npos; ++at) ++count;
     return count;
   }
   std::ostringstream text;
-  std::shared_ptr<spdlog::logger> before;
+  std::shared_ptr<spdlog::logger> previous_logger;
 };
 
-// The program itself, on a port that was free a moment ago.
+// The pooler as a process of its own, on a port that was free shortly before.
 struct PoolerProcess {
   explicit PoolerProcess(SimulatedFleet& fleet) : fleet(fleet) {
-    gchar* made = g_dir_make_tmp("lynxgrade-XXXXXX", nullptr);
-    folder = made;
-    g_free(made);
-    net::Listener free(
+    gchar* path = g_dir_make_tmp("lynxgrade-XXXXXX", nullptr);
+    folder = path;
+    g_free(path);
+    net::Listener listener(
         fleet.loop, [] { return true; }, [](net::ObjectPtr<GSocket>) {});
-    REQUIRE(free.Open({"127.0.0.1", 0}));
-    port = free.port();
+    REQUIRE(listener.Open({"127.0.0.1", 0}));
+    port = listener.port();
   }
   PoolerProcess(const PoolerProcess&) = delete;
   PoolerProcess& operator=(const PoolerProcess&) = delete;
   ~PoolerProcess() {
     if (process != nullptr) g_subprocess_force_exit(process.get());
-    // Its end is told to this object: a later test's loop would write to what is no more.
+    // The exit is reported to this object, so wait for it: the loop of a later test would write to freed
+    // memory.
     while (process != nullptr && !exited) g_main_context_iteration(nullptr, TRUE);
     std::remove((folder + "/config.json").c_str());
     std::remove(folder.c_str());
