--- a/src/frontend/frontend.h
+++ b/src/frontend/frontend.h
@@ -23,7 +23,7 @@
 class Frontend {
  public:
   // `close_idle_server_connection` closes an idle connection to a data server to free its descriptor; it
-  // returns false if there is none. The references must outlive the frontend.
+  // returns false if there is none. `loop`, `proxy` and `budget` must outlive the frontend.
   Frontend(net::Loop& loop, proxy::Proxy& proxy, net::DescriptorBudget& budget,
            std::vector<std::string> classes, std::vector<std::string> tenants, const Settings& settings,
            std::function<bool()> close_idle_server_connection);
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -9,15 +9,15 @@
   SimulatedFleet fleet;
   DataServer& server = fleet.AddServer(kEchoValue);
   fleet.ApplyEndpointList();
-  std::string asked = RequestText("any", "x");
-  TestConnection& client = fleet.ConnectClient({asked});
+  std::string request = RequestText("any", "x");
+  TestConnection& client = fleet.ConnectClient({request});
   fleet.RunUntil([&] { return client.HasReceived("SELECT 1"); });
   CHECK(client.MessageTypes() == "RSSSSKZTDCZ");
   REQUIRE(server.queries.size() == 1);
   std::string sent = server.queries[0];
   sent.erase(sent.find(",d=") + 3, sent.find(",k=") - sent.find(",d=") - 3);
-  asked.erase(asked.find(",d=") + 3, 4);
-  CHECK(sent == asked);
+  request.erase(request.find(",d=") + 3, 4);
+  CHECK(sent == request);
 }
 
 TEST_CASE("pipelined queries are answered in order, including invalid ones") {
@@ -125,13 +125,13 @@
       {std::string("P\0\0\0\4", 5), "0A000"},
   };
   for (const auto& c : cases) {
-    TestConnection& bad = fleet.ConnectClient({});
-    bad.Send(c.bytes + std::string(200000, 'x'));  // still sending when the error arrives
-    fleet.RunUntil([&] { return bad.peer_closed; });
-    CHECK(bad.HasReceived(c.code));
+    TestConnection& client = fleet.ConnectClient({});
+    client.Send(c.bytes + std::string(200000, 'x'));  // still sending when the error arrives
+    fleet.RunUntil([&] { return client.peer_closed; });
+    CHECK(client.HasReceived(c.code));
   }
-  TestConnection& good = fleet.ConnectClient({RequestText("any")});
-  fleet.RunUntil([&] { return good.MessageTypes().ends_with("TDCZ"); });
+  TestConnection& other = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return other.MessageTypes().ends_with("TDCZ"); });
 }
 
 TEST_CASE("an unsolicited response closes the connection to the data server, and has no other effect") {
@@ -148,36 +148,36 @@
 
 // A response is forwarded unchanged or not at all: each of these requests is retried on another connection.
 TEST_CASE("a malformed or incomplete response fails the attempt and closes its connection") {
-  const std::string good = RowResponse("w");
+  const std::string valid = RowResponse("w");
   const std::string huge = std::string("D\xb2\xd0\x5e\0", 5) + "keeps coming";  // 3 GB
-  std::string no_tag = good, no_row = good, no_description = good, null_row = good, two_rows = good;
+  std::string no_tag = valid, no_row = valid, no_description = valid, null_row = valid, two_rows = valid;
   const auto message = [&](char type) {
-    std::size_t from = 0;
-    while (good[from] != type) from += pg::ReadFrame(good.substr(from)).size;
-    return std::pair(from, pg::ReadFrame(good.substr(from)).size);
+    std::size_t offset = 0;
+    while (valid[offset] != type) offset += pg::ReadFrame(valid.substr(offset)).size;
+    return std::pair(offset, pg::ReadFrame(valid.substr(offset)).size);
   };
   no_tag.erase(message('C').first, message('C').second);
   no_row.erase(message('D').first, message('D').second);
   no_description.erase(message('T').first, message('T').second);
   null_row.replace(message('D').first, message('D').second,
                    std::string("D\0\0\0\x0a\0\1\xff\xff\xff\xff", 11));
-  two_rows.insert(message('D').first, good.substr(message('D').first, message('D').second));
+  two_rows.insert(message('D').first, valid.substr(message('D').first, message('D').second));
   const Strings malformed = {"\x7fnoise\n", huge,           no_tag,
                              no_row,        no_description, null_row,
-                             two_rows,      "T\0"s + good,  good.substr(0, message('C').first)};
+                             two_rows,      "T\0"s + valid, valid.substr(0, message('C').first)};
   for (const std::string& bytes : malformed) {
     CAPTURE(bytes);
     SimulatedFleet fleet;
-    int asked = 0;
+    int attempts = 0;
     DataServer& server = fleet.AddServer([&](TestConnection& peer, const std::string&) {
-      peer.Send(++asked == 1 ? bytes : RowResponse("v"));
+      peer.Send(++attempts == 1 ? bytes : RowResponse("v"));
     });
     fleet.ApplyEndpointList();
     TestConnection& client = fleet.ConnectClient({RequestText("any")});
     fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
     CHECK(client.HasReceived("\1vC"));
     CHECK_FALSE(client.HasReceived("w"s + "C"));
-    CHECK(asked == 2);
+    CHECK(attempts == 2);
     fleet.RunUntil([&] {
       return std::ranges::any_of(server.connections,
                                  [](const auto& connection) { return connection->peer_closed; });
@@ -187,49 +187,49 @@
 
 TEST_CASE("a statement that a data server rejects as invalid is not retried and does not eject the server") {
   SimulatedFleet fleet;
-  std::size_t asked = 0;
+  std::size_t attempts = 0;
   const QueryHandler rejects_statement = [&](TestConnection& peer, const std::string& text) {
-    ++asked;
+    ++attempts;
     if (text.find("SELECT 'x'") != std::string::npos) return peer.Send(ErrorResponse("42601"));
     peer.Send(RowResponse("v"));
   };
   fleet.AddServer(rejects_statement);
   fleet.ApplyEndpointList();
   for (int i = 0; i < 12; ++i) {
-    TestConnection& bad = fleet.ConnectClient({RequestText("any", "x")});
-    fleet.RunUntil([&] { return bad.MessageTypes().ends_with("EZ"); });
-    CHECK(bad.HasReceived("42601"));
+    TestConnection& invalid = fleet.ConnectClient({RequestText("any", "x")});
+    fleet.RunUntil([&] { return invalid.MessageTypes().ends_with("EZ"); });
+    CHECK(invalid.HasReceived("42601"));
   }
-  CHECK(asked == 12);
+  CHECK(attempts == 12);
   TestConnection& client = fleet.ConnectClient({RequestText("any")});
   fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
-  CHECK(asked == 13);
+  CHECK(attempts == 13);
 }
 
 // A data server may close a connection right after a response. A query that crosses that close is lost to a
 // reset.
 TEST_CASE("a connection that has just delivered a response is not reused if another one is idle") {
   SimulatedFleet fleet;
-  std::vector<TestConnection*> asked;
+  std::vector<TestConnection*> used;
   DataServer& server =
-      fleet.AddServer([&](TestConnection& peer, const std::string&) { asked.push_back(&peer); });
+      fleet.AddServer([&](TestConnection& peer, const std::string&) { used.push_back(&peer); });
   fleet.ApplyEndpointList();
-  TestConnection& one = fleet.ConnectClient({RequestText("any")});
-  TestConnection& two = fleet.ConnectClient({RequestText("any")});
-  fleet.RunUntil([&] { return asked.size() == 2; });
-  for (TestConnection* peer : asked) peer->Send(RowResponse("v"));
+  TestConnection& first = fleet.ConnectClient({RequestText("any")});
+  TestConnection& second = fleet.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return used.size() == 2; });
+  for (TestConnection* peer : used) peer->Send(RowResponse("v"));
   fleet.RunUntil(
-      [&] { return one.MessageTypes().ends_with("TDCZ") && two.MessageTypes().ends_with("TDCZ"); });
+      [&] { return first.MessageTypes().ends_with("TDCZ") && second.MessageTypes().ends_with("TDCZ"); });
   const TimePoint start = fleet.loop.Now();
   fleet.RunUntil([&] { return fleet.loop.Now() - start > Duration(20000); });
-  asked.clear();
+  used.clear();
   server.on_query = [&](TestConnection& peer, const std::string&) {
-    asked.push_back(&peer);
+    used.push_back(&peer);
     peer.Send(RowResponse("v"));
   };
   fleet.ConnectClient(RequestTexts(2));
-  fleet.RunUntil([&] { return asked.size() == 2; });
-  CHECK(asked[0] != asked[1]);
+  fleet.RunUntil([&] { return used.size() == 2; });
+  CHECK(used[0] != used[1]);
 }
 
 TEST_CASE("a response with a malformed load report is served") {
@@ -282,8 +282,8 @@
   TestConnection& idle = fleet.ConnectClient({""});
   TestConnection& busy = fleet.ConnectClient({RequestText("any")});
   fleet.RunUntil([&] { return server.queries.size() == 1 && idle.HasReceived("I"); });
-  bool done = false;
-  fleet.frontend.StartDrain([&] { done = true; });
+  bool drained = false;
+  fleet.frontend.StartDrain([&] { drained = true; });
   const TimePoint start = fleet.loop.Now();
   TestConnection& late = fleet.ConnectClient({""});  // new connections are still accepted
   fleet.RunUntil([&] { return late.MessageTypes().ends_with("IZ"); });
@@ -295,9 +295,9 @@
   idle.Send(query);
   fleet.RunUntil([&] { return idle.MessageTypes().ends_with("IZIZ"); });
   fleet.RunUntil([&] { return late.peer_closed; });
-  CHECK_FALSE(done);
+  CHECK_FALSE(drained);
   for (const auto& peer : server.connections) peer->Send(RowResponse("v"));
-  fleet.RunUntil([&] { return done && busy.MessageTypes().ends_with("TDCZ"); });
+  fleet.RunUntil([&] { return drained && busy.MessageTypes().ends_with("TDCZ"); });
 }
 
 // The process may be killed 3.7 s after SIGTERM; requests not answered by then would be lost.
@@ -321,7 +321,7 @@
   fleet.AddServer(kNoResponse);
   fleet.ApplyEndpointList();
   TestConnection& idle = fleet.ConnectClient({""});
-  TestConnection& served = fleet.ConnectClient({RequestText("any", "k", 9000)});
+  TestConnection& waiting = fleet.ConnectClient({RequestText("any", "k", 9000)});
   TestConnection& partial = fleet.ConnectClient({});
   partial.Send(std::string("Q\0\0\2\0", 5) + "/* id=");
   TestConnection& silent = fleet.OpenConnection(fleet.frontend.port());
@@ -330,7 +330,7 @@
   CHECK(fleet.loop.Now() - start < Duration(3000000));
   CHECK(partial.HasReceived("08P01"));
   CHECK_FALSE(idle.peer_closed);
-  CHECK_FALSE(served.peer_closed);
+  CHECK_FALSE(waiting.peer_closed);
 }
 
 TEST_CASE("silent connections are closed to free descriptors before idle clients are") {
@@ -418,7 +418,6 @@
 
 TEST_CASE("the discovery watch resumes from the last revision when its connection ends") {
   net::Loop loop;
-  Strings asked;
   std::vector<std::unique_ptr<TestConnection>> connections;
   net::Listener agent(
       loop, [] { return true; },
@@ -429,10 +428,10 @@
       });
   REQUIRE(agent.Open({"127.0.0.1", 0}));
   discovery::EndpointListReader reader({"a"});
-  std::vector<std::int64_t> versions;
+  std::vector<std::int64_t> revisions;
   discovery::DiscoveryWatch watch(
       loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
-      [&](const discovery::EndpointListUpdate& update) { versions.push_back(update.revision); });
+      [&](const discovery::EndpointListUpdate& update) { revisions.push_back(update.revision); });
   watch.Start();
   const auto run_until = [&](const std::function<bool()>& condition) {
     while (!condition()) g_main_context_iteration(nullptr, TRUE);
@@ -443,7 +442,7 @@
                            "\n";  // the entry is malformed
   connections[0]->Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n2d\r\n" + line +
                        "\r\n");
-  run_until([&] { return versions.size() == 1; });
+  run_until([&] { return revisions.size() == 1; });
   connections[0]->connection->Close();
   run_until([&] { return connections.size() == 2 && connections[1]->HasReceived("\r\n\r\n"); });
   CHECK(connections[1]->HasReceived("since=43 "));
@@ -494,7 +493,7 @@
                             head + chunk("{\"rev\":44,\"all\"\n"),
                             head + chunk("[1,2]\n"),
                             ""};
-  std::size_t calls = 0;
+  std::size_t requests = 0;
   std::vector<std::unique_ptr<TestConnection>> connections;
   net::Listener agent(
       fleet.loop, [] { return true; },
@@ -502,10 +501,10 @@
         connections.push_back(std::make_unique<TestConnection>());
         TestConnection& peer = *connections.back();
         peer.connection = Connection::Adopt(fleet.loop, std::move(socket), peer, 65536, 65536);
-        const std::size_t call = calls++;
-        if (call < failures.size()) {
-          peer.Send(failures[call]);
-          if (!failures[call].empty()) peer.connection->ShutdownSending();
+        const std::size_t request = requests++;
+        if (request < failures.size()) {
+          peer.Send(failures[request]);
+          if (!failures[request].empty()) peer.connection->ShutdownSending();
         } else {
           peer.Send(head + chunk(R"({"rev":45,"all":false,"targets":[{"uid":"s-1",)"
                                  R"("endpoint":"127.0.0.1:)" +
@@ -525,17 +524,17 @@
                                   });
   watch.Start();
   for (std::size_t i = 0; i < failures.size(); ++i) {
-    fleet.RunUntil([&] { return calls > i; });
+    fleet.RunUntil([&] { return requests > i; });
     TestConnection& client = fleet.ConnectClient({RequestText("any")});
     fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
   }
   fleet.RunUntil([&] { return updated; });
-  const std::size_t before = server.queries.size();
+  const std::size_t queries_before = server.queries.size();
   TestConnection& client = fleet.ConnectClient({RequestText("any")});
   fleet.RunUntil([&] { return client.MessageTypes().ends_with("EZ"); });
   CHECK(client.HasReceived("53300"));
-  CHECK(server.queries.size() == before);
-  CHECK(before == failures.size());
+  CHECK(server.queries.size() == queries_before);
+  CHECK(queries_before == failures.size());
   CHECK(log.CountOf("watch interrupted") == 1);
   CHECK(connections.back()->HasReceived("since=41 "));
 }
@@ -550,10 +549,10 @@
   discovery::DiscoveryWatch watch(fleet.loop, {"127.0.0.1", closed}, reader, 41, 1, {},
                                   [](const discovery::EndpointListUpdate&) {});
   watch.Start();
-  std::set<TimePoint> calls;  // the times at which requests are scheduled
+  std::set<TimePoint> request_times;  // the times at which requests are scheduled
   fleet.RunUntil([&] {
-    if (watch.next_request_at()) calls.insert(*watch.next_request_at());
-    return calls.size() >= 4;
+    if (watch.next_request_at()) request_times.insert(*watch.next_request_at());
+    return request_times.size() >= 4;
   });
   TestConnection& client = fleet.ConnectClient({RequestText("any")});
   fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZ"); });
@@ -612,8 +611,8 @@
   fleet.RunUntil([&] { return first.HasReceived("since=41 "); });
   TestConnection& client = pooler.ConnectClient({RequestText("any")});
   fleet.RunUntil([&] { return server.queries.size() == 1; });
-  for (const char* bad : {"{", "{}"}) {
-    pooler.Configure(bad);
+  for (const char* invalid : {"{", "{}"}) {
+    pooler.Configure(invalid);
     g_subprocess_send_signal(pooler.process.get(), SIGHUP);
     TestConnection& alive = pooler.ConnectClient({""});
     fleet.RunUntil([&] { return alive.MessageTypes().ends_with("IZ"); });
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -67,9 +67,9 @@
   std::string wrong = key, unknown = key;
   wrong[7] = static_cast<char>(wrong[7] ^ 1);
   unknown[0] = '\x7f';
-  for (const std::string& bad : {wrong, unknown, others}) {
+  for (const std::string& invalid : {wrong, unknown, others}) {
     TestConnection& cancel = fleet.OpenConnection(fleet.frontend.port());
-    cancel.Send(CancelRequestMessage(bad));
+    cancel.Send(CancelRequestMessage(invalid));
     fleet.RunUntil([&] { return cancel.peer_closed; });
     CHECK(cancel.received.empty());
   }
@@ -211,13 +211,13 @@
                               QueryMessage(RequestText("any", "f", kLongBudgetMs)) + QueryMessage("SET x"));
   }
   // Rejected with a Retry-After during the flood, served after it.
-  TestConnection& good = fleet.ConnectClient({""});
+  TestConnection& client = fleet.ConnectClient({""});
   std::size_t types_seen = 0;
   fleet.RunUntil([&] {
-    const std::string types = good.MessageTypes();
+    const std::string types = client.MessageTypes();
     if (types.ends_with("Z") && !types.ends_with("DCZ") && types.size() > types_seen) {
       types_seen = types.size();
-      good.Send(QueryMessage(RequestText("any", "g", kLongBudgetMs)));
+      client.Send(QueryMessage(RequestText("any", "g", kLongBudgetMs)));
     }
     return types.ends_with("TDCZ");
   });
@@ -253,8 +253,8 @@
   SimulatedFleet fleet(200, ShortDeadlineSettings());
   DataServer& server = fleet.AddServer(kNoResponse);
   fleet.ApplyEndpointList();
-  bool done = false;
-  fleet.frontend.StartDrain([&] { done = true; });
+  bool drained = false;
+  fleet.frontend.StartDrain([&] { drained = true; });
   const TimePoint start = fleet.loop.Now();
   fleet.RunUntil([&] { return fleet.loop.Now() - start >= Duration(600000); });
   TestConnection& client =
@@ -266,13 +266,13 @@
   fleet.RunUntil([&] { return client.peer_closed; });
   CHECK(EndsWithResponses(client.MessageTypes(), 2));
   CHECK_FALSE(client.was_reset);
-  const std::size_t before = server.queries.size();
+  const std::size_t queries_before = server.queries.size();
   client.Send(QueryMessage(RequestText("any", "3", kLongBudgetMs)));
   fleet.RunUntil([&] { return client.connection->all_written(); });
-  CHECK_FALSE(done);  // input is discarded until the client closes
+  CHECK_FALSE(drained);  // input is discarded until the client closes
   client.connection->Close();
-  fleet.RunUntil([&] { return done; });
-  CHECK(server.queries.size() == before);
+  fleet.RunUntil([&] { return drained; });
+  CHECK(server.queries.size() == queries_before);
 }
 
 TEST_CASE(
@@ -308,8 +308,8 @@
       });
   fleet.ApplyEndpointList();
   TestConnection& client = fleet.ConnectClient({RequestText("any", "k", kLongBudgetMs)});
-  bool done = false;
-  fleet.frontend.StartDrain([&] { done = true; });
+  bool drained = false;
+  fleet.frontend.StartDrain([&] { drained = true; });
   const TimePoint start = fleet.loop.Now();
   std::size_t types_seen = 0, queries_at_close = 0;
   fleet.RunUntil([&] {
@@ -324,7 +324,7 @@
   });
   CHECK((queries_at_close == 0 || server.queries.size() <= queries_at_close + 1));
   client.connection->Close();
-  fleet.RunUntil([&] { return done; });
+  fleet.RunUntil([&] { return drained; });
 }
 
 TEST_CASE("shutdown: a partial request gets 57P03, or its response if the rest arrives in time") {
@@ -376,8 +376,8 @@
   server.on_query = [](TestConnection& peer, const std::string&) { peer.Send(ErrorResponse("25006")); };
   TestConnection& waiting = fleet.ConnectClient({RequestText("write", "2", kLongBudgetMs)});
   fleet.RunUntil([&] { return fleet.proxy.requests_in_flight() == 2; });
-  bool done = false;
-  fleet.frontend.StartDrain([&] { done = true; });
+  bool drained = false;
+  fleet.frontend.StartDrain([&] { drained = true; });
   fleet.frontend.StartDrain([&] { FAIL("a second call of StartDrain has an effect"); });
   const TimePoint start = fleet.loop.Now();
   fleet.RunUntil(
@@ -385,7 +385,7 @@
   // By the clock of the loop, so that the speed of the machine does not matter.
   CHECK(fleet.loop.Now() - start >= Duration(850000));
   CHECK(attempted.HasReceived("58000"));
-  fleet.RunUntil([&] { return done || (attempted.peer_closed && waiting.peer_closed); });
+  fleet.RunUntil([&] { return drained || (attempted.peer_closed && waiting.peer_closed); });
 }
 
 TEST_CASE("shutdown: responses larger than the client's receive window arrive complete before the close") {
@@ -531,14 +531,14 @@
   for (const bool complete : {true, false}) {
     CAPTURE(complete);
     SimulatedFleet fleet;
-    int asked = 0;
+    int attempts = 0;
     const auto reset = [](TestConnection& peer) {
       const linger now{1, 0};
       setsockopt(peer.connection->descriptor(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
       peer.connection->Close();
     };
     fleet.AddServer([&](TestConnection& peer, const std::string&) {
-      if (++asked > 1) return peer.Send(RowResponse("2"));
+      if (++attempts > 1) return peer.Send(RowResponse("2"));
       peer.Send(complete ? RowResponse("1") : RowResponse("1").substr(0, 20));
       reset(peer);
     });
@@ -582,8 +582,8 @@
   DataServer& server = fleet.AddServer(kEchoValue);
   fleet.ApplyEndpointList();
   fleet.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
-  TestConnection& refused = fleet.ConnectClient({RequestText("any", "k", 300)});
-  fleet.RunUntil([&] { return refused.HasReceived("53300"); });
+  TestConnection& rejected = fleet.ConnectClient({RequestText("any", "k", 300)});
+  fleet.RunUntil([&] { return rejected.HasReceived("53300"); });
   ListEvent returned{ListKind::kPartial, {}};
   returned.entries.push_back({.server = ServerId(1), .group = GroupId(2), .started = fleet.loop.Now()});
   fleet.proxy.ApplyEndpointList(returned);
@@ -693,8 +693,12 @@
   for (const std::string malformed : {"{\"rev\":42,\"all\":fal\n", "{\"rev\":42,\"all\"\n\n", "noise\n"}) {
     CAPTURE(malformed);
     WatchFixture watcher([&](TestConnection& peer, std::size_t call) {
-      peer.Send(kResponseHeader + (call == 1 ? malformed + R"({"rev":43,"all":false,"targets":[]})" + "\n"
-                                             : CompleteList("43") + "\n"));
+      std::string response = kResponseHeader;
+      response += call == 1 ? malformed : CompleteList("43");
+      response += call == 1 ? R"({"rev":43,"all":false,"targets":[]})"
+                              "\n"
+                            : "\n";
+      peer.Send(response);
     });
     watcher.RunUntil([&] { return !watcher.updates.empty(); });
     CHECK(watcher.connections.size() == 2);
@@ -821,13 +825,13 @@
 
 TEST_CASE("SIGTERM, also twice and before the pooler is ready, ends the process with exit code 0") {
   SimulatedFleet fleet;
-  DiscoveryAgent silent(fleet.loop);
+  DiscoveryAgent agent(fleet.loop);
   PoolerProcess pooler(fleet);
-  std::string config = pooler.PlatformConfig(silent.Address(), kNoList);
+  std::string config = pooler.PlatformConfig(agent.Address(), kNoList);
   config.replace(config.find("4000000"), 7, "400000");
   pooler.Configure(config);
   pooler.Start();
-  fleet.RunUntil([&] { return silent.HasReceived("GET "); });
+  fleet.RunUntil([&] { return agent.HasReceived("GET "); });
   TestConnection& early = pooler.ConnectClient({""});
   fleet.RunUntil([&] { return early.HasReceived("57P03"); });
   for (int i = 0; i < 2; ++i) g_subprocess_send_signal(pooler.process.get(), SIGTERM);
@@ -864,9 +868,9 @@
   const pid_t pid = std::stoi(g_subprocess_get_identifier(pooler.process.get()));
   REQUIRE(prlimit(pid, RLIMIT_NOFILE, &limit, nullptr) == 0);
   for (int i = 0; i < 150; ++i) pooler.ConnectClient({""});
-  fleet.RunUntil([&] { return pooler.fleet.clients.back()->MessageTypes().ends_with("IZ"); });
-  TestConnection& before = pooler.ConnectClient({RequestText("any")});
-  fleet.RunUntil([&] { return before.MessageTypes().ends_with("TDCZ"); });
+  fleet.RunUntil([&] { return fleet.clients.back()->MessageTypes().ends_with("IZ"); });
+  TestConnection& served = pooler.ConnectClient({RequestText("any")});
+  fleet.RunUntil([&] { return served.MessageTypes().ends_with("TDCZ"); });
   // The descriptors that clients cannot use stay free for the watch and for the process itself.
   const auto descriptors =
       std::distance(std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd"),
