--- a/src/capacity/as_it_stands.h
+++ b/src/capacity/as_it_stands.h
@@ -1,42 +1,56 @@
-// Bounds of the program as it stands, for rows that are worked out. Each belongs to the file that is named
-// with it; the test compares those that can be seen from outside, so that a change there cannot leave the
-// page behind.
+// Limits and defaults of the program that computed rows rely on. Each is defined in the file or setting named
+// with it. A test compares those that are visible from outside with the program's own, so that the page
+// cannot become outdated unnoticed.
 #pragma once
 
 namespace lynxgrade::capacity {
 
-constexpr double kPacketsPerS = 2'000;      // replication::ReplicationEngine::Options
-constexpr double kIdleFlushMs = 100;        // the same
-constexpr double kMarksKept = 65'536;       // the same
-constexpr double kReignsAPacket = 8;        // src/replication/timeline_gossip
-constexpr double kReignsEveryMs = 500;      // src/replication/timeline_gossip
-constexpr double kPlayedMembersAGroup = 3;  // testbed: the scale run's databases stand in groups of so many
-constexpr double kPlayedOwnReads = 0.5;     // testbed: of the scale run's reads, unless a record tells more
-constexpr double kMessagesAFirstMeet = 2;   // src/lease: acquire and grant
-constexpr double kMessagesAMove = 4;        // src/lease: acquire, revoke, release, grant
-constexpr double kLeaseS = 30;              // src/lease/session_lease_manager
-constexpr double kOwnedForS =
-    63;  // src/lease/session_lease_manager: a lease, a tenth longer, and the write retention
-constexpr double kSessionsOwned = 262'144;  // src/replication/engine_options: of a dedicated lease manager
-constexpr double kSessionsHeld = 65'536;    // lease::SessionLeaseClient::Options::lease_capacity
-constexpr double kAsksPerS = 20;            // peers.asks_per_s: of reads
-constexpr double kHoldMs = 30;              // sessions.hold_ms
-constexpr double kHeardLately =
-    8;  // src/consistency/session_consistency_guard: holds; an older word is not waited for
-constexpr double kRecallS = 30;            // sessions.recall_s
-constexpr double kLedgerSessions = 8'192;  // sessions.capacity
-constexpr double kProbeMs = 200;           // peers.probe_ms
-// A probe is `SHOW pressure` and its row with a report of two fields, as the testbed's data servers answer
-// it. Each way of a TCP connection adds heads of IPv4 and TCP with its timestamps; the answer is acknowledged
-// by itself.
-constexpr double kProbeQueryBytes = 19, kProbeAnswerBytes = 83, kTcpHeads = 52;
-constexpr double kPooledS =
-    10;  // src/upstream/connection_pool: a connection to a database asked that lately stays
-constexpr double kAnswerBytes = 1'048'576;  // src/admin/admin_server: the longest answer
-constexpr double kIdlePart = 8;   // src/frontend: clients over one in so many descriptors leave early
-constexpr double kReserved = 40;  // net::DescriptorBudget: descriptors kept back
-constexpr double kBlankLineS = 2,
-                 kBlankLineBytes = 6;  // discovery: an empty line, chunked, while all is well
-constexpr double kDrainGraceS = 2;     // rules.drain_grace_us of the platform's configuration
+// Replication: replication::ReplicationEngine::Options.
+constexpr double kMaxPacketsPerS = 2'000;
+constexpr double kIdleFlushIntervalMs = 100;
+constexpr double kRetainedWatermarks = 65'536;
+constexpr double kReadAcquiresPerS = 20;  // lease acquires by reads; setting peers.asks_per_s
+
+// Timelines: src/replication/timeline_gossip.
+constexpr double kTimelinesPerPacket = 8;
+constexpr double kTimelineRoundIntervalMs = 500;
+
+// Testbed: members of each group in the scale run, and the share of its reads that are own-reads unless the
+// record has `own_reads_share`.
+constexpr double kTestbedMembersPerGroup = 3;
+constexpr double kTestbedOwnReadsShare = 0.5;
+
+// Leases: src/lease.
+constexpr double kMessagesPerLeaseAcquire = 2;   // acquire, grant
+constexpr double kMessagesPerLeaseTransfer = 4;  // acquire, revoke, release, grant
+constexpr double kLeaseDurationS = 30;           // SessionLeaseManager
+// SessionLeaseManager keeps an entry for 1.1 lease durations and the write retention.
+constexpr double kLeaseManagerRetentionS = 63;
+constexpr double kLeaseManagerSessions = 262'144;  // of a dedicated manager; src/replication/engine_options
+constexpr double kClientLeaseCapacity = 65'536;    // SessionLeaseClient::Options::lease_capacity
+
+// Consistency: sessions.hold_ms, sessions.recall_s and sessions.capacity.
+constexpr double kMaxReadDelayMs = 30;
+constexpr double kWriteRetentionS = 30;
+constexpr double kSessionCapacity = 8'192;
+// src/consistency/session_consistency_guard: reads do not wait for peers that have been silent for longer
+// than this many read delays.
+constexpr double kMaxPeerSilenceInReadDelays = 8;
+
+constexpr double kProbeIntervalMs = 200;  // peers.probe_ms
+// A probe of a data server is `SHOW pressure` and one row with a load report of two fields, as the testbed's
+// data servers answer it.
+constexpr double kProbeQueryBytes = 19, kProbeAnswerBytes = 83;
+constexpr double kTcpHeaderBytes = 52;  // IPv4 and TCP with its timestamps, per segment
+
+constexpr double kPooledIdleTimeoutS = 10;            // src/upstream/connection_pool
+constexpr double kMaxAdminResponseBytes = 1'048'576;  // src/admin/admin_server
+constexpr double kReservedDescriptors = 40;           // net::DescriptorBudget
+// src/frontend: idle clients are closed early when clients hold more than one in this many descriptors.
+constexpr double kDescriptorsPerIdleClient = 8;
+// src/discovery: an empty line as a chunk, which discovery sends to each open watch as a heartbeat.
+constexpr double kWatchHeartbeatIntervalS = 2;
+constexpr double kWatchHeartbeatBytes = 6;
+constexpr double kDrainGraceS = 2;  // rules.drain_grace_us of the platform's configuration
 
 }  // namespace lynxgrade::capacity
--- a/src/capacity/files.h
+++ b/src/capacity/files.h
@@ -1,4 +1,4 @@
-// Reads target files and records from disk, and nothing more: what they mean is in target.h and
+// Reads target files, records of runs and the page template from disk. Parsing is in target.h and
 // measurements.h.
 #pragma once
 
@@ -11,17 +11,17 @@
 
 namespace lynxgrade::capacity {
 
-// Or one plain sentence that names the file.
+// The parsed contents, or an error message that names the file.
 std::variant<Target, std::string> LoadTarget(const std::string& path);
 std::variant<std::vector<Record>, std::string> LoadMeasurements(const std::vector<std::string>& paths);
 
-// The words of the page, or a sentence as above.
-struct Unread {
-  std::string why;
+struct LoadError {
+  std::string message;
 };
-std::variant<std::string, Unread> LoadWords(const std::string& path);
+// The text of the page template (page.md.in), or an error that names the file.
+std::variant<std::string, LoadError> LoadPageTemplate(const std::string& path);
 
-// The folder's measurements*.json, in the order of their names; all that the page is computed from.
-std::vector<std::string> MeasurementFiles(const std::string& folder);
+// The paths of the folder's measurements*.json, sorted by name. The page is computed from all of them.
+std::vector<std::string> ListMeasurementFiles(const std::string& folder);
 
 }  // namespace lynxgrade::capacity
--- a/src/capacity/fit.cpp
+++ b/src/capacity/fit.cpp
@@ -5,10 +5,11 @@
 namespace lynxgrade::capacity {
 namespace {
 
-// The sine of the angle between a term's values and the nearest mixture of the terms before it.
-constexpr double kLeastSine = 0.02;
+// Minimum sine of the angle between a term's values and the span of the terms before it. Below it the slope
+// would be fitted to noise.
+constexpr double kMinIndependenceSine = 0.02;
 
-std::string Listed(const std::vector<std::string>& names, std::size_t count) {
+std::string JoinNames(const std::vector<std::string>& names, std::size_t count) {
   std::string text;
   for (std::size_t i = 0; i < count; ++i) text += (i == 0 ? "" : i + 1 == count ? " and " : ", ") + names[i];
   return text;
@@ -37,7 +38,7 @@
     return std::to_string(rows) + (rows == 1 ? " record" : " records") + " for " + std::to_string(columns) +
            (columns == 1 ? " slope" : " slopes") + ": one more than slopes is needed at least";
   }
-  // Columns of one length, so that one measure of independence holds for poolers and for bytes.
+  // Columns are normalized, so that one threshold of independence suits all units.
   std::vector<std::vector<double>> a(columns, std::vector<double>(rows));
   std::vector<double> length(columns, 0), y(rows);
   for (std::size_t i = 0; i < rows; ++i) {
@@ -55,8 +56,8 @@
     double norm = 0;
     for (std::size_t i = k; i < rows; ++i) norm += a[k][i] * a[k][i];
     norm = std::sqrt(norm);
-    if (norm < kLeastSine) {
-      return terms[k] + " cannot be told from " + Listed(terms, k) + ": they grew together in all " +
+    if (norm < kMinIndependenceSine) {
+      return terms[k] + " cannot be told from " + JoinNames(terms, k) + ": they grew together in all " +
              std::to_string(rows) + " records";
     }
     diagonal[k] = a[k][k] > 0 ? -norm : norm;
@@ -71,7 +72,7 @@
     for (std::size_t j = k + 1; j < columns; ++j) reflect(a[j]);
     reflect(y);
   }
-  // The upper triangle stands in a[j][i], i < j; its inverse column by column.
+  // The upper triangular factor is in a[j][i], i < j; it is inverted column by column.
   std::vector<std::vector<double>> inverse(columns, std::vector<double>(columns, 0));
   for (std::size_t c = 0; c < columns; ++c) {
     for (std::size_t k = c + 1; k-- > 0;) {
@@ -82,9 +83,9 @@
   }
   Fit fit;
   fit.samples = rows;
-  double left = 0;
-  for (std::size_t i = columns; i < rows; ++i) left += y[i] * y[i];
-  const double variance = left / static_cast<double>(rows - columns);
+  double residual_squares = 0;
+  for (std::size_t i = columns; i < rows; ++i) residual_squares += y[i] * y[i];
+  const double variance = residual_squares / static_cast<double>(rows - columns);
   fit.residual = std::sqrt(variance);
   fit.covariance.assign(columns, std::vector<double>(columns, 0));
   for (std::size_t i = 0; i < columns; ++i) {
--- a/src/capacity/fit.h
+++ b/src/capacity/fit.h
@@ -1,5 +1,5 @@
-// Least squares: the slopes that a row's measurements show, their errors, and a refusal where they show none.
-// Pure arithmetic.
+// Ordinary least squares with standard errors. Rejects samples that do not determine all slopes. Pure
+// arithmetic.
 #pragma once
 
 #include <string>
@@ -9,25 +9,24 @@
 namespace lynxgrade::capacity {
 
 struct Sample {
-  std::vector<double> x;  // one value a term; the constant is a term whose value is 1
+  std::vector<double> x;  // one value per term; the constant is a term with the value 1
   double y = 0;
 };
 
 struct Fit {
-  std::vector<double> slopes;                   // one a term
-  std::vector<double> errors;                   // of each, one standard error
+  std::vector<double> slopes;                   // one per term
+  std::vector<double> errors;                   // standard error of each slope
   std::vector<std::vector<double>> covariance;  // of the slopes
-  double residual = 0;                          // standard deviation of what the slopes leave unexplained
+  double residual = 0;                          // standard deviation of the residuals
   std::size_t samples = 0;
 
   double At(const std::vector<double>& x) const;
-  // One standard error of the mean at x; grows with the distance from what was measured.
+  // Standard error of the mean at x; it grows with the distance from the samples.
   double ErrorAt(const std::vector<double>& x) const;
 };
 
-// Ordinary least squares by Householder's reflections. A sentence and no fit where there are fewer samples
-// than terms and one, or where a term can be told from the others by less than a fiftieth of its length: such
-// slopes would be the noise's.
+// Fits by Householder reflections. Returns an error message if there are not more samples than terms, or if
+// less than 2 % of a term's length is independent of the terms before it: its slope would be fitted to noise.
 std::variant<Fit, std::string> LeastSquares(const std::vector<std::string>& terms,
                                             const std::vector<Sample>& samples);
 
--- a/src/capacity/measurements.cpp
+++ b/src/capacity/measurements.cpp
@@ -13,95 +13,96 @@
 
 using Json = nlohmann::json;
 
-// Where fewer own-reads than this took the conservative target, no cap on asks and no budget of bytes bound:
-// starts and losses make a few of them in any run.
-constexpr double kHardlyAnyHeldBack = 0.01;
+// A few own-reads require the conservative position in any run, after starts and failures. A larger share
+// means that the limit on lease acquires or the budget of bytes took effect.
+constexpr double kMaxConservativeShare = 0.01;
 
-[[noreturn]] void Wrong(std::size_t at, const std::string& what) {
-  throw std::runtime_error("record " + std::to_string(at + 1) + ": " + what);
+[[noreturn]] void ThrowRecordError(std::size_t index, const std::string& message) {
+  throw std::runtime_error("record " + std::to_string(index + 1) + ": " + message);
 }
 
-double NumberIn(const Json& run, std::size_t at, const char* key, double least, double most,
-                std::optional<double> unless_told = std::nullopt) {
-  const std::string named = std::string("'run.") + key + "'";
-  if (!run.contains(key) && unless_told) return *unless_told;
-  if (!run.contains(key)) Wrong(at, named + " is missing");
-  if (!run[key].is_number()) Wrong(at, named + " is not a number");
+double ReadNumber(const Json& run, std::size_t index, const char* key, double min, double max,
+                  std::optional<double> default_value = std::nullopt) {
+  const std::string quoted_key = std::string("'run.") + key + "'";
+  if (!run.contains(key) && default_value) return *default_value;
+  if (!run.contains(key)) ThrowRecordError(index, quoted_key + " is missing");
+  if (!run[key].is_number()) ThrowRecordError(index, quoted_key + " is not a number");
   const double value = run[key].get<double>();
-  if (!(value >= least && value <= most)) Wrong(at, named + " is out of its bounds");
+  if (!(value >= min && value <= max)) ThrowRecordError(index, quoted_key + " is out of range");
   return value;
 }
 
-std::string TextIn(const Json& run, std::size_t at, const char* key, bool needed) {
+std::string ReadText(const Json& run, std::size_t index, const char* key, bool required) {
   if (!run.contains(key)) {
-    if (!needed) return {};
-    Wrong(at, std::string("'run.") + key + "' is missing");
+    if (!required) return {};
+    ThrowRecordError(index, std::string("'run.") + key + "' is missing");
   }
-  if (!run[key].is_string()) Wrong(at, std::string("'run.") + key + "' is not a text");
+  if (!run[key].is_string()) ThrowRecordError(index, std::string("'run.") + key + "' is not a string");
   return run[key].get<std::string>();
 }
 
-// Runs say which part of statements went to a home drawn at random, each by itself, and not to its session's
-// own. Of two statements of a session, one after the other, that makes so many come to different poolers:
-// away and back again are two. Machines set aside have homes as well, whose sessions are at no pooler for
-// long.
-double RoamingShare(double roam_share, double poolers, double owners) {
+// Converts the `roam_share` of a run, the share of statements that used a randomly drawn home instead of the
+// pooler's own, to the share of statements that reach another pooler than the session's previous one: roaming
+// and returning count as two. Dedicated lease managers have homes too, whose sessions have no usual pooler.
+double RoamingShare(double roam_share, double poolers, double lease_managers) {
   if (poolers < 2) return 0;
-  const double homes = poolers + owners, homeless = roam_share * owners / homes, others = 1 - homeless;
-  const double away = others > 0 ? (poolers - 1) * roam_share / homes / others : 0, home = 1 - away;
-  return others * (1 - home * home - away * away / (poolers - 1)) + homeless * (1 - 1 / poolers);
+  const double homes = poolers + lease_managers, unassigned = roam_share * lease_managers / homes,
+               assigned = 1 - unassigned;
+  const double away = assigned > 0 ? (poolers - 1) * roam_share / homes / assigned : 0, home = 1 - away;
+  return assigned * (1 - home * home - away * away / (poolers - 1)) + unassigned * (1 - 1 / poolers);
 }
 
-bool NeverNought(const std::string& figure) {
+bool IsNeverZero(const std::string& figure) {
   static const std::set<std::string> figures = {"memory_mb", "real_memory_mb", "cpu_share", "real_cpu_share",
                                                 "module_cpu_us_per_statement"};
   return figures.contains(figure);
 }
 
-Record RecordIn(const Json& json, std::size_t at) {
-  if (!json.is_object() || !json.contains("run") || !json["run"].is_object()) Wrong(at, "has no 'run'");
-  if (!json.contains("figures") || !json["figures"].is_object()) Wrong(at, "has no 'figures'");
+Record ParseRecord(const Json& json, std::size_t index) {
+  if (!json.is_object() || !json.contains("run") || !json["run"].is_object())
+    ThrowRecordError(index, "has no 'run'");
+  if (!json.contains("figures") || !json["figures"].is_object()) ThrowRecordError(index, "has no 'figures'");
   const Json& run = json["run"];
-  constexpr double kMost = 1e12;
+  constexpr double kMaxValue = 1e12;
   Record record;
-  record.size.poolers = NumberIn(run, at, "poolers", 0, kMost);
-  record.size.databases = NumberIn(run, at, "databases", 0, kMost);
-  record.size.groups = record.size.databases / kPlayedMembersAGroup;
-  record.size.clients = NumberIn(run, at, "clients", 0, kMost);
-  record.size.statements_per_s = NumberIn(run, at, "statements_per_s", 0, kMost);
-  record.size.writes_share = NumberIn(run, at, "writes_share", 0, 1);
-  const double own_reads = (1 - record.size.writes_share) * kPlayedOwnReads;
-  record.size.own_reads_share = NumberIn(run, at, "own_reads_share", 0, 1, own_reads);
-  const double roam_share = NumberIn(run, at, "roam_share", 0, 1);
-  record.size.session_statements = NumberIn(run, at, "session_statements", 0, kMost, 0);
-  // Those set aside are among the run's poolers, and are counted apart.
-  record.size.owners = NumberIn(run, at, "owners", 0, kMost, 0);
-  if (record.size.owners > 0 && record.size.owners >= record.size.poolers) {
-    Wrong(at, "'run.owners' is out of its bounds");
+  record.size.poolers = ReadNumber(run, index, "poolers", 0, kMaxValue);
+  record.size.databases = ReadNumber(run, index, "databases", 0, kMaxValue);
+  record.size.groups = record.size.databases / kTestbedMembersPerGroup;
+  record.size.clients = ReadNumber(run, index, "clients", 0, kMaxValue);
+  record.size.statements_per_s = ReadNumber(run, index, "statements_per_s", 0, kMaxValue);
+  record.size.writes_share = ReadNumber(run, index, "writes_share", 0, 1);
+  const double own_reads = (1 - record.size.writes_share) * kTestbedOwnReadsShare;
+  record.size.own_reads_share = ReadNumber(run, index, "own_reads_share", 0, 1, own_reads);
+  const double roam_share = ReadNumber(run, index, "roam_share", 0, 1);
+  record.size.session_statements = ReadNumber(run, index, "session_statements", 0, kMaxValue, 0);
+  // The run's count of poolers includes dedicated lease managers.
+  record.size.lease_managers = ReadNumber(run, index, "owners", 0, kMaxValue, 0);
+  if (record.size.lease_managers > 0 && record.size.lease_managers >= record.size.poolers) {
+    ThrowRecordError(index, "'run.owners' is out of range");
   }
-  record.size.poolers -= record.size.owners;
-  record.size.roaming_share = RoamingShare(roam_share, record.size.poolers, record.size.owners);
-  record.generation = NumberIn(run, at, "generation", 1, kMost, run.contains("owners") ? 2 : 1);
-  record.size.changes_per_s = NumberIn(run, at, "changes_per_s", 0, kMost);
-  record.bytes_budget = NumberIn(run, at, "bytes_per_s", 0, kMost, 0);
-  record.real = NumberIn(run, at, "real", 0, kMost);
-  record.seconds = NumberIn(run, at, "seconds", 0, kMost);
-  record.seed = NumberIn(run, at, "seed", 0, 2e19);
-  record.script = TextIn(run, at, "script", true);
-  record.marks = TextIn(run, at, "marks", false);
-  record.commit = TextIn(run, at, "commit", true);
+  record.size.poolers -= record.size.lease_managers;
+  record.size.roaming_share = RoamingShare(roam_share, record.size.poolers, record.size.lease_managers);
+  record.generation = ReadNumber(run, index, "generation", 1, kMaxValue, run.contains("owners") ? 2 : 1);
+  record.size.changes_per_s = ReadNumber(run, index, "changes_per_s", 0, kMaxValue);
+  record.bytes_budget = ReadNumber(run, index, "bytes_per_s", 0, kMaxValue, 0);
+  record.real_poolers = ReadNumber(run, index, "real", 0, kMaxValue);
+  record.seconds = ReadNumber(run, index, "seconds", 0, kMaxValue);
+  record.seed = ReadNumber(run, index, "seed", 0, 2e19);
+  record.script = ReadText(run, index, "script", true);
+  record.marks = ReadText(run, index, "marks", false);
+  record.commit = ReadText(run, index, "commit", true);
   for (const auto& [key, value] : json["figures"].items()) {
-    if (value.is_null()) continue;  // the run could not tell it
-    if (!value.is_number()) Wrong(at, "'figures." + key + "' is not a number");
-    // No process lives on nothing: the run could not tell it, as one that hosts a single instance cannot.
-    if (value.get<double>() == 0 && NeverNought(key)) continue;
+    if (value.is_null()) continue;  // the run could not measure it
+    if (!value.is_number()) ThrowRecordError(index, "'figures." + key + "' is not a number");
+    // Zero means that the run could not measure it, as with a process that hosts a single instance.
+    if (value.get<double>() == 0 && IsNeverZero(key)) continue;
     record.figures[key] = value.get<double>();
   }
   const auto figure = [&](const char* key) {
     const auto found = record.figures.find(key);
     return found == record.figures.end() ? -1 : found->second;
   };
-  record.held_back = figure("conservative_share") > kHardlyAnyHeldBack;
+  record.reads_limited = figure("conservative_share") > kMaxConservativeShare;
   record.size.packets_per_s = std::max(0.0, figure("packets_out_per_s"));
   if (const double statements = figure("statements"), over = figure("measured_s");
       statements >= 0 && over > 0) {
@@ -115,18 +116,19 @@
 
 }  // namespace
 
-std::variant<std::vector<Record>, std::string> ReadMeasurements(std::string_view text) {
+std::variant<std::vector<Record>, std::string> ParseMeasurements(std::string_view text) {
   try {
     Json json = Json::parse(text);
-    if (json.is_object() && json.contains("run")) json = Json::array({json});  // as a single run writes it
+    if (json.is_object() && json.contains("run"))
+      json = Json::array({json});  // a single run writes one record
     if (!json.is_array()) return "the measurements are not a list of records";
     std::vector<Record> records;
-    for (std::size_t i = 0; i < json.size(); ++i) records.push_back(RecordIn(json[i], i));
+    for (std::size_t i = 0; i < json.size(); ++i) records.push_back(ParseRecord(json[i], i));
     return records;
   } catch (const Json::parse_error& error) {
     const std::string_view before = text.substr(0, std::min(error.byte, text.size()));
     const auto line = std::count(before.begin(), before.end(), '\n') + 1;
-    return "line " + std::to_string(line) + ": no JSON";
+    return "line " + std::to_string(line) + ": invalid JSON";
   } catch (const std::runtime_error& error) {
     return std::string(error.what());
   }
--- a/src/capacity/measurements.h
+++ b/src/capacity/measurements.h
@@ -1,5 +1,5 @@
-// Records of runs: what size was played and what each pooler did there. Read from JSON; free of I/O and
-// clocks.
+// Records of testbed runs: the size and load that a run simulated, and the figures measured per pooler.
+// Parsed from JSON. Free of I/O and clocks.
 #pragma once
 
 #include <map>
@@ -11,43 +11,43 @@
 
 namespace lynxgrade::capacity {
 
-// The size of a fleet, played or to be reckoned with, whole fleet throughout. The same for both, so that a
-// slope is used on what it was taken from.
-struct Size {
+// Size and load of a whole fleet, of a run or of a target. Both use one type, so that slopes are applied to
+// the quantities that they were fitted to.
+struct FleetSize {
   double poolers = 0, databases = 0, clients = 0, statements_per_s = 0;
   double writes_share = 0, own_reads_share = 0;  // of statements, 0 to 1
-  // Of session statements, which are writes and own-reads: those that come to another pooler than the one
-  // before them of the same session.
+  // Share of session statements (writes and own-reads) that reach another pooler than the previous statement
+  // of the same session did.
   double roaming_share = 0;
-  double session_statements = 0;  // of a session until it ends or rests for a lease; zero: it does not end
-  double owners = 0;              // machines set aside that own the sessions; zero: the poolers do
-  double groups = 0;              // of databases that hold the same data
-  double packets_per_s = 0;       // that one pooler sends to the others; zero: not told
-  double changes_per_s = 0;       // of the list of data servers, or of what else poolers are told
+  double session_statements = 0;  // per session until it ends or is idle for a lease; 0: never ends
+  double lease_managers = 0;      // dedicated lease managers; 0: the poolers manage the leases
+  double groups = 0;              // databases with the same data form a group
+  double packets_per_s = 0;       // sent by one pooler to its peers; 0: not measured
+  double changes_per_s = 0;       // of the endpoint list, or of what else poolers are notified of
 };
 
 struct Record {
-  // Where a run counted statements and writes (figures `statements`, `writes`, `measured_s`), what it counted
-  // stands here in place of what it was asked to play; else both are the whole fleet's, as `run` tells them.
-  Size size;
-  // What poolers say to each other differs from one to the next, so no line goes through both: 1 before a run
-  // told of `owners`, then 2, or as the run says.
+  // Statements and writes are those that the run counted (figures `statements`, `writes`, `measured_s`), or
+  // else those that `run` requested for the whole fleet.
+  FleetSize size;
+  // Version of the messages between poolers. Records of different generations are never fitted together.
+  // Unless the run has `generation`, it is 2 for runs with `owners` and 1 for older ones.
   double generation = 1;
-  // Reads' asks were held back, by a cap on them or a budget of bytes: what is sent then is the bound's, and
-  // no slope's.
-  bool held_back = false;
-  double bytes_budget = 0;  // of messages of sessions, a second, as the run set it; zero: it set none
-  double real = 0;          // how many of the poolers were processes of their own
+  // Lease acquires by reads were limited, by their rate or by a budget of bytes. Traffic then depends on the
+  // limit and not on the load, so the record is not used for slopes.
+  bool reads_limited = false;
+  double bytes_budget = 0;  // bytes per second allowed for lease messages; 0: no budget set
+  double real_poolers = 0;  // poolers that ran as processes of their own
   double seconds = 0;
   double seed = 0;
-  std::string script;  // what was played
-  std::string marks;   // the way in which marks were exchanged; empty: it does not matter there
+  std::string script;  // the scenario that the run simulated
+  std::string marks;   // how watermarks were replicated; empty: irrelevant to the run
   std::string commit;
-  std::map<std::string, double> figures;  // of one pooler, the mean over all; names end in their unit
+  std::map<std::string, double> figures;  // means per pooler; names end in their unit
 };
 
-// The records in `text`, a JSON list or one record alone, or one plain sentence. Keys that are not known are
-// passed over, so that a run may tell more than the page shows.
-std::variant<std::vector<Record>, std::string> ReadMeasurements(std::string_view text);
+// Parses a JSON list of records or a single record. Unknown keys are ignored, so that runs can record more
+// than the page shows. Returns an error message if the text is invalid.
+std::variant<std::vector<Record>, std::string> ParseMeasurements(std::string_view text);
 
 }  // namespace lynxgrade::capacity
--- a/src/capacity/model.cpp
+++ b/src/capacity/model.cpp
@@ -11,188 +11,197 @@
 namespace lynxgrade::capacity {
 namespace {
 
-constexpr double kDay = 86'400;
-// What a fit's range holds and what lies beyond it: runs hit the rates that they are asked for within this.
-constexpr double kSlack = 0.05;
-// Changes in fewer than one second of a hundred are none in an ordinary one.
-constexpr double kHardlyAny = 0.01;
-constexpr double kBelowBound =
-    0.9;                         // part of the bound on packets under which a run was surely not held by it
-constexpr double kToldFrom = 2;  // errors from nothing on: a slope that is nearer is not told by the records
-constexpr double kStallsAPooler = 1;  // in a run: more, and the machine was too busy for its size
-constexpr double kMostGrowth = 8;     // times the target: beyond it the design is another
+constexpr double kSecondsPerDay = 86'400;
+// Relative tolerance of a fit's range: runs reach the requested rates within 5 %.
+constexpr double kRangeTolerance = 0.05;
+// With changes in fewer than one second of 100, an ordinary second has none.
+constexpr double kNegligibleChangesPerS = 0.01;
+// A run below this fraction of the limit on packets was not throttled by it.
+constexpr double kUnlimitedPacketsFraction = 0.9;
+// A slope below two standard errors cannot be distinguished from zero.
+constexpr double kMinSlopeToErrorRatio = 2;
+constexpr double kMaxStallsPerPooler =
+    1;                            // per run; with more, the machine was overloaded by the fleet's size
+constexpr double kMaxGrowth = 8;  // times the target; larger fleets would need another design
 
-// Runs in which nothing happens but load; those in which an ordinary day's events do; and the losses.
+// Scripts without events, with the events of an ordinary day, and with the loss of a zone or a region.
 const std::vector<std::string> kOrdinaryScripts = {"quiet", "load"};
 const std::vector<std::string> kEventScripts = {"primaries", "replaced", "configuration"};
 const std::vector<std::string> kZoneScripts = {"zone"};
 const std::vector<std::string> kRegionScripts = {"region"};
 
-bool OneOf(const Record& record, const std::vector<std::string>& scripts) {
+bool HasScript(const Record& record, const std::vector<std::string>& scripts) {
   return std::any_of(scripts.begin(), scripts.end(),
                      [&](const std::string& script) { return record.script.starts_with(script); });
 }
-// Poolers whose loops stood still for a period answer late and are asked again: what is sent then is the busy
-// machine's.
-bool TooBusy(const Record& record) {
+// Poolers whose event loops stall answer late and receive retries, so their traffic reflects the overloaded
+// machine.
+bool IsOverloaded(const Record& record) {
   const auto stalls = record.figures.find("stalls");
-  return stalls != record.figures.end() && stalls->second > record.size.poolers * kStallsAPooler;
+  return stalls != record.figures.end() && stalls->second > record.size.poolers * kMaxStallsPerPooler;
 }
-bool Ordinary(const Record& record) {
-  return !record.held_back && !TooBusy(record) && OneOf(record, kOrdinaryScripts);
+bool IsOrdinary(const Record& record) {
+  return !record.reads_limited && !IsOverloaded(record) && HasScript(record, kOrdinaryScripts);
 }
 
-// Databases that nobody asks are neither probed nor connected to, however many they are.
-bool Loaded(const Record& record) { return Ordinary(record) && record.size.statements_per_s > 0; }
+// Without statements, databases are neither probed nor connected to, whatever their number.
+bool IsLoaded(const Record& record) { return IsOrdinary(record) && record.size.statements_per_s > 0; }
 
-using Keep = std::function<bool(const Record&)>;
+using RecordFilter = std::function<bool(const Record&)>;
 
-Cell Worked(double value) { return {How::kWorkedOut, value, 0, false}; }
+Cell Computed(double value) { return {Provenance::kComputed, value, 0, false}; }
 
 Cell Sum(const std::vector<Cell>& cells) {
-  Cell sum{How::kMeasured, 0, 0, false};
+  Cell sum{Provenance::kMeasured, 0, 0, false};
   bool any = false;
   for (const Cell& cell : cells) {
-    if (cell.how == How::kNotMeasured) {
-      sum.at_least = true;
+    if (cell.provenance == Provenance::kNotMeasured) {
+      sum.is_lower_bound = true;
       continue;
     }
     any = true;
-    sum.how = std::max(sum.how, cell.how);
-    sum.at_least = sum.at_least || cell.at_least;
+    sum.provenance = std::max(sum.provenance, cell.provenance);
+    sum.is_lower_bound = sum.is_lower_bound || cell.is_lower_bound;
     sum.value += cell.value;
     sum.error = std::hypot(sum.error, cell.error);
   }
   return any ? sum : Cell{};
 }
 
-Cell Times(Cell cell, double by) {
-  cell.value *= by;
-  cell.error *= by;
+Cell Scaled(Cell cell, double factor) {
+  cell.value *= factor;
+  cell.error *= factor;
   return cell;
 }
 
-double MachinesLeft(const Target& target, Column column) {
-  if (column == Column::kZoneGone) return std::max(1.0, target.control_machines - 1);
-  if (column == Column::kRegionsCut) return std::max(1.0, std::floor(target.control_machines / 2));
+double ReachableMachines(const Target& target, Scenario scenario) {
+  if (scenario == Scenario::kZoneLost) return std::max(1.0, target.control_machines - 1);
+  if (scenario == Scenario::kRegionsPartitioned)
+    return std::max(1.0, std::floor(target.control_machines / 2));
   return target.control_machines;
 }
 
-double ListChanges(const Target& target) {
-  return (target.machine_failures_per_day + target.restarts_per_day + target.primary_changes_per_day) / kDay;
+double ListChangesPerS(const Target& target) {
+  return (target.machine_failures_per_day + target.restarts_per_day + target.primary_changes_per_day) /
+         kSecondsPerDay;
 }
 
-// A list of rows in the making; what the rows of a figure share is said once.
-class Builder {
+// Builds the list of rows from the records.
+class RowBuilder {
  public:
-  explicit Builder(const std::vector<Record>& records) : records_(records) {}
+  explicit RowBuilder(const std::vector<Record>& records) : records_(records) {}
 
-  std::vector<const Record*> Kept(const Keep& keep) const {
-    std::vector<const Record*> kept;
+  std::vector<const Record*> Matching(const RecordFilter& filter) const {
+    std::vector<const Record*> matching;
     for (const Record& record : records_) {
-      if (keep(record)) kept.push_back(&record);
+      if (filter(record)) matching.push_back(&record);
     }
-    return kept;
+    return matching;
   }
 
-  // Records of this script, of the last generation that played it.
-  Keep Newest(const std::string& script) const {
-    double newest = 1;
+  // Selects the script's records of its latest generation.
+  RecordFilter LatestGeneration(const std::string& script) const {
+    double latest = 1;
     for (const Record& record : records_) {
-      if (record.script == script) newest = std::max(newest, record.generation);
+      if (record.script == script) latest = std::max(latest, record.generation);
     }
-    return [script, newest](const Record& record) {
-      return record.script == script && record.generation == newest;
+    return [script, latest](const Record& record) {
+      return record.script == script && record.generation == latest;
     };
   }
 
-  // Whether some generation from this one on shows slopes of poolers that exchange marks so.
-  bool Told(const std::string& marks, double from, bool owners_aside) const {
-    std::map<double, std::vector<const Record*>> kept;
+  // Whether any generation from `min_generation` on determines slopes for this way of replicating watermarks.
+  bool HasSlopes(const std::string& marks, double min_generation, bool dedicated_managers) const {
+    std::map<double, std::vector<const Record*>> matching;
     for (const Record& record : records_) {
-      const bool such = record.marks == marks && (record.size.owners > 0) == owners_aside;
-      if (such && record.generation >= from && Ordinary(record)) kept[record.generation].push_back(&record);
+      const bool matches = record.marks == marks && (record.size.lease_managers > 0) == dedicated_managers;
+      if (matches && record.generation >= min_generation && IsOrdinary(record))
+        matching[record.generation].push_back(&record);
     }
-    return std::any_of(kept.begin(), kept.end(), [](const auto& one) {
-      return Slopes({Term::kOne, Term::kPoolers}, "membership_bytes_out_per_s", one.second).fit().has_value();
+    return std::any_of(matching.begin(), matching.end(), [](const auto& one) {
+      return Slopes({Term::kConstant, Term::kPoolers}, "membership_bytes_out_per_s", one.second)
+          .fit()
+          .has_value();
     });
   }
 
-  // A row by slopes of a figure.
-  Row& Fitted(Row row, const std::string& figure, const std::vector<Term>& terms, const Keep& keep) {
-    const Slopes slopes(terms, figure, Kept(keep));
+  // Adds a row computed from the slopes of a figure.
+  Row& Fitted(Row row, const std::string& figure, const std::vector<Term>& terms,
+              const RecordFilter& filter) {
+    const Slopes slopes(terms, figure, Matching(filter));
     row.slopes = slopes;
-    row.at = [slopes, scale = row.scale](const Target& target, Column column) {
-      return Times(slopes.At(SizeIn(target, column)), scale);
+    row.at = [slopes, scale = row.scale](const Target& target, Scenario scenario) {
+      return Scaled(slopes.At(SizeAt(target, scenario)), scale);
     };
     return Add(std::move(row));
   }
 
-  // The same of what events add to. Without a run of them a column is what the slopes say at least.
-  // `packets`: how many one pooler sends, where the terms ask for them.
-  using Packets = std::function<Cell(const Target&, Column)>;
-  Row& FittedWithEvents(Row row, const std::string& figure, const std::vector<Term>& terms, const Keep& keep,
-                        const Packets& packets = {}) {
-    const auto kept = Kept(keep);
-    const Slopes slopes(terms, figure, Kept([&](const Record& r) { return keep(r) && Ordinary(r); }));
+  // The same with the load of events. A scenario without runs of its events is a lower bound.
+  // `packets`: packets per second sent by one pooler, for terms that depend on them.
+  using Packets = std::function<Cell(const Target&, Scenario)>;
+  Row& FittedWithEvents(Row row, const std::string& figure, const std::vector<Term>& terms,
+                        const RecordFilter& filter, const Packets& packets = {}) {
+    const auto matching = Matching(filter);
+    const Slopes slopes(terms, figure, Matching([&](const Record& r) { return filter(r) && IsOrdinary(r); }));
     row.slopes = slopes;
-    row.events.emplace(slopes, figure, kept, kEventScripts);
-    row.zone.emplace(slopes, figure, kept, kZoneScripts);
-    row.regions.emplace(slopes, figure, kept, kRegionScripts);
-    row.size = [packets](const Target& target, Column column) {
-      Size size = SizeIn(target, column);
-      if (packets) size.packets_per_s = packets(target, column).value;
+    row.events.emplace(slopes, figure, matching, kEventScripts);
+    row.zone.emplace(slopes, figure, matching, kZoneScripts);
+    row.regions.emplace(slopes, figure, matching, kRegionScripts);
+    row.size = [packets](const Target& target, Scenario scenario) {
+      FleetSize size = SizeAt(target, scenario);
+      if (packets) size.packets_per_s = packets(target, scenario).value;
       return size;
     };
     row.at = [slopes, packets, events = *row.events, zone = *row.zone, regions = *row.regions,
-              scale = row.scale](const Target& target, Column column) {
-      const Surplus* added = column == Column::kWorstOrdinary ? &events
-                             : column == Column::kZoneGone    ? &zone
-                             : column == Column::kRegionsCut  ? &regions
-                                                              : nullptr;
-      Size size = SizeIn(target, column);
-      bool at_least = false;
+              scale = row.scale](const Target& target, Scenario scenario) {
+      const EventSurplus* added = scenario == Scenario::kWorstOrdinary        ? &events
+                                  : scenario == Scenario::kZoneLost           ? &zone
+                                  : scenario == Scenario::kRegionsPartitioned ? &regions
+                                                                              : nullptr;
+      FleetSize size = SizeAt(target, scenario);
+      bool is_lower_bound = false;
       if (packets) {
-        const Cell sent = packets(target, column);
-        if (sent.how == How::kNotMeasured) return Cell{};
+        const Cell sent = packets(target, scenario);
+        if (sent.provenance == Provenance::kNotMeasured) return Cell{};
         size.packets_per_s = sent.value;
-        at_least = sent.at_least;
+        is_lower_bound = sent.is_lower_bound;
       }
-      Cell plain = Times(slopes.At(size), scale);
-      if (plain.how == How::kNotMeasured) return plain;
-      plain.at_least = plain.at_least || at_least;
+      Cell plain = Scaled(slopes.At(size), scale);
+      if (plain.provenance == Provenance::kNotMeasured) return plain;
+      plain.is_lower_bound = plain.is_lower_bound || is_lower_bound;
       if (added == nullptr) return plain;
-      Cell sum = Sum({plain, Times(added->At(target.poolers), scale)});
-      sum.how = How::kWorkedOut;
+      Cell sum = Sum({plain, Scaled(added->At(target.poolers), scale)});
+      sum.provenance = Provenance::kComputed;
       return sum;
     };
     return Add(std::move(row));
   }
 
-  // The first of these terms over whose quiet and loaded records a figure has slopes; the last where none
-  // has.
-  std::vector<Term> FirstTold(const std::vector<std::vector<Term>>& all, const std::string& figure,
-                              const Keep& keep) const {
-    const auto kept = Kept([&](const Record& r) { return keep(r) && Ordinary(r); });
+  // The first list of terms whose slopes the ordinary records determine, or the last list.
+  std::vector<Term> FirstFittingTerms(const std::vector<std::vector<Term>>& all, const std::string& figure,
+                                      const RecordFilter& filter) const {
+    const auto matching = Matching([&](const Record& r) { return filter(r) && IsOrdinary(r); });
     for (const std::vector<Term>& terms : all) {
-      if (Slopes(terms, figure, kept).fit()) return terms;
+      if (Slopes(terms, figure, matching).fit()) return terms;
     }
     return all.back();
   }
 
-  // Whether any record of an ordinary run tells the figure.
-  bool Tells(const Keep& keep, const std::string& figure) const {
-    const auto tells = [&](const Record& r) { return keep(r) && Ordinary(r) && r.figures.contains(figure); };
-    return !Kept(tells).empty();
+  // Whether any record of an ordinary run has the figure.
+  bool HasFigure(const RecordFilter& filter, const std::string& figure) const {
+    const auto has_figure = [&](const Record& r) {
+      return filter(r) && IsOrdinary(r) && r.figures.contains(figure);
+    };
+    return !Matching(has_figure).empty();
   }
 
-  Row& Arithmetic(Row row, std::function<Cell(const Target&, Column)> at) {
+  Row& Arithmetic(Row row, std::function<Cell(const Target&, Scenario)> at) {
     row.at = std::move(at);
     return Add(std::move(row));
   }
 
   Row& NotMeasured(Row row) {
-    row.at = [](const Target&, Column) { return Cell{}; };
+    row.at = [](const Target&, Scenario) { return Cell{}; };
     return Add(std::move(row));
   }
 
@@ -207,7 +216,7 @@
   const std::vector<Record>& records_;
 };
 
-Row Named(Role role, const char* group, std::string name, const char* mechanism, const char* note = "") {
+Row MakeRow(Role role, const char* group, std::string name, const char* mechanism, const char* note = "") {
   Row row;
   row.role = role;
   row.group = group;
@@ -217,70 +226,76 @@
   return row;
 }
 
-// From one packet to the next to the same pooler, from each to each.
-double PauseMs(double poolers) { return (poolers - 1) / kPacketsPerS * 1000; }
+// Interval between packets to the same peer if each pooler sends to all others.
+double PacketIntervalMs(double poolers) { return (poolers - 1) / kMaxPacketsPerS * 1000; }
 
-// Marks that one pooler has not sent to one across the cut, the most that it keeps in sequence.
-double MissedMarks(const Target& target) {
-  const Size size = SizeIn(target, Column::kOrdinary);
-  return std::min(ValueOf(Term::kWrites, size) * target.region_cut_s, kMarksKept);
+// Watermarks that a pooler could not send across a partition, limited by those that it retains.
+double MissedWatermarks(const Target& target) {
+  const FleetSize size = SizeAt(target, Scenario::kOrdinary);
+  return std::min(TermValue(Term::kWrites, size) * target.region_cut_s, kRetainedWatermarks);
 }
 
-constexpr const char* kOneSlope =
+constexpr const char* kSharedSlopeNote =
     "writes and messages of sessions grew together in all runs: the slope holds for their share of each "
     "other";
 
-// A session's stay at a pooler, from its first statement there to its end or its next move, with writes and
-// own-reads in any order: whether it writes at all, and how many reads come before the first write.
-struct Stay {
-  double unwritten = 0, reads_first = 0;
+// The statements of a session at one pooler, from the first one there until the session ends or roams, with
+// writes and own-reads in random order.
+struct SessionVisit {
+  double no_write = 0;            // probability that it has no write
+  double reads_before_write = 0;  // expected number
 };
-double ReadsPart(const Size& size) {
+double OwnReadsFraction(const FleetSize& size) {
   return size.own_reads_share / std::max(1e-12, size.own_reads_share + size.writes_share);
 }
-Stay Met(const Size& size) {
-  const double reads = std::min(ReadsPart(size), 1 - 1e-9);
-  const double unwritten = std::pow(reads, size.session_statements);
-  return {unwritten, reads * (1 - unwritten) / (1 - reads)};
+SessionVisit VisitFromFirstContact(const FleetSize& size) {
+  const double reads = std::min(OwnReadsFraction(size), 1 - 1e-9);
+  const double no_write = std::pow(reads, size.session_statements);
+  return {no_write, reads * (1 - no_write) / (1 - reads)};
 }
-Stay Moved(const Size& size) {
-  const double reads = std::min(ReadsPart(size), 1 - 1e-9), goes_on = reads * (1 - size.roaming_share);
-  return {reads * size.roaming_share / (1 - goes_on), reads / (1 - goes_on)};
+SessionVisit VisitFromRoaming(const FleetSize& size) {
+  const double reads = std::min(OwnReadsFraction(size), 1 - 1e-9),
+               continues = reads * (1 - size.roaming_share);
+  return {reads * size.roaming_share / (1 - continues), reads / (1 - continues)};
 }
 
-// Messages of sessions that are left where no read's ask is admitted: a stay is asked for by its first write.
-double WritesMessages(const Size& size) {
-  return kMessagesAFirstMeet * ValueOf(Term::kFirstMeets, size) * (1 - Met(size).unwritten) +
-         kMessagesAMove * ValueOf(Term::kRoaming, size) * (1 - Moved(size).unwritten);
+// Lease messages if no lease acquire of a read is admitted: the first write of a visit acquires the lease.
+double LeaseMessagesOfWrites(const FleetSize& size) {
+  return kMessagesPerLeaseAcquire * TermValue(Term::kFirstContacts, size) *
+             (1 - VisitFromFirstContact(size).no_write) +
+         kMessagesPerLeaseTransfer * TermValue(Term::kRoamingStatements, size) *
+             (1 - VisitFromRoaming(size).no_write);
 }
-// Of own-reads the part that then takes the conservative target.
-double ReadsUnadmitted(const Size& size) {
+// Share of own-reads that then require the conservative position.
+double UnadmittedReadsShare(const FleetSize& size) {
   const double all = size.statements_per_s * size.own_reads_share / size.poolers;
   if (all <= 0) return 0;
-  return std::min(1.0, (ValueOf(Term::kFirstMeets, size) * Met(size).reads_first +
-                        ValueOf(Term::kRoaming, size) * Moved(size).reads_first) /
-                           all);
+  return std::min(1.0,
+                  (TermValue(Term::kFirstContacts, size) * VisitFromFirstContact(size).reads_before_write +
+                   TermValue(Term::kRoamingStatements, size) * VisitFromRoaming(size).reads_before_write) /
+                      all);
 }
 
-// A way of exchanging marks, as records played it.
-struct Way {
+// A way of replicating watermarks that records were made with.
+struct ReplicationMode {
   std::string marks;
   double generation = 1;
-  bool owners_aside = false;  // sessions are owned by the machines set aside for control
-  bool later = false;         // there are records of a later generation
-  bool former = false;        // and they show slopes, so that these are for comparison alone
-  bool Has(const Record& record) const {
+  bool dedicated_managers = false;  // leases are managed by the control machines
+  bool has_later_records = false;   // of a later generation
+  bool superseded = false;          // these determine slopes, so this mode is only for comparison
+  bool Matches(const Record& record) const {
     return record.marks == marks && record.generation == generation &&
-           (record.size.owners > 0) == owners_aside;
+           (record.size.lease_managers > 0) == dedicated_managers;
   }
-  std::string Suffix() const {
+  std::string RowSuffix() const {
     return (marks == "none" ? " (without marks" : " (marks: " + marks) +
-           (owners_aside ? ", owners set aside" : "") + (later ? ", former records" : "") + ")";
+           (dedicated_managers ? ", owners set aside" : "") + (has_later_records ? ", former records" : "") +
+           ")";
   }
 };
 
-// Kinds of message that runs count beside those that are known here.
-std::set<std::string> OtherKinds(const std::vector<const Record*>& records) {
+// Kinds of message that records have figures of, other than the known ones.
+std::set<std::string> OtherMessageKinds(const std::vector<const Record*>& records) {
   const std::string ending = "_bytes_out_per_s";
   std::set<std::string> kinds;
   for (const Record* record : records) {
@@ -292,40 +307,39 @@
   return kinds;
 }
 
-// What of a directory's bytes comes from what; what reads cannot take off it; and the same with owners on the
-// machines set aside, where nobody has played that. `per_message`: bytes of a message of sessions, in and
-// out.
-void AddDirectory(Builder& build, const Way& way, const std::string& suffix, const Row& all,
+// Adds the rows of modes with leases: bytes by cause, the minimum that remains if no read acquires a lease,
+// and both with dedicated lease managers if no run had these. `per_message`: bytes of a lease message, sent
+// and received.
+void AddLeaseRows(RowBuilder& builder, const ReplicationMode& mode, const std::string& suffix, const Row& all,
                   double per_message) {
   constexpr Role role = Role::kPooler;
   const char* mechanism = "src/lease";
   const auto part = [&](const char* name, Term term, double messages) {
-    build.Arithmetic(Named(role, "messages", name + suffix + ", bytes a second", mechanism,
-                           "a part of marks in and out, by the slope over messages of sessions"),
-                     [=](const Target& target, Column column) {
-                       if (per_message == 0) return Cell{};
-                       return Worked(ValueOf(term, SizeIn(target, column)) * messages * per_message);
-                     });
+    builder.Arithmetic(MakeRow(role, "messages", name + suffix + ", bytes a second", mechanism,
+                               "a part of marks in and out, by the slope over messages of sessions"),
+                       [=](const Target& target, Scenario scenario) {
+                         if (per_message == 0) return Cell{};
+                         return Computed(TermValue(term, SizeAt(target, scenario)) * messages * per_message);
+                       });
   };
-  part("of it first meets", Term::kFirstMeets, kMessagesAFirstMeet);
-  part("of it roaming statements", Term::kRoaming, kMessagesAMove);
-  // `aside`: owners are on machines of their own, so that one end of each message is there; these are members
-  // as well.
-  const auto with = [=](bool writes_alone, bool aside) {
-    return [=, at = all.at](const Target& target, Column column) {
-      const Size size = SizeIn(target, column);
-      const double messages = ValueOf(Term::kDirectoryMessages, size);
-      Cell cell = at(target, column);
-      if (cell.how == How::kNotMeasured || per_message == 0) return Cell{};
-      const double sent = writes_alone ? WritesMessages(size) : messages;
-      if (aside) {
+  part("of it first meets", Term::kFirstContacts, kMessagesPerLeaseAcquire);
+  part("of it roaming statements", Term::kRoamingStatements, kMessagesPerLeaseTransfer);
+  // With dedicated managers one end of each message is at a manager, and managers are members too.
+  const auto control_bytes = [=](bool only_writes_acquire, bool dedicated_managers) {
+    return [=, at = all.at](const Target& target, Scenario scenario) {
+      const FleetSize size = SizeAt(target, scenario);
+      const double messages = TermValue(Term::kLeaseMessages, size);
+      Cell cell = at(target, scenario);
+      if (cell.provenance == Provenance::kNotMeasured || per_message == 0) return Cell{};
+      const double sent = only_writes_acquire ? LeaseMessagesOfWrites(size) : messages;
+      if (dedicated_managers) {
         Target more = target;
         more.poolers += target.control_machines;
-        more.statements_per_s *= more.poolers / target.poolers;  // so that a pooler's own stay what they are
-        cell = at(more, column);
+        more.statements_per_s *= more.poolers / target.poolers;  // keeps the load per pooler
+        cell = at(more, scenario);
       }
-      cell.value -= per_message * (messages - (aside ? sent / 2 : sent));
-      cell.how = How::kWorkedOut;
+      cell.value -= per_message * (messages - (dedicated_managers ? sent / 2 : sent));
+      cell.provenance = Provenance::kComputed;
       return cell;
     };
   };
@@ -334,134 +348,148 @@
     row.name = name + ", bytes a second" + (name.starts_with("**") ? "**" : "");
     row.note = note;
     row.at = at;
-    return build.Arithmetic(row, row.at).at;
+    return builder.Arithmetic(row, row.at).at;
   };
-  const auto held = [&](const std::string& named, const auto& demand, const auto& floor) {
-    build.Arithmetic(
-        Named(role, "messages",
-              "own-reads on the conservative target for a budget of bytes to hold" + named + ", %", mechanism,
-              "as far as reads' asks have to be held back for it, evenly; where the row above is over the "
-              "budget by itself, all of them, and it does not hold"),
-        [=](const Target& target, Column column) {
-          const Cell all_bytes = demand(target, column), least = floor(target, column);
-          if (all_bytes.how == How::kNotMeasured || least.how == How::kNotMeasured) return Cell{};
+  const auto add_conservative_reads = [&](const std::string& mode_suffix, const auto& demand,
+                                          const auto& floor) {
+    builder.Arithmetic(
+        MakeRow(role, "messages",
+                "own-reads on the conservative target for a budget of bytes to hold" + mode_suffix + ", %",
+                mechanism,
+                "as far as reads' asks have to be held back for it, evenly; where the row above is over the "
+                "budget by itself, all of them, and it does not hold"),
+        [=](const Target& target, Scenario scenario) {
+          const Cell all_bytes = demand(target, scenario), least = floor(target, scenario);
+          if (all_bytes.provenance == Provenance::kNotMeasured ||
+              least.provenance == Provenance::kNotMeasured)
+            return Cell{};
           const double over = all_bytes.value - target.bytes_per_s, most = all_bytes.value - least.value;
           const double back = over <= 0 ? 0 : most <= 0 ? 1 : std::min(1.0, over / most);
-          return Cell{How::kWorkedOut, 100 * back * ReadsUnadmitted(SizeIn(target, column)), 0,
-                      all_bytes.at_least};
+          return Cell{Provenance::kComputed, 100 * back * UnadmittedReadsShare(SizeAt(target, scenario)), 0,
+                      all_bytes.is_lower_bound};
         });
   };
-  const char* no_budget =
+  const char* floor_note =
       "what no budget takes off: what a read met and did not ask for is asked for by its next write there; "
       "writes and own-reads in any order";
-  held(suffix, all.at, add("control, no read's ask admitted" + suffix, no_budget, with(true, false)));
-  if (!way.owners_aside && !build.Told(way.marks, way.generation, true)) {
-    Way other = way;
-    other.owners_aside = true;
-    const std::string named = other.Suffix();
+  add_conservative_reads(
+      suffix, all.at,
+      add("control, no read's ask admitted" + suffix, floor_note, control_bytes(true, false)));
+  if (!mode.dedicated_managers && !builder.HasSlopes(mode.marks, mode.generation, true)) {
+    ReplicationMode other = mode;
+    other.dedicated_managers = true;
+    const std::string mode_suffix = other.RowSuffix();
     const auto demand =
-        add("**control, all kinds, both ways" + named,
+        add("**control, all kinds, both ways" + mode_suffix,
             "not played: half of the bytes of messages of sessions, as one end of each is at an owner; the "
             "machines are members as well",
-            with(false, true));
-    held(named, demand, add("control, no read's ask admitted" + named, no_budget, with(true, true)));
+            control_bytes(false, true));
+    add_conservative_reads(
+        mode_suffix, demand,
+        add("control, no read's ask admitted" + mode_suffix, floor_note, control_bytes(true, true)));
   }
-  if (way.owners_aside) return;
+  if (mode.dedicated_managers) return;
   Row holds =
-      Named(role, "state", "sessions held by one pooler" + suffix + ", entries", mechanism,
-            "(first meets + roaming statements) x a lease of 30 s; a session that goes on stays longer");
-  holds.budget = [](const Target&) { return kSessionsHeld; };
+      MakeRow(role, "state", "sessions held by one pooler" + suffix + ", entries", mechanism,
+              "(first meets + roaming statements) x a lease of 30 s; a session that goes on stays longer");
+  holds.budget = [](const Target&) { return kClientLeaseCapacity; };
   holds.issue = "none yet";
-  build.Arithmetic(holds, [](const Target& target, Column column) {
-    const Size size = SizeIn(target, column);
-    const double come = ValueOf(Term::kFirstMeets, size) + ValueOf(Term::kRoaming, size);
-    return Cell{How::kWorkedOut, come * kLeaseS, 0, true};
+  builder.Arithmetic(holds, [](const Target& target, Scenario scenario) {
+    const FleetSize size = SizeAt(target, scenario);
+    const double come = TermValue(Term::kFirstContacts, size) + TermValue(Term::kRoamingStatements, size);
+    return Cell{Provenance::kComputed, come * kLeaseDurationS, 0, true};
   });
   Row asks =
-      Named(role, "messages", "asks of reads at first meets and moves" + suffix + ", a second", mechanism,
-            "(first meets + roaming statements) x own-reads / session statements, beside `asks_per_s`; "
-            "beyond it reads take the conservative target until a write has asked");
-  asks.budget = [](const Target&) { return kAsksPerS; };
+      MakeRow(role, "messages", "asks of reads at first meets and moves" + suffix + ", a second", mechanism,
+              "(first meets + roaming statements) x own-reads / session statements, beside `asks_per_s`; "
+              "beyond it reads take the conservative target until a write has asked");
+  asks.budget = [](const Target&) { return kReadAcquiresPerS; };
   asks.issue = "38";
-  build.Arithmetic(asks, [](const Target& target, Column column) {
-    const Size size = SizeIn(target, column);
-    const double all_asks = ValueOf(Term::kFirstMeets, size) + ValueOf(Term::kRoaming, size);
-    return Worked(all_asks * size.own_reads_share /
-                  std::max(1e-12, size.own_reads_share + size.writes_share));
+  builder.Arithmetic(asks, [](const Target& target, Scenario scenario) {
+    const FleetSize size = SizeAt(target, scenario);
+    const double all_asks = TermValue(Term::kFirstContacts, size) + TermValue(Term::kRoamingStatements, size);
+    return Computed(all_asks * size.own_reads_share /
+                    std::max(1e-12, size.own_reads_share + size.writes_share));
   });
 }
 
-// A pooler's rows of control, as played with one way of exchanging marks; `only`: there is no other.
-void AddControl(Builder& build, const Way& way, bool only, const Row& discovery) {
-  const std::string suffix = only ? "" : way.Suffix();
-  const bool none = way.marks == "none", each = way.marks.empty() || way.marks == "each";
-  const Keep keep = [way](const Record& record) { return way.Has(record); };
-  // From each to each a write goes to every other pooler, so the fleet's writes come to each. Packets go to
-  // each in turn, 2,000 a second at most: over them, and not over poolers, bytes and work grow in a line.
-  const std::vector<Term> by_writes = {Term::kOne, Term::kPoolers, Term::kFleetWrites};
-  const std::vector<Term> by_owners = {Term::kOne, Term::kPoolers, Term::kWrites, Term::kDirectoryMessages};
-  const std::vector<Term> by_packets = {Term::kOne, Term::kPackets, Term::kFleetWrites};
-  const std::vector<Term> peers = {Term::kOne, Term::kPoolers};
-  const std::size_t before = build.rows.size();
-  const std::vector<Term> timelines = each ? std::vector<Term>{Term::kOne, Term::kReignsTold} : by_owners;
-  Builder::Packets packets;
-  if (each) {
-    // Those that were not yet at the bound show how packets grow up to it.
-    const Slopes below(by_writes, "packets_out_per_s", build.Kept([&](const Record& record) {
-      return keep(record) && Ordinary(record) && record.size.packets_per_s < kBelowBound * kPacketsPerS;
+// Adds a pooler's rows of control load in one mode of replication; `only`: records have no other mode.
+void AddControlRows(RowBuilder& builder, const ReplicationMode& mode, bool only, const Row& discovery) {
+  const std::string suffix = only ? "" : mode.RowSuffix();
+  const bool without_marks = mode.marks == "none", to_each = mode.marks.empty() || mode.marks == "each";
+  const RecordFilter filter = [mode](const Record& record) { return mode.Matches(record); };
+  // In mode `each`, every write is sent to all other poolers, so each pooler receives the fleet's writes.
+  // Packets go to the peers in turn, at most 2,000 per second: bytes and CPU time are linear in packets and
+  // not in poolers.
+  const std::vector<Term> by_writes = {Term::kConstant, Term::kPoolers, Term::kFleetWrites};
+  const std::vector<Term> by_lease_messages = {Term::kConstant, Term::kPoolers, Term::kWrites,
+                                               Term::kLeaseMessages};
+  const std::vector<Term> by_packets = {Term::kConstant, Term::kPackets, Term::kFleetWrites};
+  const std::vector<Term> peers = {Term::kConstant, Term::kPoolers};
+  const std::size_t before = builder.rows.size();
+  const std::vector<Term> timelines =
+      to_each ? std::vector<Term>{Term::kConstant, Term::kTimelineReports} : by_lease_messages;
+  RowBuilder::Packets packets;
+  if (to_each) {
+    // Runs below the limit determine how packets grow until they reach it.
+    const Slopes below_limit(by_writes, "packets_out_per_s", builder.Matching([&](const Record& record) {
+      return filter(record) && IsOrdinary(record) &&
+             record.size.packets_per_s < kUnlimitedPacketsFraction * kMaxPacketsPerS;
     }));
-    packets = [below](const Target& target, Column column) {
-      Cell cell = below.At(SizeIn(target, column));
-      if (cell.how == How::kNotMeasured || cell.value < kPacketsPerS) return cell;
-      return Cell{How::kWorkedOut, kPacketsPerS, 0, false};
+    packets = [below_limit](const Target& target, Scenario scenario) {
+      Cell cell = below_limit.At(SizeAt(target, scenario));
+      if (cell.provenance == Provenance::kNotMeasured || cell.value < kMaxPacketsPerS) return cell;
+      return Cell{Provenance::kComputed, kMaxPacketsPerS, 0, false};
     };
   }
   struct Kind {
     std::string figure, name, mechanism;
-    std::vector<std::vector<Term>> terms;  // the first that the records can tell apart
+    std::vector<std::vector<Term>> terms;  // in order of preference
   };
-  // Where sessions have owners, messages go by those that are met and those that move. Runs that always play
-  // the same shares of writes and of roaming statements tell one slope for both.
-  const std::vector<std::vector<Term>> by_meets = {by_owners,
-                                                   {Term::kOne, Term::kPoolers, Term::kDirectoryMessages},
-                                                   {Term::kOne, Term::kDirectoryMessages}};
+  // With leases, messages depend on first contacts and on roaming statements. Runs that all have the same
+  // shares of writes and of roaming statements determine one slope for both.
+  const std::vector<std::vector<Term>> by_leases = {by_lease_messages,
+                                                    {Term::kConstant, Term::kPoolers, Term::kLeaseMessages},
+                                                    {Term::kConstant, Term::kLeaseMessages}};
   using Choices = std::vector<std::vector<Term>>;
   const auto either = [&](const std::vector<Term>& as_each) {
-    return none ? Choices{peers} : each ? Choices{as_each} : by_meets;
+    return without_marks ? Choices{peers} : to_each ? Choices{as_each} : by_leases;
   };
   std::vector<Kind> kinds = {
       {"membership", "membership", "src/membership/swim", Choices{peers}},
       {"marks", "marks", "src/replication/watermark_replicator", either(by_packets)},
       {"reigns", "reigns of primaries", "src/replication/timeline_gossip", either(timelines)},
       {"ledger", "whole ledgers", "src/replication/snapshot_transfer", Choices{peers}}};
-  for (const std::string& figure : OtherKinds(build.Kept(keep))) {
+  for (const std::string& figure : OtherMessageKinds(builder.Matching(filter))) {
     kinds.push_back({figure, figure, "src/" + figure, either(by_packets)});
   }
   std::vector<Row> bytes = {discovery};
   std::vector<Row> membership, marks;
   for (const Kind& kind : kinds) {
-    if (none && kind.figure != "membership") continue;
+    if (without_marks && kind.figure != "membership") continue;
     for (const char* direction : {"out", "in"}) {
       const std::string figure = kind.figure + "_bytes_" + direction + "_per_s";
-      const std::vector<Term> told = build.FirstTold(kind.terms, figure, keep);
-      const bool over_packets = std::count(told.begin(), told.end(), Term::kPackets) +
-                                    std::count(told.begin(), told.end(), Term::kReignsTold) >
+      const std::vector<Term> selected = builder.FirstFittingTerms(kind.terms, figure, filter);
+      const bool over_packets = std::count(selected.begin(), selected.end(), Term::kPackets) +
+                                    std::count(selected.begin(), selected.end(), Term::kTimelineReports) >
                                 0;
-      Row& row = build.FittedWithEvents(
-          Named(Role::kPooler, "messages", kind.name + " " + direction + suffix + ", bytes a second",
-                kind.mechanism.c_str()),
-          figure, told, keep, over_packets ? packets : Builder::Packets());
-      if (!each && !none && told != by_owners && row.slopes->SlopeOf(Term::kDirectoryMessages)) {
-        row.note = kOneSlope;
+      Row& row = builder.FittedWithEvents(
+          MakeRow(Role::kPooler, "messages", kind.name + " " + direction + suffix + ", bytes a second",
+                  kind.mechanism.c_str()),
+          figure, selected, filter, over_packets ? packets : RowBuilder::Packets());
+      if (!to_each && !without_marks && selected != by_lease_messages &&
+          row.slopes->SlopeOf(Term::kLeaseMessages)) {
+        row.note = kSharedSlopeNote;
       }
       const auto per_mark = row.slopes->SlopeOf(Term::kFleetWrites);
-      if (each && kind.figure == "marks" && per_mark && row.regions->records() == 0) {
+      if (to_each && kind.figure == "marks" && per_mark && row.regions->records() == 0) {
         row.note = "regions cut: with what was missed, sent again after the cut";
-        row.at = [before = row.at, per_mark = *per_mark](const Target& target, Column column) {
-          Cell cell = before(target, column);
-          if (cell.how == How::kNotMeasured || column != Column::kRegionsCut) return cell;
+        row.at = [before = row.at, per_mark = *per_mark](const Target& target, Scenario scenario) {
+          Cell cell = before(target, scenario);
+          if (cell.provenance == Provenance::kNotMeasured || scenario != Scenario::kRegionsPartitioned)
+            return cell;
           const double across = target.poolers - target.poolers / target.regions;
-          cell.value += per_mark * across * MissedMarks(target) / target.catch_up_s.assumed;
+          cell.value += per_mark * across * MissedWatermarks(target) / target.catch_up_s.assumed;
           return cell;
         };
       }
@@ -471,187 +499,198 @@
     }
   }
   const auto sum = [](const std::vector<Row>& of) {
-    return [of](const Target& target, Column column) {
+    return [of](const Target& target, Scenario scenario) {
       std::vector<Cell> cells;
-      for (const Row& row : of) cells.push_back(row.at(target, column));
+      for (const Row& row : of) cells.push_back(row.at(target, scenario));
       return Sum(cells);
     };
   };
-  const bool owned = !none && !each;
-  // What of marks goes by messages of sessions: less where some of them are not sent or end elsewhere.
+  const bool owned = !without_marks && !to_each;
+  // The bytes of watermarks that depend on lease messages.
   const auto per_message = [marks] {
     double slope = 0;
-    for (const Row& row : marks) slope += row.slopes->SlopeOf(Term::kDirectoryMessages).value_or(0);
+    for (const Row& row : marks) slope += row.slopes->SlopeOf(Term::kLeaseMessages).value_or(0);
     return slope;
   }();
-  Row both = Named(Role::kPooler, "messages", "membership alone, both ways" + suffix + ", bytes a second",
-                   "src/membership/swim", "beside the budget of all kinds together");
+  Row both = MakeRow(Role::kPooler, "messages", "membership alone, both ways" + suffix + ", bytes a second",
+                     "src/membership/swim", "beside the budget of all kinds together");
   both.budget = [](const Target& target) { return target.bytes_per_s; };
   both.issue = "26";
-  build.Arithmetic(both, sum(membership));
+  builder.Arithmetic(both, sum(membership));
   Row all =
-      Named(Role::kPooler, "messages", "**control, all kinds, both ways" + suffix + ", bytes a second**",
-            "src/replication, src/discovery", "the rows of all kinds and discovery's list together");
+      MakeRow(Role::kPooler, "messages", "**control, all kinds, both ways" + suffix + ", bytes a second**",
+              "src/replication, src/discovery", "the rows of all kinds and discovery's list together");
   all.budget = [](const Target& target) { return target.bytes_per_s; };
   all.issue = "38";
-  const Row together = build.Arithmetic(all, sum(bytes));
-  if (owned) AddDirectory(build, way, suffix, together, per_message);
+  const Row together = builder.Arithmetic(all, sum(bytes));
+  if (owned) AddLeaseRows(builder, mode, suffix, together, per_message);
   for (const char* direction : {"out", "in"}) {
-    Row row = Named(Role::kPooler, "messages", "packets " + std::string(direction) + suffix + ", a second",
-                    "src/replication");
-    if (each) {
+    Row row = MakeRow(Role::kPooler, "messages", "packets " + std::string(direction) + suffix + ", a second",
+                      "src/replication");
+    if (to_each) {
       row.note = "by the slope, 2,000 at most";
-      build.Arithmetic(row, packets);
+      builder.Arithmetic(row, packets);
     } else {
       const std::string figure = std::string("packets_") + direction + "_per_s";
-      build.FittedWithEvents(row, figure, build.FirstTold(either(by_packets), figure, keep), keep);
+      builder.FittedWithEvents(row, figure, builder.FirstFittingTerms(either(by_packets), figure, filter),
+                               filter);
     }
   }
-  Row cpu = Named(Role::kPooler, "processor", "control" + suffix + ", % of a core",
-                  "src/replication, src/membership, src/consistency, src/discovery");
+  Row cpu = MakeRow(Role::kPooler, "processor", "control" + suffix + ", % of a core",
+                    "src/replication, src/membership, src/consistency, src/discovery");
   cpu.scale = 100;
   cpu.budget = [](const Target& target) { return target.cpu_percent; };
   cpu.issue = "38";
-  // Each tick looks at all others, whether it sends or not, and a statement asks the keeper; few records
-  // cannot tell these from packets and writes.
+  // Each tick examines all peers, whether it sends or not, and each statement consults the consistency guard.
+  // Few records cannot separate this work from that of packets and writes.
   const std::vector<std::vector<Term>> by_all = {
-      {Term::kOne, Term::kPackets, Term::kFleetWrites, Term::kPoolers, Term::kStatements},
-      {Term::kOne, Term::kPackets, Term::kFleetWrites, Term::kPoolers},
+      {Term::kConstant, Term::kPackets, Term::kFleetWrites, Term::kPoolers, Term::kStatements},
+      {Term::kConstant, Term::kPackets, Term::kFleetWrites, Term::kPoolers},
       by_packets};
-  const std::vector<Term> work = build.FirstTold(each ? by_all : either(by_packets), "cpu_share", keep);
-  build.FittedWithEvents(cpu, "cpu_share", work, keep, packets);
-  if (!each && build.Tells(keep, "exchange_cpu_share")) {
+  const std::vector<Term> work =
+      builder.FirstFittingTerms(to_each ? by_all : either(by_packets), "cpu_share", filter);
+  builder.FittedWithEvents(cpu, "cpu_share", work, filter, packets);
+  if (!to_each && builder.HasFigure(filter, "exchange_cpu_share")) {
     Row exchange = cpu;
     exchange.name = "of it the exchange, by its own account" + suffix + ", % of a core";
     exchange.note = "with a load the row above holds what serving costs as well";
-    build.FittedWithEvents(exchange, "exchange_cpu_share",
-                           build.FirstTold(either(by_packets), "exchange_cpu_share", keep), keep, packets);
+    builder.FittedWithEvents(exchange, "exchange_cpu_share",
+                             builder.FirstFittingTerms(either(by_packets), "exchange_cpu_share", filter),
+                             filter, packets);
   }
-  Row real = Named(Role::kPooler, "memory", "a whole process without clients" + suffix + ", MB",
-                   "src/replication, src/consistency, src/discovery, src/routing/balancer.cpp");
-  real.budget = [](const Target& target) { return target.memory_mb; };
-  real.issue = "none yet";
-  const std::vector<Term> memory = {Term::kOne, Term::kPoolers, Term::kDatabases};
-  build.FittedWithEvents(real, "real_memory_mb", memory, keep);
-  Row added = real;
+  Row real_poolers = MakeRow(Role::kPooler, "memory", "a whole process without clients" + suffix + ", MB",
+                             "src/replication, src/consistency, src/discovery, src/routing/balancer.cpp");
+  real_poolers.budget = [](const Target& target) { return target.memory_mb; };
+  real_poolers.issue = "none yet";
+  const std::vector<Term> memory = {Term::kConstant, Term::kPoolers, Term::kDatabases};
+  builder.FittedWithEvents(real_poolers, "real_memory_mb", memory, filter);
+  Row added = real_poolers;
   added.name = "control, as one instance more adds to a process" + suffix + ", MB";
-  build.FittedWithEvents(added, "memory_mb", memory, keep);
-  build.Fitted(Named(Role::kPooler, "descriptors", "control" + suffix + ", without clients and databases",
-                     "src/replication, src/discovery"),
-               "descriptors", peers, [keep](const Record& r) { return keep(r) && Ordinary(r); });
-  if (!none) {
-    build.Fitted(Named(Role::kPooler, "descriptors", "a whole process without clients" + suffix, "src/net"),
-                 "real_descriptors", peers, [keep](const Record& r) { return keep(r) && Ordinary(r); });
+  builder.FittedWithEvents(added, "memory_mb", memory, filter);
+  builder.Fitted(MakeRow(Role::kPooler, "descriptors", "control" + suffix + ", without clients and databases",
+                         "src/replication, src/discovery"),
+                 "descriptors", peers, [filter](const Record& r) { return filter(r) && IsOrdinary(r); });
+  if (!without_marks) {
+    builder.Fitted(
+        MakeRow(Role::kPooler, "descriptors", "a whole process without clients" + suffix, "src/net"),
+        "real_descriptors", peers, [filter](const Record& r) { return filter(r) && IsOrdinary(r); });
   }
-  for (std::size_t i = before; (none || way.former) && i < build.rows.size(); ++i) {
-    build.rows[i].aside = true;
-    build.rows[i].former = way.former;
+  for (std::size_t i = before; (without_marks || mode.superseded) && i < builder.rows.size(); ++i) {
+    builder.rows[i].comparison_only = true;
+    builder.rows[i].superseded = mode.superseded;
   }
 }
 
-// The ways that runs of load and of quiet played, each once, in the order of their marks' first record and of
-// generations from the last back.
-std::vector<Way> WaysOf(const Builder& build, const std::vector<Record>& records) {
+// The distinct modes of ordinary runs, in the order of the first record of their marks, then with the latest
+// generation first.
+std::vector<ReplicationMode> ReplicationModes(const RowBuilder& builder, const std::vector<Record>& records) {
   std::vector<std::string> marks;
-  std::vector<Way> ways;
+  std::vector<ReplicationMode> modes;
   for (const Record& record : records) {
-    if (!Ordinary(record)) continue;
+    if (!IsOrdinary(record)) continue;
     if (std::find(marks.begin(), marks.end(), record.marks) == marks.end()) marks.push_back(record.marks);
-    if (std::none_of(ways.begin(), ways.end(), [&](const Way& way) { return way.Has(record); })) {
-      ways.push_back({record.marks, record.generation, record.size.owners > 0});
+    if (std::none_of(modes.begin(), modes.end(),
+                     [&](const ReplicationMode& mode) { return mode.Matches(record); })) {
+      modes.push_back({record.marks, record.generation, record.size.lease_managers > 0});
     }
   }
-  if (ways.empty()) return {Way{}};
-  const auto at = [&](const Way& way) { return std::find(marks.begin(), marks.end(), way.marks); };
-  std::stable_sort(ways.begin(), ways.end(), [&](const Way& a, const Way& b) {
-    return std::tuple(at(a), -a.generation, a.owners_aside) <
-           std::tuple(at(b), -b.generation, b.owners_aside);
+  if (modes.empty()) return {ReplicationMode{}};
+  const auto at = [&](const ReplicationMode& mode) {
+    return std::find(marks.begin(), marks.end(), mode.marks);
+  };
+  std::stable_sort(modes.begin(), modes.end(), [&](const ReplicationMode& a, const ReplicationMode& b) {
+    return std::tuple(at(a), -a.generation, a.dedicated_managers) <
+           std::tuple(at(b), -b.generation, b.dedicated_managers);
   });
-  // One record of a later generation shows no slopes yet: until some do, the former ones are what is known.
-  for (Way& way : ways) {
-    for (const Way& other : ways) way.later |= other.marks == way.marks && other.generation > way.generation;
-    way.former = build.Told(way.marks, way.generation + 1, way.owners_aside);
+  // A mode is superseded only once the records of a later generation determine slopes.
+  for (ReplicationMode& mode : modes) {
+    for (const ReplicationMode& other : modes)
+      mode.has_later_records |= other.marks == mode.marks && other.generation > mode.generation;
+    mode.superseded = builder.HasSlopes(mode.marks, mode.generation + 1, mode.dedicated_managers);
   }
-  return ways;
+  return modes;
 }
 
-void AddPooler(Builder& build, const std::vector<Record>& records) {
+void AddPoolerRows(RowBuilder& builder, const std::vector<Record>& records) {
   constexpr Role role = Role::kPooler;
   const auto size_of = [](Term term, double less = 0) {
-    return [term, less](const Target& target, Column column) {
-      return Worked(ValueOf(term, SizeIn(target, column)) - less);
+    return [term, less](const Target& target, Scenario scenario) {
+      return Computed(TermValue(term, SizeAt(target, scenario)) - less);
     };
   };
-  build.Arithmetic(Named(role, "state", "other poolers known, entries", "src/membership/swim", "poolers - 1"),
-                   [](const Target& target, Column) { return Worked(target.poolers - 1); });
-  build.Arithmetic(Named(role, "state", "databases known, entries", "src/discovery, src/routing/balancer.cpp",
-                         "databases"),
-                   [](const Target& target, Column) { return Worked(target.databases); });
+  builder.Arithmetic(
+      MakeRow(role, "state", "other poolers known, entries", "src/membership/swim", "poolers - 1"),
+      [](const Target& target, Scenario) { return Computed(target.poolers - 1); });
+  builder.Arithmetic(MakeRow(role, "state", "databases known, entries",
+                             "src/discovery, src/routing/balancer.cpp", "databases"),
+                     [](const Target& target, Scenario) { return Computed(target.databases); });
   Row sessions =
-      Named(role, "state", "sessions that wrote within `recall`, entries at most",
-            "src/consistency/session_watermark_table",
-            "the fleet's writes a second x 30 s; beside it what the ledger holds unless set: what is "
-            "forgotten costs a read waiting");
-  sessions.budget = [](const Target&) { return kLedgerSessions; };
+      MakeRow(role, "state", "sessions that wrote within `recall`, entries at most",
+              "src/consistency/session_watermark_table",
+              "the fleet's writes a second x 30 s; beside it what the ledger holds unless set: what is "
+              "forgotten costs a read waiting");
+  sessions.budget = [](const Target&) { return kSessionCapacity; };
   sessions.issue = "none: a setting";
-  build.Arithmetic(sessions, [](const Target& target, Column column) {
-    return Worked(ValueOf(Term::kFleetWrites, SizeIn(target, column)) * kRecallS);
+  builder.Arithmetic(sessions, [](const Target& target, Scenario scenario) {
+    return Computed(TermValue(Term::kFleetWrites, SizeAt(target, scenario)) * kWriteRetentionS);
   });
-  const Keep watermark_table = build.Newest("ledger");
-  const Row& session = build.Fitted(
-      Named(role, "state", "a session in the ledger, bytes", "src/consistency/session_watermark_table"),
-      "ledger_bytes_per_session", {Term::kOne}, watermark_table);
-  build.Arithmetic(Named(role, "memory", "the ledger with all these sessions, MB",
-                         "src/consistency/session_watermark_table",
-                         "those sessions x the bytes of one; beside what the row of control holds"),
-                   [at = session.at](const Target& target, Column column) {
-                     Cell cell = at(target, column);
-                     if (cell.how == How::kNotMeasured) return cell;
-                     cell.how = How::kWorkedOut;
-                     return Times(cell,
-                                  ValueOf(Term::kFleetWrites, SizeIn(target, column)) * kRecallS * 1e-6);
-                   });
-  build.Arithmetic(Named(role, "state", "own marks kept for others, entries", "src/replication/watermark_log",
-                         "writes of one pooler x the length of a cut, 65,536 at most"),
-                   [](const Target& target, Column) { return Worked(MissedMarks(target)); });
+  const RecordFilter watermark_table = builder.LatestGeneration("ledger");
+  const Row& session = builder.Fitted(
+      MakeRow(role, "state", "a session in the ledger, bytes", "src/consistency/session_watermark_table"),
+      "ledger_bytes_per_session", {Term::kConstant}, watermark_table);
+  builder.Arithmetic(MakeRow(role, "memory", "the ledger with all these sessions, MB",
+                             "src/consistency/session_watermark_table",
+                             "those sessions x the bytes of one; beside what the row of control holds"),
+                     [at = session.at](const Target& target, Scenario scenario) {
+                       Cell cell = at(target, scenario);
+                       if (cell.provenance == Provenance::kNotMeasured) return cell;
+                       cell.provenance = Provenance::kComputed;
+                       return Scaled(cell, TermValue(Term::kFleetWrites, SizeAt(target, scenario)) *
+                                               kWriteRetentionS * 1e-6);
+                     });
+  builder.Arithmetic(
+      MakeRow(role, "state", "own marks kept for others, entries", "src/replication/watermark_log",
+              "writes of one pooler x the length of a cut, 65,536 at most"),
+      [](const Target& target, Scenario) { return Computed(MissedWatermarks(target)); });
 
-  const Row discovery =
-      build.FittedWithEvents(Named(role, "messages", "discovery's list in, bytes a second", "src/discovery"),
-                             "discovery_bytes_in_per_s", {Term::kOne, Term::kDatabases, Term::kChanges},
-                             [](const Record&) { return true; });
-  const std::vector<Way> ways = WaysOf(build, records);
-  for (const Way& way : ways) AddControl(build, way, ways.size() == 1, discovery);
-  build.Fitted(
-      Named(role, "messages", "probes of databases out, a second", "src/routing/balancer.cpp, src/upstream"),
-      "probes_per_s", {Term::kOne, Term::kDatabases, Term::kStatements}, Loaded);
-  const auto probes = build.rows.back().at;
+  const Row discovery = builder.FittedWithEvents(
+      MakeRow(role, "messages", "discovery's list in, bytes a second", "src/discovery"),
+      "discovery_bytes_in_per_s", {Term::kConstant, Term::kDatabases, Term::kListChanges},
+      [](const Record&) { return true; });
+  const std::vector<ReplicationMode> modes = ReplicationModes(builder, records);
+  for (const ReplicationMode& mode : modes) AddControlRows(builder, mode, modes.size() == 1, discovery);
+  builder.Fitted(MakeRow(role, "messages", "probes of databases out, a second",
+                         "src/routing/balancer.cpp, src/upstream"),
+                 "probes_per_s", {Term::kConstant, Term::kDatabases, Term::kStatements}, IsLoaded);
+  const auto probes = builder.rows.back().at;
   const auto probe_bytes = [&](const char* direction, double payload, double packets) {
-    build.Arithmetic(
-        Named(role, "messages", std::string("probes of databases ") + direction + ", bytes a second",
-              "src/routing/balancer.cpp, src/upstream",
-              "19 bytes out and 83 in, on a connection that is open, and heads of 52 for each segment: query "
-              "and acknowledgement out, answer in; traffic with databases, which the target's budget for "
-              "control does not name: not counted in any row of control"),
-        [=](const Target& target, Column column) {
-          Cell cell = Times(probes(target, column), payload + packets * kTcpHeads);
-          if (cell.how == How::kMeasured) cell.how = How::kWorkedOut;
+    builder.Arithmetic(
+        MakeRow(
+            role, "messages", std::string("probes of databases ") + direction + ", bytes a second",
+            "src/routing/balancer.cpp, src/upstream",
+            "19 bytes out and 83 in, on a connection that is open, and heads of 52 for each segment: query "
+            "and acknowledgement out, answer in; traffic with databases, which the target's budget for "
+            "control does not name: not counted in any row of control"),
+        [=](const Target& target, Scenario scenario) {
+          Cell cell = Scaled(probes(target, scenario), payload + packets * kTcpHeaderBytes);
+          if (cell.provenance == Provenance::kMeasured) cell.provenance = Provenance::kComputed;
           return cell;
         });
   };
   probe_bytes("out", kProbeQueryBytes, 2);
   probe_bytes("in", kProbeAnswerBytes, 1);
   Row pause =
-      Named(role, "messages", "two pauses between packets to one pooler, ms",
-            "src/replication/watermark_replicator",
-            "from each to each, 2,000 packets a second at most; a word older than 240 ms is not waited "
-            "for, and reads take a cautious target");
-  pause.budget = [](const Target&) { return kHoldMs * kHeardLately; };
+      MakeRow(role, "messages", "two pauses between packets to one pooler, ms",
+              "src/replication/watermark_replicator",
+              "from each to each, 2,000 packets a second at most; a word older than 240 ms is not waited "
+              "for, and reads take a cautious target");
+  pause.budget = [](const Target&) { return kMaxReadDelayMs * kMaxPeerSilenceInReadDelays; };
   pause.issue = "38";
-  build.Arithmetic(pause, [](const Target& target, Column column) {
-    const double poolers = SizeIn(target, column).poolers;
-    return Worked(2 * std::max(kIdleFlushMs, PauseMs(poolers)));
+  builder.Arithmetic(pause, [](const Target& target, Scenario scenario) {
+    const double poolers = SizeAt(target, scenario).poolers;
+    return Computed(2 * std::max(kIdleFlushIntervalMs, PacketIntervalMs(poolers)));
   });
-  Row timelines = Named(
+  Row timelines = MakeRow(
       role, "messages", "round in which all reigns of primaries are told to one pooler again, s",
       "src/replication/timeline_gossip",
       "from each to each, databases / members of a group, 8 a packet; a reign that changed goes first, with "
@@ -660,273 +699,285 @@
       "change of primary is to be over");
   timelines.budget = [](const Target& target) { return target.primary_change_within_s; };
   timelines.issue = "38";
-  build.Arithmetic(timelines, [](const Target& target, Column column) {
-    const Size size = SizeIn(target, column);
-    const double packets = std::ceil(size.groups / kReignsAPacket);
-    return Worked(std::max(kReignsEveryMs, packets * std::max(kIdleFlushMs, PauseMs(size.poolers))) / 1000);
+  builder.Arithmetic(timelines, [](const Target& target, Scenario scenario) {
+    const FleetSize size = SizeAt(target, scenario);
+    const double packets = std::ceil(size.groups / kTimelinesPerPacket);
+    return Computed(std::max(kTimelineRoundIntervalMs,
+                             packets * std::max(kIdleFlushIntervalMs, PacketIntervalMs(size.poolers))) /
+                    1000);
   });
-  Row wait = Named(role, "messages", "wait of a read that asks poolers of the other region, ms",
-                   "src/consistency/session_consistency_guard",
-                   "one round trip, beside `hold_ms`; longer ones are not waited for");
-  wait.budget = [](const Target&) { return kHoldMs; };
+  Row wait = MakeRow(role, "messages", "wait of a read that asks poolers of the other region, ms",
+                     "src/consistency/session_consistency_guard",
+                     "one round trip, beside `hold_ms`; longer ones are not waited for");
+  wait.budget = [](const Target&) { return kMaxReadDelayMs; };
   wait.issue = "38";
-  build.Arithmetic(wait,
-                   [](const Target& target, Column) { return Worked(target.region_round_trip_ms.assumed); });
-  Row ping = Named(role, "messages", "answer to a ping across regions, ms", "src/membership/swim",
-                   "one round trip, beside the period `probe_ms`: slower ones leave the fleet in doubt");
-  ping.budget = [](const Target&) { return kProbeMs; };
+  builder.Arithmetic(
+      wait, [](const Target& target, Scenario) { return Computed(target.region_round_trip_ms.assumed); });
+  Row ping = MakeRow(role, "messages", "answer to a ping across regions, ms", "src/membership/swim",
+                     "one round trip, beside the period `probe_ms`: slower ones leave the fleet in doubt");
+  ping.budget = [](const Target&) { return kProbeIntervalMs; };
   ping.issue = "26";
-  build.Arithmetic(ping,
-                   [](const Target& target, Column) { return Worked(target.region_round_trip_ms.assumed); });
-  build.Arithmetic(
-      Named(role, "messages", "clients that connect anew, a second", "src/frontend",
-            "as many as a pooler has, for each that is restarted or fails, all taken for poolers: a day's "
-            "spread "
-            "evenly (and so on a cut, which loses no pooler), or those that go at once; a zone gone: its "
-            "clients; over the time in which they come again and the poolers left; clients' own coming and "
-            "going is not told"),
-      [](const Target& target, Column column) {
-        const Size size = SizeIn(target, column);
-        const double each = target.clients / target.poolers, again = target.clients_again_s.assumed;
+  builder.Arithmetic(
+      ping, [](const Target& target, Scenario) { return Computed(target.region_round_trip_ms.assumed); });
+  builder.Arithmetic(
+      MakeRow(role, "messages", "clients that connect anew, a second", "src/frontend",
+              "as many as a pooler has, for each that is restarted or fails, all taken for poolers: a day's "
+              "spread "
+              "evenly (and so on a cut, which loses no pooler), or those that go at once; a zone gone: its "
+              "clients; over the time in which they come again and the poolers left; clients' own coming and "
+              "going is not told"),
+      [](const Target& target, Scenario scenario) {
+        const FleetSize size = SizeAt(target, scenario);
+        const double clients_per_pooler = target.clients / target.poolers,
+                     again = target.clients_again_s.assumed;
         const double a_day = target.restarts_per_day + target.machine_failures_per_day;
         const double at_once = target.restarts_at_once.assumed + 1;
-        if (column == Column::kZoneGone) return Worked(target.clients / target.zones / again / size.poolers);
-        if (column == Column::kWorstOrdinary) {
-          return Worked(at_once * each / again / std::max(1.0, target.poolers - at_once));
+        if (scenario == Scenario::kZoneLost)
+          return Computed(target.clients / target.zones / again / size.poolers);
+        if (scenario == Scenario::kWorstOrdinary) {
+          return Computed(at_once * clients_per_pooler / again / std::max(1.0, target.poolers - at_once));
         }
-        return Worked(a_day / kDay * each / target.poolers);
+        return Computed(a_day / kSecondsPerDay * clients_per_pooler / target.poolers);
       });
-  build.Arithmetic(
-      Named(role, "messages", "statements and answers, bytes a second", "src/frontend, src/upstream",
-            "own statements x bytes of both; read and written once on each side; not control"),
-      [](const Target& target, Column column) {
-        return Worked(ValueOf(Term::kStatements, SizeIn(target, column)) * target.statement_bytes.assumed);
+  builder.Arithmetic(
+      MakeRow(role, "messages", "statements and answers, bytes a second", "src/frontend, src/upstream",
+              "own statements x bytes of both; read and written once on each side; not control"),
+      [](const Target& target, Scenario scenario) {
+        return Computed(TermValue(Term::kStatements, SizeAt(target, scenario)) *
+                        target.statement_bytes.assumed);
       });
-  const Keep decision = build.Newest("decision");
-  const Row& time = build.Fitted(
-      Named(role, "processor", "a decision, microseconds a statement", "src/routing/balancer.cpp"),
-      "module_cpu_us_per_statement", {Term::kOne, Term::kDatabases}, decision);
-  build.Arithmetic(Named(role, "processor", "decisions, % of a core", "src/routing/balancer.cpp",
-                         "own statements x the time of a decision; not control"),
-                   [at = time.at](const Target& target, Column column) {
-                     Cell cell = at(target, column);
-                     if (cell.how == How::kNotMeasured) return cell;
-                     cell.how = How::kWorkedOut;
-                     return Times(cell, ValueOf(Term::kStatements, SizeIn(target, column)) * 1e-6 * 100);
-                   });
-  const Keep idle = build.Newest("idle_clients");
-  build.Fitted(Named(role, "memory", "a pooler with idle clients, MB", "src/frontend, src/net",
-                     "one pooler, peers off; not control"),
-               "memory_mb", {Term::kOne, Term::kClients}, idle);
-  Row stay =
-      Named(role, "descriptors", "needed so that clients idle for up to 15 s stay", "src/frontend",
-            "8 x clients of one pooler and 40 for the program; where clients hold more than an eighth, "
-            "they are closed after 2.2 s, over a quarter after 0.5 s; a client asks every 2.1 s on average");
+  const RecordFilter decision = builder.LatestGeneration("decision");
+  const Row& time = builder.Fitted(
+      MakeRow(role, "processor", "a decision, microseconds a statement", "src/routing/balancer.cpp"),
+      "module_cpu_us_per_statement", {Term::kConstant, Term::kDatabases}, decision);
+  builder.Arithmetic(MakeRow(role, "processor", "decisions, % of a core", "src/routing/balancer.cpp",
+                             "own statements x the time of a decision; not control"),
+                     [at = time.at](const Target& target, Scenario scenario) {
+                       Cell cell = at(target, scenario);
+                       if (cell.provenance == Provenance::kNotMeasured) return cell;
+                       cell.provenance = Provenance::kComputed;
+                       return Scaled(cell,
+                                     TermValue(Term::kStatements, SizeAt(target, scenario)) * 1e-6 * 100);
+                     });
+  const RecordFilter idle = builder.LatestGeneration("idle_clients");
+  builder.Fitted(MakeRow(role, "memory", "a pooler with idle clients, MB", "src/frontend, src/net",
+                         "one pooler, peers off; not control"),
+                 "memory_mb", {Term::kConstant, Term::kClients}, idle);
+  Row stay = MakeRow(
+      role, "descriptors", "needed so that clients idle for up to 15 s stay", "src/frontend",
+      "8 x clients of one pooler and 40 for the program; where clients hold more than an eighth, "
+      "they are closed after 2.2 s, over a quarter after 0.5 s; a client asks every 2.1 s on average");
   stay.budget = [](const Target& target) { return target.descriptors.assumed; };
   stay.issue = "9";
-  build.Arithmetic(stay, [](const Target& target, Column column) {
-    return Worked(kIdlePart * ValueOf(Term::kClients, SizeIn(target, column)) + kReserved);
+  builder.Arithmetic(stay, [](const Target& target, Scenario scenario) {
+    return Computed(kDescriptorsPerIdleClient * TermValue(Term::kClients, SizeAt(target, scenario)) +
+                    kReservedDescriptors);
   });
-  build.Arithmetic(Named(role, "descriptors", "clients", "src/frontend", "clients / poolers"),
-                   size_of(Term::kClients));
-  build.Arithmetic(Named(role, "descriptors", "databases with a connection open", "src/upstream",
-                         "databases x the chance that one is asked within 10 s, asked alike"),
-                   [](const Target& target, Column column) {
-                     const Size size = SizeIn(target, column);
-                     const double asked = ValueOf(Term::kStatements, size) / size.databases;
-                     return Worked(size.databases * (1 - std::exp(-asked * kPooledS)));
-                   });
-  build.Fitted(Named(role, "descriptors", "all that the process holds, idle clients alone", "src/net"),
-               "descriptors", {Term::kOne, Term::kClients}, idle);
+  builder.Arithmetic(MakeRow(role, "descriptors", "clients", "src/frontend", "clients / poolers"),
+                     size_of(Term::kClients));
+  builder.Arithmetic(MakeRow(role, "descriptors", "databases with a connection open", "src/upstream",
+                             "databases x the chance that one is asked within 10 s, asked alike"),
+                     [](const Target& target, Scenario scenario) {
+                       const FleetSize size = SizeAt(target, scenario);
+                       const double database_rate = TermValue(Term::kStatements, size) / size.databases;
+                       return Computed(size.databases * (1 - std::exp(-database_rate * kPooledIdleTimeoutS)));
+                     });
+  builder.Fitted(MakeRow(role, "descriptors", "all that the process holds, idle clients alone", "src/net"),
+                 "descriptors", {Term::kConstant, Term::kClients}, idle);
 }
 
-void AddControlMachines(Builder& build, const std::vector<Record>& records) {
+void AddControlMachineRows(RowBuilder& builder, const std::vector<Record>& records) {
   constexpr Role role = Role::kControlMachines;
-  double newest = 1;
+  double latest = 1;
   for (const Record& record : records) {
-    if (record.size.owners > 0) newest = std::max(newest, record.generation);
+    if (record.size.lease_managers > 0) latest = std::max(latest, record.generation);
   }
-  const Keep owned = [newest](const Record& record) {
-    return record.size.owners > 0 && record.generation == newest;
+  const RecordFilter owned = [latest](const Record& record) {
+    return record.size.lease_managers > 0 && record.generation == latest;
   };
-  const std::vector<Term> by_owner = {Term::kOne, Term::kPoolers, Term::kOwnerMessages};
-  Row entries = Named(
+  const std::vector<Term> by_owner = {Term::kConstant, Term::kPoolers, Term::kManagerMessages};
+  Row entries = MakeRow(
       role, "state", "sessions owned by one machine, entries", "src/lease",
       "first meets of all poolers x 63 s (a lease of 30 s, a tenth longer at the owner, and `recall`) / "
       "machines in reach; a session that goes on stays longer; needs owners set aside");
-  entries.budget = [](const Target&) { return kSessionsOwned; };
+  entries.budget = [](const Target&) { return kLeaseManagerSessions; };
   entries.issue = "none yet";
-  build.Arithmetic(entries, [](const Target& target, Column column) {
-    const Size size = SizeIn(target, column);
-    const double met = ValueOf(Term::kFirstMeets, size) * size.poolers;
-    return Cell{How::kWorkedOut, met * kOwnedForS / size.owners, 0, true};
+  builder.Arithmetic(entries, [](const Target& target, Scenario scenario) {
+    const FleetSize size = SizeAt(target, scenario);
+    const double met = TermValue(Term::kFirstContacts, size) * size.poolers;
+    return Cell{Provenance::kComputed, met * kLeaseManagerRetentionS / size.lease_managers, 0, true};
   });
-  build.Arithmetic(Named(role, "messages", "messages of sessions at one machine, in and out, a second",
-                         "src/lease", "2 a first meet, 4 a roaming statement; needs owners set aside"),
-                   [](const Target& target, Column column) {
-                     return Worked(ValueOf(Term::kOwnerMessages, SizeIn(target, column)));
-                   });
-  build.FittedWithEvents(
-      Named(role, "messages", "owners of sessions, both ways, bytes a second, one machine", "src/lease"),
+  builder.Arithmetic(MakeRow(role, "messages", "messages of sessions at one machine, in and out, a second",
+                             "src/lease", "2 a first meet, 4 a roaming statement; needs owners set aside"),
+                     [](const Target& target, Scenario scenario) {
+                       return Computed(TermValue(Term::kManagerMessages, SizeAt(target, scenario)));
+                     });
+  builder.FittedWithEvents(
+      MakeRow(role, "messages", "owners of sessions, both ways, bytes a second, one machine", "src/lease"),
       "owner_bytes_per_s", by_owner, owned);
-  Row share = Named(role, "processor", "owners of sessions, % of a core, one machine", "src/lease");
+  Row share = MakeRow(role, "processor", "owners of sessions, % of a core, one machine", "src/lease");
   share.scale = 100;
-  build.FittedWithEvents(share, "owner_cpu_share", by_owner, owned);
-  build.FittedWithEvents(Named(role, "memory", "owners of sessions, MB, one machine", "src/lease"),
-                         "owner_memory_mb", by_owner, owned);
-  const auto left = MachinesLeft;
-  build.Arithmetic(Named(role, "state", "poolers followed by one machine, entries", "none",
-                         "poolers / machines in reach: one fewer without a zone, the smaller half on a cut"),
-                   [left](const Target& target, Column column) {
-                     return Worked(SizeIn(target, column).poolers / left(target, column));
-                   });
-  build.NotMeasured(Named(role, "state", "an entry, bytes", "none"));
-  build.Arithmetic(Named(role, "messages", "configuration out, messages a second, all machines", "none",
-                         "changes x poolers; worst second: one change to all at once"),
-                   [](const Target& target, Column column) {
-                     const double changes =
-                         column == Column::kWorstOrdinary ? 1 : target.configuration_changes_per_day / kDay;
-                     return Worked(changes * SizeIn(target, column).poolers);
-                   });
-  build.Arithmetic(
-      Named(role, "messages", "configuration out, bytes a second, all machines", "none",
-            "messages x bytes of a change"),
-      [](const Target& target, Column column) {
+  builder.FittedWithEvents(share, "owner_cpu_share", by_owner, owned);
+  builder.FittedWithEvents(MakeRow(role, "memory", "owners of sessions, MB, one machine", "src/lease"),
+                           "owner_memory_mb", by_owner, owned);
+  const auto left = ReachableMachines;
+  builder.Arithmetic(
+      MakeRow(role, "state", "poolers followed by one machine, entries", "none",
+              "poolers / machines in reach: one fewer without a zone, the smaller half on a cut"),
+      [left](const Target& target, Scenario scenario) {
+        return Computed(SizeAt(target, scenario).poolers / left(target, scenario));
+      });
+  builder.NotMeasured(MakeRow(role, "state", "an entry, bytes", "none"));
+  builder.Arithmetic(MakeRow(role, "messages", "configuration out, messages a second, all machines", "none",
+                             "changes x poolers; worst second: one change to all at once"),
+                     [](const Target& target, Scenario scenario) {
+                       const double changes = scenario == Scenario::kWorstOrdinary
+                                                  ? 1
+                                                  : target.configuration_changes_per_day / kSecondsPerDay;
+                       return Computed(changes * SizeAt(target, scenario).poolers);
+                     });
+  builder.Arithmetic(
+      MakeRow(role, "messages", "configuration out, bytes a second, all machines", "none",
+              "messages x bytes of a change"),
+      [](const Target& target, Scenario scenario) {
         const double changes =
-            column == Column::kWorstOrdinary ? 1 : target.configuration_changes_per_day / kDay;
-        return Worked(changes * SizeIn(target, column).poolers * target.configuration_bytes.assumed);
+            scenario == Scenario::kWorstOrdinary ? 1 : target.configuration_changes_per_day / kSecondsPerDay;
+        return Computed(changes * SizeAt(target, scenario).poolers * target.configuration_bytes.assumed);
       });
-  build.NotMeasured(Named(role, "messages", "acknowledgements in, a second", "none"));
-  build.NotMeasured(Named(role, "processor", "all other control, % of a core", "none"));
-  build.NotMeasured(Named(role, "memory", "all other control, MB", "none"));
-  build.Arithmetic(Named(role, "descriptors", "connections of poolers to one machine", "none",
-                         "one a pooler, should they be connections"),
-                   [left](const Target& target, Column column) {
-                     return Worked(SizeIn(target, column).poolers / left(target, column));
-                   });
+  builder.NotMeasured(MakeRow(role, "messages", "acknowledgements in, a second", "none"));
+  builder.NotMeasured(MakeRow(role, "processor", "all other control, % of a core", "none"));
+  builder.NotMeasured(MakeRow(role, "memory", "all other control, MB", "none"));
+  builder.Arithmetic(MakeRow(role, "descriptors", "connections of poolers to one machine", "none",
+                             "one a pooler, should they be connections"),
+                     [left](const Target& target, Scenario scenario) {
+                       return Computed(SizeAt(target, scenario).poolers / left(target, scenario));
+                     });
 }
 
-void AddDiscovery(Builder& build) {
+void AddDiscoveryRows(RowBuilder& builder) {
   constexpr Role role = Role::kDiscovery;
   const Row* list = nullptr;
-  for (const Row& row : build.rows) {
+  for (const Row& row : builder.rows) {
     if (row.name.starts_with("discovery's list in")) list = &row;
   }
   const auto list_at = list->at;
-  build.Arithmetic(Named(role, "state", "databases listed, entries", "src/discovery (the pooler's side)"),
-                   [](const Target& target, Column) { return Worked(target.databases); });
-  build.NotMeasured(Named(role, "state", "an entry, bytes", "none"));
-  build.Arithmetic(Named(role, "messages", "changes of the list out, lines a second, to all poolers",
-                         "src/discovery (the pooler's side)", "changes x poolers"),
-                   [](const Target& target, Column column) {
-                     const Size size = SizeIn(target, column);
-                     return Worked(size.changes_per_s * size.poolers);
-                   });
-  build.Arithmetic(Named(role, "messages", "the list out, bytes a second, to all poolers",
-                         "src/discovery (the pooler's side)", "poolers x what one receives"),
-                   [list_at](const Target& target, Column column) {
-                     Cell cell = Times(list_at(target, column), SizeIn(target, column).poolers);
-                     if (cell.how == How::kMeasured) cell.how = How::kWorkedOut;
-                     return cell;
-                   });
-  build.Arithmetic(
-      Named(role, "messages", "calls a second, `ask`, while watches stay open", "src/discovery",
-            "a watch stays open, so one for each pooler that is restarted or fails, all taken for poolers: a "
-            "day's spread evenly, or those that go at once; what an end of a watch by discovery itself adds "
-            "is not told"),
-      [](const Target& target, Column column) {
-        if (column == Column::kWorstOrdinary) return Worked(target.restarts_at_once.assumed + 1);
-        return Worked((target.restarts_per_day + target.machine_failures_per_day) / kDay);
+  builder.Arithmetic(MakeRow(role, "state", "databases listed, entries", "src/discovery (the pooler's side)"),
+                     [](const Target& target, Scenario) { return Computed(target.databases); });
+  builder.NotMeasured(MakeRow(role, "state", "an entry, bytes", "none"));
+  builder.Arithmetic(MakeRow(role, "messages", "changes of the list out, lines a second, to all poolers",
+                             "src/discovery (the pooler's side)", "changes x poolers"),
+                     [](const Target& target, Scenario scenario) {
+                       const FleetSize size = SizeAt(target, scenario);
+                       return Computed(size.changes_per_s * size.poolers);
+                     });
+  builder.Arithmetic(MakeRow(role, "messages", "the list out, bytes a second, to all poolers",
+                             "src/discovery (the pooler's side)", "poolers x what one receives"),
+                     [list_at](const Target& target, Scenario scenario) {
+                       Cell cell = Scaled(list_at(target, scenario), SizeAt(target, scenario).poolers);
+                       if (cell.provenance == Provenance::kMeasured) cell.provenance = Provenance::kComputed;
+                       return cell;
+                     });
+  builder.Arithmetic(
+      MakeRow(
+          role, "messages", "calls a second, `ask`, while watches stay open", "src/discovery",
+          "a watch stays open, so one for each pooler that is restarted or fails, all taken for poolers: a "
+          "day's spread evenly, or those that go at once; what an end of a watch by discovery itself adds "
+          "is not told"),
+      [](const Target& target, Scenario scenario) {
+        if (scenario == Scenario::kWorstOrdinary) return Computed(target.restarts_at_once.assumed + 1);
+        return Computed((target.restarts_per_day + target.machine_failures_per_day) / kSecondsPerDay);
       });
-  build.Arithmetic(
-      Named(role, "messages", "empty lines out, bytes a second, to all poolers", "src/discovery",
-            "one of 6 bytes, chunked, every 2 s to each, so that a watch is known to live; a part "
-            "of the list out"),
-      [](const Target& target, Column column) {
-        return Worked(SizeIn(target, column).poolers * kBlankLineBytes / kBlankLineS);
+  builder.Arithmetic(
+      MakeRow(role, "messages", "empty lines out, bytes a second, to all poolers", "src/discovery",
+              "one of 6 bytes, chunked, every 2 s to each, so that a watch is known to live; a part "
+              "of the list out"),
+      [](const Target& target, Scenario scenario) {
+        return Computed(SizeAt(target, scenario).poolers * kWatchHeartbeatBytes / kWatchHeartbeatIntervalS);
       });
-  build.Arithmetic(
-      Named(role, "messages", "calls a second, `ask`, first round after all fell silent",
-            "src/fleet/discovery_retry_policy",
-            "poolers / the window in which each draws its first wait; with `push` none"),
-      [](const Target& target, Column column) {
-        const double poolers = SizeIn(target, column).poolers;
+  builder.Arithmetic(
+      MakeRow(role, "messages", "calls a second, `ask`, first round after all fell silent",
+              "src/fleet/discovery_retry_policy",
+              "poolers / the window in which each draws its first wait; with `push` none"),
+      [](const Target& target, Scenario scenario) {
+        const double poolers = SizeAt(target, scenario).poolers;
         fleet::DiscoveryRetryPolicy waits(true, static_cast<std::uint32_t>(poolers),
                                           Duration(static_cast<std::int64_t>(kDrainGraceS * 1e6)));
-        // All that draw just under one draw the window's end.
+        // A draw just below 1 gives the end of the window.
         const double window = static_cast<double>(waits.NextWait(0.999999, Duration{}).count()) / 1e6;
-        return Worked(poolers / window);
+        return Computed(poolers / window);
       });
-  build.NotMeasured(Named(role, "processor", "% of a core", "none"));
-  build.NotMeasured(Named(role, "memory", "MB", "none"));
-  build.Arithmetic(
-      Named(role, "descriptors", "watches open, `ask`", "src/discovery (the pooler's side)",
-            "one a pooler; with `push` one at each machine's agent"),
-      [](const Target& target, Column column) { return Worked(SizeIn(target, column).poolers); });
+  builder.NotMeasured(MakeRow(role, "processor", "% of a core", "none"));
+  builder.NotMeasured(MakeRow(role, "memory", "MB", "none"));
+  builder.Arithmetic(
+      MakeRow(role, "descriptors", "watches open, `ask`", "src/discovery (the pooler's side)",
+              "one a pooler; with `push` one at each machine's agent"),
+      [](const Target& target, Scenario scenario) { return Computed(SizeAt(target, scenario).poolers); });
 }
 
-void AddDatabase(Builder& build) {
+void AddDatabaseRows(RowBuilder& builder) {
   constexpr Role role = Role::kDatabase;
   const Row* probes = nullptr;
-  for (const Row& row : build.rows) {
+  for (const Row& row : builder.rows) {
     if (row.name.starts_with("probes of databases out")) probes = &row;
   }
   const auto probes_at = probes->at;
-  build.Arithmetic(Named(role, "messages", "statements in, a second", "src/routing/balancer.cpp",
-                         "statements / databases"),
-                   [](const Target& target, Column column) {
-                     const Size size = SizeIn(target, column);
-                     return Worked(size.statements_per_s / size.databases);
-                   });
-  build.Arithmetic(Named(role, "messages", "statements of one pooler, a second", "src/routing/balancer.cpp",
-                         "statements / (poolers x databases): every pair is in use"),
-                   [](const Target& target, Column column) {
-                     const Size size = SizeIn(target, column);
-                     return Worked(ValueOf(Term::kStatements, size) / size.databases);
-                   });
-  build.Arithmetic(Named(role, "messages", "probes in, a second", "src/routing/balancer.cpp, src/upstream",
-                         "poolers x probes of one / databases"),
-                   [probes_at](const Target& target, Column column) {
-                     const Size size = SizeIn(target, column);
-                     Cell cell = Times(probes_at(target, column), size.poolers / size.databases);
-                     if (cell.how == How::kMeasured) cell.how = How::kWorkedOut;
-                     return cell;
-                   });
+  builder.Arithmetic(MakeRow(role, "messages", "statements in, a second", "src/routing/balancer.cpp",
+                             "statements / databases"),
+                     [](const Target& target, Scenario scenario) {
+                       const FleetSize size = SizeAt(target, scenario);
+                       return Computed(size.statements_per_s / size.databases);
+                     });
+  builder.Arithmetic(
+      MakeRow(role, "messages", "statements of one pooler, a second", "src/routing/balancer.cpp",
+              "statements / (poolers x databases): every pair is in use"),
+      [](const Target& target, Scenario scenario) {
+        const FleetSize size = SizeAt(target, scenario);
+        return Computed(TermValue(Term::kStatements, size) / size.databases);
+      });
+  builder.Arithmetic(MakeRow(role, "messages", "probes in, a second",
+                             "src/routing/balancer.cpp, src/upstream", "poolers x probes of one / databases"),
+                     [probes_at](const Target& target, Scenario scenario) {
+                       const FleetSize size = SizeAt(target, scenario);
+                       Cell cell = Scaled(probes_at(target, scenario), size.poolers / size.databases);
+                       if (cell.provenance == Provenance::kMeasured) cell.provenance = Provenance::kComputed;
+                       return cell;
+                     });
   Row connections =
-      Named(role, "descriptors", "connections of poolers to one database", "none",
-            "poolers x the chance that each asks within 10 s; no pooler keeps to a part of them");
+      MakeRow(role, "descriptors", "connections of poolers to one database", "none",
+              "poolers x the chance that each asks within 10 s; no pooler keeps to a part of them");
   connections.budget = [](const Target& target) { return target.database_connections.assumed; };
   connections.issue = "30";
-  build.Arithmetic(connections, [](const Target& target, Column column) {
-    const Size size = SizeIn(target, column);
-    const double asked = ValueOf(Term::kStatements, size) / size.databases;
-    return Worked(size.poolers * (1 - std::exp(-asked * kPooledS)));
+  builder.Arithmetic(connections, [](const Target& target, Scenario scenario) {
+    const FleetSize size = SizeAt(target, scenario);
+    const double database_rate = TermValue(Term::kStatements, size) / size.databases;
+    return Computed(size.poolers * (1 - std::exp(-database_rate * kPooledIdleTimeoutS)));
   });
-  build.Fitted(Named(role, "descriptors", "connections asked for by one pooler, a second", "src/upstream"),
-               "database_connections_asked_per_s", {Term::kOne, Term::kDatabases, Term::kStatements}, Loaded);
+  builder.Fitted(
+      MakeRow(role, "descriptors", "connections asked for by one pooler, a second", "src/upstream"),
+      "database_connections_asked_per_s", {Term::kConstant, Term::kDatabases, Term::kStatements}, IsLoaded);
 }
 
-void AddCommand(Builder& build) {
+void AddCommandRows(RowBuilder& builder) {
   constexpr Role role = Role::kCommand;
-  const Keep asked = build.Newest("peers_command");
-  Row answer = Named(role, "messages", "answer of `lynxgrade peers`, bytes", "src/admin");
-  answer.budget = [](const Target&) { return kAnswerBytes; };
+  const RecordFilter database_rate = builder.LatestGeneration("peers_command");
+  Row answer = MakeRow(role, "messages", "answer of `lynxgrade peers`, bytes", "src/admin");
+  answer.budget = [](const Target&) { return kMaxAdminResponseBytes; };
   answer.issue = "none yet";
-  build.Fitted(answer, "peers_answer_bytes", {Term::kOne, Term::kPoolers}, asked);
-  build.Arithmetic(Named(role, "messages", "poolers to be asked for the whole fleet's word", "none",
-                         "each answers for itself, on its own machine alone"),
-                   [](const Target& target, Column) { return Worked(target.poolers); });
-  build.Arithmetic(Named(role, "descriptors", "questions that one pooler answers at once", "src/admin"),
-                   [](const Target&, Column) { return Worked(4); });
-  build.Fitted(Named(role, "processor", "the pooler's for one answer, ms", "src/admin"),
-               "peers_answer_cpu_ms", {Term::kOne, Term::kPoolers}, asked);
+  builder.Fitted(answer, "peers_answer_bytes", {Term::kConstant, Term::kPoolers}, database_rate);
+  builder.Arithmetic(MakeRow(role, "messages", "poolers to be asked for the whole fleet's word", "none",
+                             "each answers for itself, on its own machine alone"),
+                     [](const Target& target, Scenario) { return Computed(target.poolers); });
+  builder.Arithmetic(MakeRow(role, "descriptors", "questions that one pooler answers at once", "src/admin"),
+                     [](const Target&, Scenario) { return Computed(4); });
+  builder.Fitted(MakeRow(role, "processor", "the pooler's for one answer, ms", "src/admin"),
+                 "peers_answer_cpu_ms", {Term::kConstant, Term::kPoolers}, database_rate);
 }
 
 }  // namespace
 
-const char* NameOf(Term term) {
+const char* TermName(Term term) {
   switch (term) {
-    case Term::kOne:
+    case Term::kConstant:
       return "1";
     case Term::kPoolers:
       return "poolers";
@@ -942,28 +993,28 @@
       return "poolers x own writes";
     case Term::kSessionStatements:
       return "own session statements";
-    case Term::kFirstMeets:
+    case Term::kFirstContacts:
       return "own first meets";
-    case Term::kRoaming:
+    case Term::kRoamingStatements:
       return "own roaming statements";
-    case Term::kDirectoryMessages:
+    case Term::kLeaseMessages:
       return "own messages of sessions";
-    case Term::kOwnerMessages:
+    case Term::kManagerMessages:
       return "messages of sessions at one machine";
     case Term::kPackets:
       return "own packets";
-    case Term::kReignsTold:
+    case Term::kTimelineReports:
       return "reigns told";
-    case Term::kChanges:
+    case Term::kListChanges:
       return "changes";
   }
   return "";
 }
 
-double ValueOf(Term term, const Size& size) {
+double TermValue(Term term, const FleetSize& size) {
   const double own = size.poolers > 0 ? 1 / size.poolers : 0;
   switch (term) {
-    case Term::kOne:
+    case Term::kConstant:
       return 1;
     case Term::kPoolers:
       return size.poolers;
@@ -979,23 +1030,25 @@
       return size.statements_per_s * size.writes_share;
     case Term::kSessionStatements:
       return size.statements_per_s * (size.writes_share + size.own_reads_share) * own;
-    case Term::kFirstMeets:
-      return size.session_statements > 0 ? ValueOf(Term::kSessionStatements, size) / size.session_statements
+    case Term::kFirstContacts:
+      return size.session_statements > 0 ? TermValue(Term::kSessionStatements, size) / size.session_statements
                                          : 0;
-    case Term::kRoaming:
-      return ValueOf(Term::kSessionStatements, size) * size.roaming_share;
-    case Term::kDirectoryMessages:
-      return kMessagesAFirstMeet * ValueOf(Term::kFirstMeets, size) +
-             kMessagesAMove * ValueOf(Term::kRoaming, size);
-    case Term::kOwnerMessages:
-      return size.owners > 0 ? ValueOf(Term::kDirectoryMessages, size) * size.poolers / size.owners : 0;
+    case Term::kRoamingStatements:
+      return TermValue(Term::kSessionStatements, size) * size.roaming_share;
+    case Term::kLeaseMessages:
+      return kMessagesPerLeaseAcquire * TermValue(Term::kFirstContacts, size) +
+             kMessagesPerLeaseTransfer * TermValue(Term::kRoamingStatements, size);
+    case Term::kManagerMessages:
+      return size.lease_managers > 0
+                 ? TermValue(Term::kLeaseMessages, size) * size.poolers / size.lease_managers
+                 : 0;
     case Term::kPackets:
       return size.packets_per_s;
-    case Term::kReignsTold:
-      // Every group's to each, or as many as packets have room for.
-      return std::min((size.poolers - 1) * size.groups / (kReignsEveryMs / 1000),
-                      kReignsAPacket * size.packets_per_s);
-    case Term::kChanges:
+    case Term::kTimelineReports:
+      // The timelines of all groups to all peers, limited by the room in packets.
+      return std::min((size.poolers - 1) * size.groups / (kTimelineRoundIntervalMs / 1000),
+                      kTimelinesPerPacket * size.packets_per_s);
+    case Term::kListChanges:
       return size.changes_per_s;
   }
   return 0;
@@ -1003,9 +1056,9 @@
 
 namespace {
 
-bool Flat(const std::vector<const Record*>& held, const std::string& figure) {
-  const double first = held[0]->figures.at(figure);
-  return std::all_of(held.begin(), held.end(),
+bool IsConstant(const std::vector<const Record*>& with_figure, const std::string& figure) {
+  const double first = with_figure[0]->figures.at(figure);
+  return std::all_of(with_figure.begin(), with_figure.end(),
                      [&](const Record* record) { return record->figures.at(figure) == first; });
 }
 
@@ -1013,47 +1066,48 @@
 
 Slopes::Slopes(const std::vector<Term>& terms, const std::string& figure,
                const std::vector<const Record*>& records) {
-  std::vector<const Record*> held;
+  std::vector<const Record*> with_figure;
   for (const Record* record : records) {
-    if (record->figures.contains(figure)) held.push_back(record);
+    if (record->figures.contains(figure)) with_figure.push_back(record);
   }
-  if (held.empty()) {
-    refused_ = "no record tells `" + figure + "`";
+  if (with_figure.empty()) {
+    fit_error_ = "no record tells `" + figure + "`";
     return;
   }
   for (const Term term : terms) {
-    if (term == Term::kOne) continue;
-    Range range{term, ValueOf(term, held[0]->size), ValueOf(term, held[0]->size)};
-    for (const Record* record : held) {
-      range.least = std::min(range.least, ValueOf(term, record->size));
-      range.most = std::max(range.most, ValueOf(term, record->size));
+    if (term == Term::kConstant) continue;
+    Range range{term, TermValue(term, with_figure[0]->size), TermValue(term, with_figure[0]->size)};
+    for (const Record* record : with_figure) {
+      range.min = std::min(range.min, TermValue(term, record->size));
+      range.max = std::max(range.max, TermValue(term, record->size));
     }
-    (range.least == range.most ? unvaried_ : varied_).push_back(range);
+    (range.min == range.max ? constant_ : varied_).push_back(range);
   }
   while (true) {
     std::vector<std::string> names = {"the constant"};
-    for (const Range& range : varied_) names.push_back(NameOf(range.term));
+    for (const Range& range : varied_) names.push_back(TermName(range.term));
     std::vector<Sample> samples;
-    for (const Record* record : held) samples.push_back({Point(record->size), record->figures.at(figure)});
+    for (const Record* record : with_figure)
+      samples.push_back({Point(record->size), record->figures.at(figure)});
     auto fit = LeastSquares(names, samples);
     if (auto* wrong = std::get_if<std::string>(&fit)) {
-      refused_ = std::move(*wrong);
+      fit_error_ = std::move(*wrong);
       return;
     }
     fit_ = std::get<Fit>(std::move(fit));
-    // A figure that is the same throughout has no slope, which is told as surely as any other.
-    if (Flat(held, figure)) {
+    // A figure that is the same in all records is known to have zero slopes.
+    if (IsConstant(with_figure, figure)) {
       std::fill(fit_->slopes.begin() + 1, fit_->slopes.end(), 0);
       std::fill(fit_->errors.begin(), fit_->errors.end(), 0);
       for (auto& line : fit_->covariance) std::fill(line.begin(), line.end(), 0);
-      fit_->slopes[0] = held[0]->figures.at(figure);
+      fit_->slopes[0] = with_figure[0]->figures.at(figure);
       fit_->residual = 0;
       return;
     }
-    // The slope that stands out least from its error goes first; before it those below nothing, as no part of
-    // the program costs less for more: such a one makes up for another that was taken for too much.
+    // Drops the slope with the lowest ratio to its error. Negative slopes go first: nothing in the program
+    // gets cheaper with more load, so they only compensate for another slope that was estimated too high.
     std::size_t least = 0;
-    double ratio = kToldFrom;
+    double ratio = kMinSlopeToErrorRatio;
     for (std::size_t i = 0; i < varied_.size(); ++i) {
       const double slope = fit_->slopes[i + 1], error = fit_->errors[i + 1];
       if (slope >= ratio * error) continue;
@@ -1061,34 +1115,35 @@
       least = i + 1;
     }
     if (least == 0) return;
-    untold_.push_back(varied_[least - 1]);
+    insignificant_.push_back(varied_[least - 1]);
     varied_.erase(varied_.begin() + static_cast<std::ptrdiff_t>(least - 1));
   }
 }
 
-std::vector<double> Slopes::Point(const Size& size) const {
+std::vector<double> Slopes::Point(const FleetSize& size) const {
   std::vector<double> point = {1};
-  for (const Range& range : varied_) point.push_back(ValueOf(range.term, size));
+  for (const Range& range : varied_) point.push_back(TermValue(range.term, size));
   return point;
 }
 
-Cell Slopes::At(const Size& size) const {
+Cell Slopes::At(const FleetSize& size) const {
   if (!fit_) return {};
   const std::vector<double> point = Point(size);
-  Cell cell{How::kMeasured, fit_->At(point), fit_->ErrorAt(point), false};
-  // No figure here can be below nothing: such a line was carried too far.
+  Cell cell{Provenance::kMeasured, fit_->At(point), fit_->ErrorAt(point), false};
+  // No figure can be negative: the fit was extrapolated too far.
   if (cell.value < 0) return {};
-  for (const std::vector<Range>& ranges : {varied_, unvaried_, untold_}) {
+  for (const std::vector<Range>& ranges : {varied_, constant_, insignificant_}) {
     for (const Range& range : ranges) {
-      const double value = ValueOf(range.term, size);
-      if (range.term == Term::kChanges && value < kHardlyAny && range.least == 0) continue;
-      if (value > range.most * (1 + kSlack) || value < range.least * (1 - kSlack)) cell.how = How::kWorkedOut;
+      const double value = TermValue(range.term, size);
+      if (range.term == Term::kListChanges && value < kNegligibleChangesPerS && range.min == 0) continue;
+      if (value > range.max * (1 + kRangeTolerance) || value < range.min * (1 - kRangeTolerance))
+        cell.provenance = Provenance::kComputed;
     }
   }
-  for (const std::vector<Range>& ranges : {unvaried_, untold_}) {
+  for (const std::vector<Range>& ranges : {constant_, insignificant_}) {
     for (const Range& range : ranges) {
-      if (range.term == Term::kChanges && ValueOf(range.term, size) < kHardlyAny) continue;
-      if (ValueOf(range.term, size) > range.most * (1 + kSlack)) cell.at_least = true;
+      if (range.term == Term::kListChanges && TermValue(range.term, size) < kNegligibleChangesPerS) continue;
+      if (TermValue(range.term, size) > range.max * (1 + kRangeTolerance)) cell.is_lower_bound = true;
     }
   }
   return cell;
@@ -1102,31 +1157,32 @@
   return std::nullopt;
 }
 
-Surplus::Surplus(const Slopes& slopes, const std::string& figure, const std::vector<const Record*>& records,
-                 const std::vector<std::string>& scripts) {
-  // What the run tells of its worst second, by the figure's name or by the sum's that it is a part of.
+EventSurplus::EventSurplus(const Slopes& slopes, const std::string& figure,
+                           const std::vector<const Record*>& records,
+                           const std::vector<std::string>& scripts) {
+  // The peak of the figure, or of the sum that includes it.
   const std::string peak = figure == "cpu_share" ? "control_cpu_share_peak" : figure + "_peak";
   std::vector<Sample> samples;
   for (const Record* record : records) {
-    if (!OneOf(*record, scripts) || !slopes.fit()) continue;
-    auto told = record->figures.find(peak);
-    if (told == record->figures.end()) told = record->figures.find(figure);
-    if (told == record->figures.end()) continue;
+    if (!HasScript(*record, scripts) || !slopes.fit()) continue;
+    auto selected = record->figures.find(peak);
+    if (selected == record->figures.end()) selected = record->figures.find(figure);
+    if (selected == record->figures.end()) continue;
     const double poolers = record->size.poolers;
-    samples.push_back({{1, poolers}, std::max(0.0, told->second - slopes.At(record->size).value)});
+    samples.push_back({{1, poolers}, std::max(0.0, selected->second - slopes.At(record->size).value)});
     largest_ = std::max(largest_, samples.back().y);
-    least_poolers_ = samples.size() == 1 ? poolers : std::min(least_poolers_, poolers);
-    most_poolers_ = std::max(most_poolers_, poolers);
+    min_poolers_ = samples.size() == 1 ? poolers : std::min(min_poolers_, poolers);
+    max_poolers_ = std::max(max_poolers_, poolers);
   }
   records_ = samples.size();
-  auto fit = LeastSquares({"the constant", NameOf(Term::kPoolers)}, samples);
+  auto fit = LeastSquares({"the constant", TermName(Term::kPoolers)}, samples);
   if (auto* found = std::get_if<Fit>(&fit)) fit_ = std::move(*found);
 }
 
-Cell Surplus::At(double poolers) const {
-  // Without a line nothing is known of sizes below those that were played.
-  if (records_ == 0 || (!fit_ && poolers < least_poolers_ * (1 - kSlack))) return {};
-  Cell cell{How::kWorkedOut, largest_, 0, poolers > most_poolers_ * (1 + kSlack)};
+Cell EventSurplus::At(double poolers) const {
+  // Without a fit nothing is known of fleets smaller than those of the runs.
+  if (records_ == 0 || (!fit_ && poolers < min_poolers_ * (1 - kRangeTolerance))) return {};
+  Cell cell{Provenance::kComputed, largest_, 0, poolers > max_poolers_ * (1 + kRangeTolerance)};
   if (fit_) {
     cell.value = std::max(0.0, fit_->At({1, poolers}));
     cell.error = fit_->ErrorAt({1, poolers});
@@ -1135,17 +1191,17 @@
 }
 
 Model::Model(std::vector<Record> records) : records_(std::move(records)) {
-  Builder build(records_);
-  AddPooler(build, records_);
-  AddControlMachines(build, records_);
-  AddDiscovery(build);
-  AddDatabase(build);
-  AddCommand(build);
-  rows_ = std::move(build.rows);
+  RowBuilder builder(records_);
+  AddPoolerRows(builder, records_);
+  AddControlMachineRows(builder, records_);
+  AddDiscoveryRows(builder);
+  AddDatabaseRows(builder);
+  AddCommandRows(builder);
+  rows_ = std::move(builder.rows);
 }
 
-Size SizeIn(const Target& target, Column column) {
-  Size size;
+FleetSize SizeAt(const Target& target, Scenario scenario) {
+  FleetSize size;
   size.poolers = target.poolers;
   size.databases = target.databases;
   size.groups = target.databases / target.members_of_a_group.assumed;
@@ -1155,17 +1211,17 @@
   size.own_reads_share = target.own_reads_percent.assumed / 100;
   size.session_statements = target.session_statements.assumed;
   size.roaming_share = target.roaming_percent.assumed / 100;
-  size.changes_per_s = ListChanges(target);
-  size.owners = MachinesLeft(target, column);
-  switch (column) {
-    case Column::kOrdinary:
+  size.changes_per_s = ListChangesPerS(target);
+  size.lease_managers = ReachableMachines(target, scenario);
+  switch (scenario) {
+    case Scenario::kOrdinary:
       break;
-    case Column::kWorstOrdinary:
+    case Scenario::kWorstOrdinary:
       size.statements_per_s *= target.busiest_second_ratio.assumed;
-      // Each that is replaced goes and comes; one machine fails; one primary gives up its part to another.
+      // Each replacement removes and adds an endpoint, one machine fails, and a primary change alters two.
       size.changes_per_s = 2 * target.restarts_at_once.assumed + 1 + 2;
       break;
-    case Column::kZoneGone: {
+    case Scenario::kZoneLost: {
       const double left = 1 - 1 / target.zones;
       size.changes_per_s = size.databases / target.zones;
       size.poolers *= left;
@@ -1173,7 +1229,7 @@
       size.groups *= left;
       break;
     }
-    case Column::kRegionsCut: {
+    case Scenario::kRegionsPartitioned: {
       const double part = 1 / target.regions;
       size.poolers *= part;
       size.databases *= part;
@@ -1186,25 +1242,25 @@
   return size;
 }
 
-Target Grown(const Target& target, double poolers) {
-  const double by = poolers / target.poolers;
+Target ScaledTo(const Target& target, double poolers) {
+  const double factor = poolers / target.poolers;
   Target grown = target;
   grown.poolers = poolers;
-  grown.databases *= by;
-  grown.clients *= by;
-  grown.statements_per_s *= by;
-  grown.machine_failures_per_day *= by;
-  grown.restarts_per_day *= by;
-  grown.primary_changes_per_day *= by;
+  grown.databases *= factor;
+  grown.clients *= factor;
+  grown.statements_per_s *= factor;
+  grown.machine_failures_per_day *= factor;
+  grown.restarts_per_day *= factor;
+  grown.primary_changes_per_day *= factor;
   return grown;
 }
 
-std::optional<double> LeavesAt(const Row& row, const Target& target, Column column) {
-  if (!row.budget || row.at(target, column).how == How::kNotMeasured) return std::nullopt;
-  // Rows need not rise steadily, so each number is tried.
-  for (double poolers = 2; poolers <= target.poolers * kMostGrowth; ++poolers) {
-    const Target grown = Grown(target, poolers);
-    if (row.at(grown, column).value > row.budget(grown)) return poolers;
+std::optional<double> FirstSizeOverBudget(const Row& row, const Target& target, Scenario scenario) {
+  if (!row.budget || row.at(target, scenario).provenance == Provenance::kNotMeasured) return std::nullopt;
+  // Rows need not be monotonic, so each size is evaluated.
+  for (double poolers = 2; poolers <= target.poolers * kMaxGrowth; ++poolers) {
+    const Target grown = ScaledTo(target, poolers);
+    if (row.at(grown, scenario).value > row.budget(grown)) return poolers;
   }
   return 0;
 }
@@ -1216,10 +1272,10 @@
   for (std::size_t i = 0; i < values.size(); ++i) {
     Target changed = target;
     (changed.*field.value).assumed = values[i];
-    for (const Column column : kColumns) {
-      const Cell cell = row.at(changed, column);
-      if (cell.how == How::kNotMeasured) continue;
-      if (cells[i].how == How::kNotMeasured || cell.value > cells[i].value) cells[i] = cell;
+    for (const Scenario scenario : kScenarios) {
+      const Cell cell = row.at(changed, scenario);
+      if (cell.provenance == Provenance::kNotMeasured) continue;
+      if (cells[i].provenance == Provenance::kNotMeasured || cell.value > cells[i].value) cells[i] = cell;
     }
   }
   return cells;
--- a/src/capacity/model.h
+++ b/src/capacity/model.h
@@ -1,6 +1,6 @@
-// What each part of the fleet carries at a size: rows with four columns of load, from slopes of measurements,
-// from arithmetic on them, or not at all. Where a budget is left, and what each assumption does to it. Owns
-// no files and no clock: a target and records in, figures out.
+// The capacity model: the load of each part of the fleet in four scenarios, from slopes fitted to
+// measurements or computed from them, the size at which a row exceeds its budget, and its sensitivity to each
+// assumption. Free of I/O and clocks.
 #pragma once
 
 #include <array>
@@ -17,106 +17,107 @@
 namespace lynxgrade::capacity {
 
 enum class Role { kPooler, kControlMachines, kDiscovery, kDatabase, kCommand };
-enum class Column { kOrdinary, kWorstOrdinary, kZoneGone, kRegionsCut };
-inline constexpr std::array kColumns = {Column::kOrdinary, Column::kWorstOrdinary, Column::kZoneGone,
-                                        Column::kRegionsCut};
+enum class Scenario { kOrdinary, kWorstOrdinary, kZoneLost, kRegionsPartitioned };
+inline constexpr std::array kScenarios = {Scenario::kOrdinary, Scenario::kWorstOrdinary, Scenario::kZoneLost,
+                                          Scenario::kRegionsPartitioned};
 
-// Measured: by a fit whose range holds the size. Worked out: by a fit beyond its range, or by arithmetic.
-enum class How { kMeasured, kWorkedOut, kNotMeasured };
+// kMeasured: from a fit whose range includes the size. kComputed: from a fit extrapolated beyond its range,
+// or from other figures by arithmetic.
+enum class Provenance { kMeasured, kComputed, kNotMeasured };
 struct Cell {
-  How how = How::kNotMeasured;
+  Provenance provenance = Provenance::kNotMeasured;
   double value = 0;
-  double error = 0;       // one standard error; zero where there is none to tell
-  bool at_least = false;  // a part of it is not measured
+  double error = 0;             // one standard error; 0 if unknown
+  bool is_lower_bound = false;  // a part of it has not been measured
 };
 
-// What a slope is taken over. "Own" is of one pooler, the mean; the others are of the fleet.
+// An explanatory variable of a fit. "Own" on the page means the mean per pooler; others are fleet totals.
 enum class Term {
-  kOne,
+  kConstant,
   kPoolers,
   kDatabases,
   kClients,
   kStatements,
   kWrites,
   kFleetWrites,
-  kSessionStatements,  // writes and own-reads: only these need marks
-  kFirstMeets,         // of a session and a pooler
-  kRoaming,
-  kDirectoryMessages,  // of first meets and roaming statements, where sessions have owners
-  kOwnerMessages,      // the same at one of the machines that own them
+  kSessionStatements,  // writes and own-reads: only these need watermarks
+  kFirstContacts,      // first session statements of a session at a pooler
+  kRoamingStatements,
+  kLeaseMessages,    // for first contacts and roaming statements, where sessions have leases
+  kManagerMessages,  // the same at one dedicated lease manager
   kPackets,
-  kReignsTold,
-  kChanges
+  kTimelineReports,
+  kListChanges
 };
-const char* NameOf(Term term);
-double ValueOf(Term term, const Size& size);
+const char* TermName(Term term);
+double TermValue(Term term, const FleetSize& size);
 
-// A figure's slopes over the records that hold it.
+// The slopes of a figure, fitted to the records that have it.
 class Slopes {
  public:
   struct Range {
     Term term;
-    double least = 0, most = 0;
+    double min = 0, max = 0;
   };
-  // `terms`: what the mechanism says the figure depends on. One that no record varies is left out, and said.
+  // `terms`: what the figure depends on by design. A term that is the same in all records is left out of the
+  // fit and reported by constant().
   Slopes(const std::vector<Term>& terms, const std::string& figure,
          const std::vector<const Record*>& records);
 
-  Cell At(const Size& size) const;
-  const std::vector<Range>& varied() const { return varied_; }      // without the constant
-  const std::vector<Range>& unvaried() const { return unvaried_; }  // least and most are equal
-  // Varied, but with a slope that is not twice its error: it is left out rather than carried beyond its
-  // range.
-  const std::vector<Range>& untold() const { return untold_; }
-  const std::optional<Fit>& fit() const { return fit_; }   // the constant first
-  const std::string& refused() const { return refused_; }  // why there is none
+  Cell At(const FleetSize& size) const;
+  const std::vector<Range>& varied() const { return varied_; }      // without Term::kConstant
+  const std::vector<Range>& constant() const { return constant_; }  // min and max are equal
+  // Varied, but with a slope below twice its standard error: left out, as extrapolation would amplify noise.
+  const std::vector<Range>& insignificant() const { return insignificant_; }
+  const std::optional<Fit>& fit() const { return fit_; }       // starts with the constant
+  const std::string& fit_error() const { return fit_error_; }  // why there is no fit
   std::optional<double> SlopeOf(Term term) const;
 
  private:
-  std::vector<double> Point(const Size& size) const;
+  std::vector<double> Point(const FleetSize& size) const;
 
-  std::vector<Range> varied_, unvaried_, untold_;
+  std::vector<Range> varied_, constant_, insignificant_;
   std::optional<Fit> fit_;
-  std::string refused_;
+  std::string fit_error_;
 };
 
-// What runs with events show above the slopes of quiet and loaded ones, over the number of poolers.
-class Surplus {
+// The load that events add to what the slopes of quiet and load runs predict, by number of poolers.
+class EventSurplus {
  public:
-  // `scripts`: those that count, by the beginning of their names. The figure's peak where a run tells one.
-  Surplus(const Slopes& slopes, const std::string& figure, const std::vector<const Record*>& records,
-          const std::vector<std::string>& scripts);
+  // `scripts`: prefixes of the names of the scripts to use. Uses the figure's peak if a run recorded one.
+  EventSurplus(const Slopes& slopes, const std::string& figure, const std::vector<const Record*>& records,
+               const std::vector<std::string>& scripts);
 
-  // Not measured where no run tells it; at least, where so many poolers were never played.
+  // Not measured if no run has the figure; a lower bound beyond the largest fleet that was run.
   Cell At(double poolers) const;
   std::size_t records() const { return records_; }
-  const std::optional<Fit>& fit() const { return fit_; }  // the constant, and one pooler's part
-  double most_poolers() const { return most_poolers_; }
+  const std::optional<Fit>& fit() const { return fit_; }  // the constant and the slope per pooler
+  double max_poolers() const { return max_poolers_; }
   double largest() const { return largest_; }
 
  private:
   std::size_t records_ = 0;
   std::optional<Fit> fit_;
-  double largest_ = 0, least_poolers_ = 0, most_poolers_ = 0;
+  double largest_ = 0, min_poolers_ = 0, max_poolers_ = 0;
 };
 
 struct Row {
   Role role = Role::kPooler;
   std::string group;      // state, messages, ...
-  std::string name;       // with its unit
-  std::string mechanism;  // the folder that carries it, or "none"
-  std::string note;       // the arithmetic, or what the figure leaves out
-  std::string issue;      // that would carry it, where it leaves its budget
-  std::function<Cell(const Target&, Column)> at;
-  std::function<Size(const Target&, Column)> size;  // at which its slopes are used; none: SizeIn
-  std::function<double(const Target&)> budget;      // none: nothing bounds it
+  std::string name;       // ends in the unit
+  std::string mechanism;  // the source folder or file that causes the load, or "none"
+  std::string note;       // the formula, or what the figure does not include
+  std::string issue;      // the issue that tracks exceeding the budget
+  std::function<Cell(const Target&, Scenario)> at;
+  std::function<FleetSize(const Target&, Scenario)> size;  // where the slopes are evaluated; empty: SizeAt
+  std::function<double(const Target&)> budget;             // empty: unlimited
   std::optional<Slopes> slopes;
-  // What events add in their worst second to what the slopes say: in the worst ordinary second, with a zone
-  // gone, with regions cut.
-  std::optional<Surplus> events, zone, regions;
-  bool aside = false;   // played for comparison alone: no part of what is held against the budgets
-  bool former = false;  // of those: as it was before poolers said something else to each other
-  double scale = 1;     // from the figure's unit to the row's
+  // What events add to the slopes in their worst second: ordinary events, loss of a zone, and a partition
+  // between the regions.
+  std::optional<EventSurplus> events, zone, regions;
+  bool comparison_only = false;  // not checked against the budgets
+  bool superseded = false;       // of an earlier generation of messages; implies comparison_only
+  double scale = 1;              // converts the figure's unit to the row's
 };
 
 class Model {
@@ -130,16 +131,18 @@
   std::vector<Row> rows_;
 };
 
-// The fleet's size in a column of load.
-Size SizeIn(const Target& target, Column column);
-// The target with so many poolers, all that it counts grown in step; times, shares and budgets as they are.
-Target Grown(const Target& target, double poolers);
+// The fleet's size and load in a scenario.
+FleetSize SizeAt(const Target& target, Scenario scenario);
+// The target with this number of poolers and all other counts scaled in proportion. Times, shares and budgets
+// stay the same.
+Target ScaledTo(const Target& target, double poolers);
 
-// The least number of poolers at which the row is over its budget in this column, the fleet grown in step;
-// zero where it is not up to eight times the target. None where nothing is measured or nothing bounds it.
-std::optional<double> LeavesAt(const Row& row, const Target& target, Column column);
+// The smallest number of poolers at which the row exceeds its budget in the scenario, with the fleet scaled
+// in proportion; 0 if it does not up to eight times the target. Empty if the row is unlimited or not
+// measured.
+std::optional<double> FirstSizeOverBudget(const Row& row, const Target& target, Scenario scenario);
 
-// The row's largest cell over the four columns with one assumption low, as assumed and high.
+// The row's largest cell over all scenarios, with one assumption at its low, assumed and high value.
 std::array<Cell, 3> Sensitivity(const Row& row, const Target& target, const AssumptionField& field);
 
 }  // namespace lynxgrade::capacity
--- a/src/capacity/page.cpp
+++ b/src/capacity/page.cpp
@@ -11,16 +11,16 @@
 namespace lynxgrade::capacity {
 namespace {
 
-constexpr double kCurvesTo = 8;     // times the target's poolers
-constexpr double kRounding = 1e-9;  // parts of a figure that are arithmetic's and no error of measurement
-constexpr double kSeen = 0.01;      // the part of a figure by which an assumption moves it, to be shown
-// Told apart from each other and from the budget's black; directory's curves are thick besides.
+constexpr double kMaxCurveGrowth = 8;        // times the target's poolers
+constexpr double kRoundingTolerance = 1e-9;  // relative error of floating-point arithmetic
+constexpr double kMinShownChange = 0.01;     // relative change by an assumption from which a row is shown
+// Distinct from each other and from the black line of the budget. Curves of `directory` are also thicker.
 constexpr std::array kPlotColours = {"#1f77b4", "#ff7f0e", "#2ca02c", "#d62728", "#9467bd", "#8c564b",
                                      "#e377c2", "#7f7f7f", "#bcbd22", "#17becf", "#aec7e8", "#ffbb78",
                                      "#98df8a", "#ff9896", "#c5b0d5", "#c49c94"};
-constexpr double kCurveStep = 1.25;  // from one point to the next: smooth on a logarithmic scale
+constexpr double kCurveStep = 1.25;  // ratio of one point to the previous; smooth on a logarithmic scale
 
-std::string Grouped(const std::string& digits) {
+std::string GroupThousands(const std::string& digits) {
   std::string text;
   for (std::size_t i = 0; i < digits.size(); ++i) {
     if (i > 0 && (digits.size() - i) % 3 == 0) text += ',';
@@ -29,53 +29,55 @@
   return text;
 }
 
-std::string CellText(const Cell& cell) {
-  if (cell.how == How::kNotMeasured) return "*not measured*";
-  std::string text = cell.at_least ? "≥ " : "";
-  text += Figure(cell.value);
-  if (cell.error > kRounding * std::abs(cell.value)) text += " ± " + Figure(cell.error);
-  return text + (cell.how == How::kMeasured ? " **m**" : " **w**");
+std::string FormatCell(const Cell& cell) {
+  if (cell.provenance == Provenance::kNotMeasured) return "*not measured*";
+  std::string text = cell.is_lower_bound ? "≥ " : "";
+  text += FormatFigure(cell.value);
+  if (cell.error > kRoundingTolerance * std::abs(cell.value)) text += " ± " + FormatFigure(cell.error);
+  return text + (cell.provenance == Provenance::kMeasured ? " **m**" : " **w**");
 }
 
-std::string TargetText(const Target& target) {
-  return Figure(target.poolers) + " poolers, " + Figure(target.databases) + " databases, " +
-         Figure(target.clients) + " clients, " + Figure(target.statements_per_s) + " statements a second, " +
-         Figure(target.regions) + " regions with " + Figure(target.zones) +
-         " zones. For control a pooler may spend " + Figure(target.cpu_percent) + " % of a core, " +
-         Figure(target.memory_mb) + " MB and " + Figure(target.bytes_per_s) + " bytes a second; " +
-         Figure(target.control_machines) + " machines are set aside for it.";
+std::string FormatTarget(const Target& target) {
+  return FormatFigure(target.poolers) + " poolers, " + FormatFigure(target.databases) + " databases, " +
+         FormatFigure(target.clients) + " clients, " + FormatFigure(target.statements_per_s) +
+         " statements a second, " + FormatFigure(target.regions) + " regions with " +
+         FormatFigure(target.zones) + " zones. For control a pooler may spend " +
+         FormatFigure(target.cpu_percent) + " % of a core, " + FormatFigure(target.memory_mb) + " MB and " +
+         FormatFigure(target.bytes_per_s) + " bytes a second; " + FormatFigure(target.control_machines) +
+         " machines are set aside for it.";
 }
 
-struct Wrong {
-  std::string what;
+struct RenderError {
+  std::string message;
 };
 
-// Puts the parts where the words name them; each has to be named once.
-std::variant<std::string, Wrong> Fill(const std::string& words,
-                                      const std::map<std::string, std::string>& parts) {
+// Replaces each placeholder by its part; every part must be used exactly once.
+std::variant<std::string, RenderError> FillTemplate(const std::string& page_template,
+                                                    const std::map<std::string, std::string>& parts) {
   std::string text;
   std::set<std::string> used;
   std::size_t at = 0;
   for (;;) {
-    const std::size_t open = words.find("{{", at);
-    text += words.substr(at, open == std::string::npos ? open : open - at);
+    const std::size_t open = page_template.find("{{", at);
+    text += page_template.substr(at, open == std::string::npos ? open : open - at);
     if (open == std::string::npos) break;
-    const std::size_t close = words.find("}}", open);
-    if (close == std::string::npos) return Wrong{"a part's name does not end: " + words.substr(open, 20)};
-    const std::string name = words.substr(open + 2, close - open - 2);
+    const std::size_t close = page_template.find("}}", open);
+    if (close == std::string::npos)
+      return RenderError{"unterminated placeholder: " + page_template.substr(open, 20)};
+    const std::string name = page_template.substr(open + 2, close - open - 2);
     const auto part = parts.find(name);
-    if (part == parts.end()) return Wrong{"'{{" + name + "}}' is not known"};
-    if (!used.insert(name).second) return Wrong{"'{{" + name + "}}' stands there twice"};
+    if (part == parts.end()) return RenderError{"'{{" + name + "}}' is not known"};
+    if (!used.insert(name).second) return RenderError{"'{{" + name + "}}' occurs twice"};
     text += part->second.substr(0, part->second.find_last_not_of('\n') + 1);
     at = close + 2;
   }
   for (const auto& [name, part] : parts) {
-    if (!used.contains(name)) return Wrong{"'{{" + name + "}}' is missing"};
+    if (!used.contains(name)) return RenderError{"'{{" + name + "}}' is missing"};
   }
   return text;
 }
 
-const char* ShortOf(Role role) {
+const char* RoleName(Role role) {
   switch (role) {
     case Role::kPooler:
       return "pooler";
@@ -92,80 +94,85 @@
 }
 
 std::string FullName(const Row& row) {
-  return std::string(ShortOf(row.role)) + ", " + row.group + ": " + row.name;
+  return std::string(RoleName(row.role)) + ", " + row.group + ": " + row.name;
 }
 
-std::string Bare(std::string text) {
+std::string StripMarkup(std::string text) {
   std::erase_if(text, [](char c) { return c == '*' || c == '`' || c == '"'; });
   return text;
 }
 
 std::string Verdict(const Cell& cell, double budget) {
-  if (cell.how == How::kNotMeasured) return "open";
-  if (cell.value > budget) return "**over**, " + Figure(cell.value / budget) + " times";
-  if (cell.at_least) return "open, " + Figure(cell.value) + " at least of " + Figure(budget);
-  return "within, " + Figure(std::floor(100 * (1 - cell.value / budget))) + " % left";
+  if (cell.provenance == Provenance::kNotMeasured) return "open";
+  if (cell.value > budget) return "**over**, " + FormatFigure(cell.value / budget) + " times";
+  if (cell.is_lower_bound)
+    return "open, " + FormatFigure(cell.value) + " at least of " + FormatFigure(budget);
+  return "within, " + FormatFigure(std::floor(100 * (1 - cell.value / budget))) + " % left";
 }
 
-// Of the ordinary and the worst ordinary second the one that weighs more.
-Cell Heavier(const Row& row, const Target& target) {
-  const Cell one = row.at(target, Column::kOrdinary), other = row.at(target, Column::kWorstOrdinary);
-  if (other.how == How::kNotMeasured || (one.how != How::kNotMeasured && one.value > other.value)) return one;
+// The higher one of the ordinary and the worst ordinary second.
+Cell HigherOrdinaryCell(const Row& row, const Target& target) {
+  const Cell one = row.at(target, Scenario::kOrdinary), other = row.at(target, Scenario::kWorstOrdinary);
+  if (other.provenance == Provenance::kNotMeasured ||
+      (one.provenance != Provenance::kNotMeasured && one.value > other.value))
+    return one;
   return other;
 }
 
-// "a + b x poolers + ...", each with its standard error; the constant comes first.
-std::string Line(const std::vector<double>& slopes, const std::vector<double>& errors,
-                 const std::vector<Term>& terms, double scale) {
+// "a + b x poolers + ...", each slope with its standard error and the constant first.
+std::string FormatLinearForm(const std::vector<double>& slopes, const std::vector<double>& errors,
+                             const std::vector<Term>& terms, double scale) {
   std::string text;
   for (std::size_t i = 0; i < slopes.size(); ++i) {
     const double value = slopes[i] * scale, error = errors[i] * scale;
-    const std::string off = error > kRounding * std::abs(value) ? " (± " + Figure(error) + ")" : "";
+    const std::string off =
+        error > kRoundingTolerance * std::abs(value) ? " (± " + FormatFigure(error) + ")" : "";
     if (i == 0) {
-      text = Figure(value) + off;
+      text = FormatFigure(value) + off;
     } else {
-      text += (value < 0 ? " - " : " + ") + Figure(std::abs(value)) + off + " x " + NameOf(terms[i - 1]);
+      text +=
+          (value < 0 ? " - " : " + ") + FormatFigure(std::abs(value)) + off + " x " + TermName(terms[i - 1]);
     }
   }
   return text;
 }
 
-std::string SlopeText(const Row& row, const Slopes& slopes) {
-  if (!slopes.fit()) return "none: " + slopes.refused();
+std::string FormatSlopes(const Row& row, const Slopes& slopes) {
+  if (!slopes.fit()) return "none: " + slopes.fit_error();
   std::vector<Term> terms;
   for (const Slopes::Range& range : slopes.varied()) terms.push_back(range.term);
-  return Line(slopes.fit()->slopes, slopes.fit()->errors, terms, row.scale);
+  return FormatLinearForm(slopes.fit()->slopes, slopes.fit()->errors, terms, row.scale);
 }
 
-std::string RangeText(const Slopes& slopes) {
+std::string FormatRanges(const Slopes& slopes) {
   std::string text;
   for (const Slopes::Range& range : slopes.varied()) {
-    text += (text.empty() ? "" : "; ") + std::string(NameOf(range.term)) + " " + Figure(range.least) +
-            " to " + Figure(range.most);
+    text += (text.empty() ? "" : "; ") + std::string(TermName(range.term)) + " " + FormatFigure(range.min) +
+            " to " + FormatFigure(range.max);
   }
-  for (const Slopes::Range& range : slopes.unvaried()) {
-    text += (text.empty() ? "" : "; ") + std::string(NameOf(range.term)) + " " + Figure(range.most) +
+  for (const Slopes::Range& range : slopes.constant()) {
+    text += (text.empty() ? "" : "; ") + std::string(TermName(range.term)) + " " + FormatFigure(range.max) +
             " throughout";
   }
-  for (const Slopes::Range& range : slopes.untold()) {
-    text += (text.empty() ? "" : "; ") + std::string(NameOf(range.term)) + " " + Figure(range.least) +
-            " to " + Figure(range.most) + ", which show no slope";
+  for (const Slopes::Range& range : slopes.insignificant()) {
+    text += (text.empty() ? "" : "; ") + std::string(TermName(range.term)) + " " + FormatFigure(range.min) +
+            " to " + FormatFigure(range.max) + ", which show no slope";
   }
   return text.empty() ? "-" : text;
 }
 
-// How far the target's size in the worst ordinary second lies beyond the records.
-std::string BeyondText(const Row& row, const Slopes& slopes, const Target& target) {
+// How far the target in the worst ordinary second is beyond the range of the records.
+std::string FormatExtrapolation(const Row& row, const Slopes& slopes, const Target& target) {
   if (!slopes.fit()) return "-";
-  const Size size =
-      row.size ? row.size(target, Column::kWorstOrdinary) : SizeIn(target, Column::kWorstOrdinary);
+  const FleetSize size =
+      row.size ? row.size(target, Scenario::kWorstOrdinary) : SizeAt(target, Scenario::kWorstOrdinary);
   std::string text;
-  for (const auto& ranges : {slopes.varied(), slopes.unvaried(), slopes.untold()}) {
+  for (const auto& ranges : {slopes.varied(), slopes.constant(), slopes.insignificant()}) {
     for (const Slopes::Range& range : ranges) {
-      const double value = ValueOf(range.term, size);
-      if (value <= range.most * 1.05) continue;
-      text += (text.empty() ? "" : "; ") + std::string(NameOf(range.term)) + " " +
-              (range.most > 0 ? Figure(value / range.most) + " times" : "never played");
+      const double value = TermValue(range.term, size);
+      if (value <= range.max * 1.05) continue;
+      text += (text.empty() ? "" : "; ") + std::string(TermName(range.term)) + " " +
+              (range.max > 0 ? FormatFigure(value / range.max) + " times" : "never played");
     }
   }
   return text.empty() ? "within" : text;
@@ -184,22 +191,23 @@
   }
   for (const Row& row : rows) {
     loads += "| " + row.group + " | " + row.name;
-    for (const Column column : kColumns) loads += " | " + CellText(row.at(target, column));
+    for (const Scenario scenario : kScenarios) loads += " | " + FormatCell(row.at(target, scenario));
     const bool bounded = static_cast<bool>(row.budget);
-    loads += " | " + (bounded ? Figure(row.budget(target)) : "-") + " | " +
-             (bounded ? Verdict(Heavier(row, target), row.budget(target)) : "-") + " | " + row.mechanism +
-             " |\n";
+    loads += " | " + (bounded ? FormatFigure(row.budget(target)) : "-") + " | " +
+             (bounded ? Verdict(HigherOrdinaryCell(row, target), row.budget(target)) : "-") + " | " +
+             row.mechanism + " |\n";
     if (row.slopes) {
-      slopes += "| " + row.name + " | " + SlopeText(row, *row.slopes) + " | " +
-                (row.slopes->fit() ? Figure(row.slopes->fit()->residual * row.scale) : "-") + " | " +
-                RangeText(*row.slopes) + " | " + BeyondText(row, *row.slopes, target) + " |\n";
+      slopes += "| " + row.name + " | " + FormatSlopes(row, *row.slopes) + " | " +
+                (row.slopes->fit() ? FormatFigure(row.slopes->fit()->residual * row.scale) : "-") + " | " +
+                FormatRanges(*row.slopes) + " | " + FormatExtrapolation(row, *row.slopes, target) + " |\n";
     }
-    const auto tell = [&](const char* when, const std::optional<Surplus>& of) {
+    const auto tell = [&](const char* when, const std::optional<EventSurplus>& of) {
       if (!of || of->records() == 0) return;
-      std::string text = "the largest of all, " + Figure(of->largest() * row.scale);
-      if (of->fit()) text = Line(of->fit()->slopes, of->fit()->errors, {Term::kPoolers}, row.scale);
+      std::string text = "the largest of all, " + FormatFigure(of->largest() * row.scale);
+      if (of->fit())
+        text = FormatLinearForm(of->fit()->slopes, of->fit()->errors, {Term::kPoolers}, row.scale);
       added += "| " + row.name + " | " + when + " | " + text + " | " + std::to_string(of->records()) +
-               " | poolers up to " + Figure(of->most_poolers()) + " |\n";
+               " | poolers up to " + FormatFigure(of->max_poolers()) + " |\n";
     };
     tell("worst ordinary second", row.events);
     tell("zone gone", row.zone);
@@ -230,74 +238,78 @@
       "| --- | --- | --- | --- | --- |\n";
   const auto line = [&](const char* name, auto value) {
     text += std::string("| ") + name;
-    for (const Column column : kColumns) text += " | " + Figure(value(SizeIn(target, column)));
+    for (const Scenario scenario : kScenarios) text += " | " + FormatFigure(value(SizeAt(target, scenario)));
     text += " |\n";
   };
-  line("poolers in reach", [](const Size& size) { return size.poolers; });
-  line("databases in reach", [](const Size& size) { return size.databases; });
-  line("clients", [](const Size& size) { return size.clients; });
-  line("clients of one pooler", [](const Size& size) { return ValueOf(Term::kClients, size); });
-  line("statements a second", [](const Size& size) { return size.statements_per_s; });
+  line("poolers in reach", [](const FleetSize& size) { return size.poolers; });
+  line("databases in reach", [](const FleetSize& size) { return size.databases; });
+  line("clients", [](const FleetSize& size) { return size.clients; });
+  line("clients of one pooler", [](const FleetSize& size) { return TermValue(Term::kClients, size); });
+  line("statements a second", [](const FleetSize& size) { return size.statements_per_s; });
   line("statements a second of one pooler",
-       [](const Size& size) { return ValueOf(Term::kStatements, size); });
-  line("writes a second", [](const Size& size) { return ValueOf(Term::kFleetWrites, size); });
-  line("writes a second of one pooler", [](const Size& size) { return ValueOf(Term::kWrites, size); });
+       [](const FleetSize& size) { return TermValue(Term::kStatements, size); });
+  line("writes a second", [](const FleetSize& size) { return TermValue(Term::kFleetWrites, size); });
+  line("writes a second of one pooler", [](const FleetSize& size) { return TermValue(Term::kWrites, size); });
   line("session statements (writes and own-reads) a second of one pooler",
-       [](const Size& size) { return ValueOf(Term::kSessionStatements, size); });
+       [](const FleetSize& size) { return TermValue(Term::kSessionStatements, size); });
   line("first meets of a session and a pooler a second of one pooler",
-       [](const Size& size) { return ValueOf(Term::kFirstMeets, size); });
+       [](const FleetSize& size) { return TermValue(Term::kFirstContacts, size); });
   line("roaming statements a second of one pooler",
-       [](const Size& size) { return ValueOf(Term::kRoaming, size); });
-  line("changes of the list a second", [](const Size& size) { return size.changes_per_s; });
+       [](const FleetSize& size) { return TermValue(Term::kRoamingStatements, size); });
+  line("changes of the list a second", [](const FleetSize& size) { return size.changes_per_s; });
   return text;
 }
 
-std::string LeavesText(const std::optional<double>& at, const Target& target) {
+std::string FormatFirstSizeOverBudget(const std::optional<double>& at, const Target& target) {
   if (!at) return "*not measured*";
-  if (*at == 0) return "not up to " + Figure(Grown(target, target.poolers * 8).poolers);
+  if (*at == 0) return "not up to " + FormatFigure(ScaledTo(target, target.poolers * 8).poolers);
   if (*at <= 2) return "any size";
-  return Figure(*at);
+  return FormatFigure(*at);
 }
 
-// The least number of poolers at which the row is over in the ordinary or the worst ordinary second.
-double FirstOver(const Row& row, const Target& target) {
+// The smallest number of poolers at which the row exceeds its budget in the ordinary or worst ordinary
+// second.
+double FirstOrdinarySizeOverBudget(const Row& row, const Target& target) {
   double first = INFINITY;
-  for (const Column column : {Column::kOrdinary, Column::kWorstOrdinary}) {
-    const auto at = LeavesAt(row, target, column);
+  for (const Scenario scenario : {Scenario::kOrdinary, Scenario::kWorstOrdinary}) {
+    const auto at = FirstSizeOverBudget(row, target, scenario);
     if (at && *at > 0) first = std::min(first, *at);
   }
   return first;
 }
 
-std::string FailTable(const Target& target, const Model& model) {
+std::string FailureTable(const Target& target, const Model& model) {
   struct Line {
-    bool any_size;  // over its limit by an assumption, and not by the number of poolers
-    bool open;      // under it, as far as it is measured
+    bool any_size;  // exceeds its budget by an assumption, at any number of poolers
+    bool open;      // a part of it is not measured
     double first;
     std::string text;
   };
   std::vector<Line> lines;
   std::string open;
   for (const Row& row : model.rows()) {
-    if (!row.budget || row.aside) continue;
+    if (!row.budget || row.comparison_only) continue;
     std::array<std::optional<double>, 4> at;
-    for (std::size_t i = 0; i < kColumns.size(); ++i) at[i] = LeavesAt(row, target, kColumns[i]);
+    for (std::size_t i = 0; i < kScenarios.size(); ++i)
+      at[i] = FirstSizeOverBudget(row, target, kScenarios[i]);
     if (!at[0] && !at[1]) {
-      open += "- " + FullName(row) + (row.slopes && !row.slopes->fit() ? ": " + row.slopes->refused() : "") +
-              "\n";
+      open += "- " + FullName(row) +
+              (row.slopes && !row.slopes->fit() ? ": " + row.slopes->fit_error() : "") + "\n";
       continue;
     }
     std::string text = " | " + FullName(row);
-    for (const auto& one : at) text += " | " + LeavesText(one, target);
+    for (const auto& one : at) text += " | " + FormatFirstSizeOverBudget(one, target);
     text += " | " + row.mechanism + " | " + row.issue + " |\n";
-    const double first = FirstOver(row, target);
-    const double at_two = row.at(Grown(target, 2), Column::kOrdinary).value;
-    const double at_target = row.at(target, Column::kOrdinary).value;
-    const bool any_size = first <= 2 && std::abs(at_two - at_target) <= kRounding * std::abs(at_target);
-    lines.push_back({any_size, Heavier(row, target).at_least, first, text});
+    const double first = FirstOrdinarySizeOverBudget(row, target);
+    const double at_two = row.at(ScaledTo(target, 2), Scenario::kOrdinary).value;
+    const double at_target = row.at(target, Scenario::kOrdinary).value;
+    const bool any_size =
+        first <= 2 && std::abs(at_two - at_target) <= kRoundingTolerance * std::abs(at_target);
+    lines.push_back({any_size, HigherOrdinaryCell(row, target).is_lower_bound, first, text});
   }
   std::stable_sort(lines.begin(), lines.end(), [](const Line& a, const Line& b) {
-    const double most = std::numeric_limits<double>::max();  // after those that fail by size, before the rest
+    const double most =
+        std::numeric_limits<double>::max();  // after rows that fail by size, before those that hold
     return (a.any_size ? most : a.first) < (b.any_size ? most : b.first);
   });
   std::string text =
@@ -319,8 +331,8 @@
       "| assumed | unit | low | assumed | high | why |\n| --- | --- | --- | --- | --- | --- |\n";
   for (const AssumptionField& field : AssumptionFields()) {
     const Assumption& all = target.*field.value;
-    text += std::string("| ") + field.key + " | " + field.unit + " | " + Figure(all.low) + " | " +
-            Figure(all.assumed) + " | " + Figure(all.high) + " | " + all.why + " |\n";
+    text += std::string("| ") + field.key + " | " + field.unit + " | " + FormatFigure(all.low) + " | " +
+            FormatFigure(all.assumed) + " | " + FormatFigure(all.high) + " | " + all.why + " |\n";
   }
   return text;
 }
@@ -336,16 +348,17 @@
     std::string bounded, others;
     for (const Row& row : model.rows()) {
       const auto cells = Sensitivity(row, target, field);
-      if (cells[1].how == How::kNotMeasured) continue;
+      if (cells[1].provenance == Provenance::kNotMeasured) continue;
       const bool budget_moves = row.budget && row.budget(low) != row.budget(high);
       const double span = std::abs(cells[2].value - cells[0].value);
-      if (!budget_moves && span <= kSeen * std::abs(cells[1].value)) continue;
+      if (!budget_moves && span <= kMinShownChange * std::abs(cells[1].value)) continue;
       std::string line = std::string("| ") + field.key + " | " + FullName(row);
       for (const Cell& cell : cells) {
-        line += " | " + std::string(cell.at_least ? "≥ " : "") + Figure(cell.value);
+        line += " | " + std::string(cell.is_lower_bound ? "≥ " : "") + FormatFigure(cell.value);
       }
-      std::string budget = row.budget ? Figure(row.budget(target)) : "-";
-      if (budget_moves) budget = Figure(row.budget(low)) + ", " + budget + ", " + Figure(row.budget(high));
+      std::string budget = row.budget ? FormatFigure(row.budget(target)) : "-";
+      if (budget_moves)
+        budget = FormatFigure(row.budget(low)) + ", " + budget + ", " + FormatFigure(row.budget(high));
       (row.budget ? bounded : others) += line + " | " + budget + " |\n";
     }
     if (bounded.empty() && others.empty()) {
@@ -356,7 +369,7 @@
   return text;
 }
 
-std::string PlayedTable(const Model& model) {
+std::string RunsTable(const Model& model) {
   struct Played {
     std::size_t records = 0;
     std::array<double, 2> poolers{INFINITY, 0}, databases{INFINITY, 0}, statements{INFINITY, 0};
@@ -381,32 +394,34 @@
       "| script | marks | records | poolers | databases | statements a second | seconds | commits |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- |\n";
   const auto shown = [](const std::array<double, 2>& range) {
-    return range[0] == range[1] ? Figure(range[0]) : Figure(range[0]) + " to " + Figure(range[1]);
+    return range[0] == range[1] ? FormatFigure(range[0])
+                                : FormatFigure(range[0]) + " to " + FormatFigure(range[1]);
   };
   for (const auto& [key, played] : all) {
     std::string commits;
     for (const std::string& commit : played.commits) commits += (commits.empty() ? "" : ", ") + commit;
     text += "| " + key.first + " | " + (key.second.empty() ? "-" : key.second) + " | " +
             std::to_string(played.records) + " | " + shown(played.poolers) + " | " + shown(played.databases) +
-            " | " + shown(played.statements) + " | " + Figure(played.seconds) + " | " + commits + " |\n";
+            " | " + shown(played.statements) + " | " + FormatFigure(played.seconds) + " | " + commits +
+            " |\n";
   }
   return text;
 }
 
-// Hollow poolers beside real ones, where a run had both.
-std::string ProofTable(const Model& model) {
+// Compares simulated ("hollow") poolers with real ones in the runs that had both.
+std::string HollowComparisonTable(const Model& model) {
   std::string text;
   for (const Record& record : model.records()) {
     const auto bytes = record.figures.find("hollow_vs_real_bytes_ratio");
     const auto cpu = record.figures.find("hollow_vs_real_cpu_ratio");
     if (bytes == record.figures.end()) continue;
-    // Real poolers that serve clients spend time on that, so such a run tells of bytes alone.
+    // Real poolers that serve clients use CPU time for them, so these runs compare only bytes.
     const bool timed = cpu != record.figures.end();
     const auto proven = [](double ratio) { return ratio >= 0.8 && ratio <= 1.25; };
     const bool holds = proven(bytes->second) && (!timed || proven(cpu->second));
-    text += "| " + record.script + " | " + record.marks + " | " + Figure(record.size.poolers) + " | " +
-            Figure(record.real) + " | " + Figure(record.seed) + " | " + Figure(bytes->second) + " | " +
-            (timed ? Figure(cpu->second) : "-") + " | " +
+    text += "| " + record.script + " | " + record.marks + " | " + FormatFigure(record.size.poolers) + " | " +
+            FormatFigure(record.real_poolers) + " | " + FormatFigure(record.seed) + " | " +
+            FormatFigure(bytes->second) + " | " + (timed ? FormatFigure(cpu->second) : "-") + " | " +
             (!holds  ? "**no**"
              : timed ? "yes"
                      : "yes, bytes alone") +
@@ -419,14 +434,14 @@
          text;
 }
 
-// What runs showed of the guarantees and of what they cost: the worst of all records of a script and a size.
-std::string ShownTable(const Model& model) {
-  struct Column {
+// What runs measured of the guarantees and their cost: the worst of all records of each script and size.
+std::string GuaranteeTable(const Model& model) {
+  struct FigureColumn {
     const char* figure;
     const char* name;
-    bool least;
+    bool shows_minimum;
   };
-  static constexpr std::array<Column, 9> kShown = {{
+  static constexpr std::array<FigureColumn, 9> kFigureColumns = {{
       {"stale", "stale reads", false},
       {"refused", "refused", false},
       {"turned_away", "own-reads turned away", false},
@@ -439,22 +454,22 @@
   }};
   struct Shown {
     std::map<std::string, double> figures;
-    double statements = 0;  // of sessions, of one pooler, most
+    double statements = 0;  // session statements of one pooler, maximum
   };
-  // Marks and script, then generation, poolers, machines set aside, and the budget of bytes that was set.
+  // Keys: script, marks, generation, poolers, dedicated lease managers, and the budget of bytes set.
   std::map<std::tuple<std::string, std::string, double, double, double, double>, Shown> all;
   for (const Record& record : model.records()) {
-    for (const Column& column : kShown) {
+    for (const FigureColumn& column : kFigureColumns) {
       const auto told = record.figures.find(column.figure);
       if (told == record.figures.end()) continue;
-      const Size& size = record.size;
-      auto& row = all[{record.script, record.marks, record.generation, size.poolers, size.owners,
+      const FleetSize& size = record.size;
+      auto& row = all[{record.script, record.marks, record.generation, size.poolers, size.lease_managers,
                        record.bytes_budget}];
-      row.statements = std::max(row.statements, ValueOf(Term::kSessionStatements, size));
+      row.statements = std::max(row.statements, TermValue(Term::kSessionStatements, size));
       const auto [held, fresh] = row.figures.emplace(column.figure, told->second);
       if (!fresh) {
-        held->second =
-            column.least ? std::min(held->second, told->second) : std::max(held->second, told->second);
+        held->second = column.shows_minimum ? std::min(held->second, told->second)
+                                            : std::max(held->second, told->second);
       }
     }
   }
@@ -464,37 +479,39 @@
       "of one, "
       "a second";
   std::string rule = "| --- | --- | --- | --- | --- | --- | ---", text;
-  for (const Column& column : kShown) {
+  for (const FigureColumn& column : kFigureColumns) {
     head += std::string(" | ") + column.name;
     rule += " | ---";
   }
   for (const auto& [key, shown] : all) {
-    const auto& [script, marks, generation, poolers, owners, budget] = key;
-    text += "| " + script + " | " + marks + " | " + Figure(generation) + " | " + Figure(poolers) + " | " +
-            Figure(owners) + " | " + (budget > 0 ? Figure(budget) : "-") + " | " + Figure(shown.statements);
-    for (const Column& column : kShown) {
+    const auto& [script, marks, generation, poolers, lease_managers, budget] = key;
+    text += "| " + script + " | " + marks + " | " + FormatFigure(generation) + " | " + FormatFigure(poolers) +
+            " | " + FormatFigure(lease_managers) + " | " + (budget > 0 ? FormatFigure(budget) : "-") + " | " +
+            FormatFigure(shown.statements);
+    for (const FigureColumn& column : kFigureColumns) {
       const auto told = shown.figures.find(column.figure);
-      text += " | " + (told == shown.figures.end() ? std::string("-") : Figure(told->second));
+      text += " | " + (told == shown.figures.end() ? std::string("-") : FormatFigure(told->second));
     }
     text += " |\n";
   }
   return head + " |\n" + rule + " |\n" + text;
 }
 
-std::string Short(const Target& target, const Model& model) {
-  std::string over, open, within, aside, former;
+std::string Summary(const Target& target, const Model& model) {
+  std::string over, open, within, comparison_only, superseded;
   for (const Row& row : model.rows()) {
     if (!row.budget) continue;
-    const Cell cell = Heavier(row, target);
+    const Cell cell = HigherOrdinaryCell(row, target);
     std::string line = "- " + FullName(row) + ": " + Verdict(cell, row.budget(target));
-    const double first = FirstOver(row, target);
-    if (first > 2 && first <= target.poolers) line += ", from " + Figure(first) + " poolers on";
+    const double first = FirstOrdinarySizeOverBudget(row, target);
+    if (first > 2 && first <= target.poolers) line += ", from " + FormatFigure(first) + " poolers on";
     line += "\n";
-    if (row.aside) {
-      if (cell.how != How::kNotMeasured) (row.former ? former : aside) += line;
-    } else if (cell.how != How::kNotMeasured && cell.value > row.budget(target)) {
+    if (row.comparison_only) {
+      if (cell.provenance != Provenance::kNotMeasured)
+        (row.superseded ? superseded : comparison_only) += line;
+    } else if (cell.provenance != Provenance::kNotMeasured && cell.value > row.budget(target)) {
       over += line;
-    } else if (cell.how == How::kNotMeasured || cell.at_least) {
+    } else if (cell.provenance == Provenance::kNotMeasured || cell.is_lower_bound) {
       open += line;
     } else {
       within += line;
@@ -508,14 +525,14 @@
          part(
              "For comparison, poolers that exchange no marks; no way of exchanging them costs less than "
              "this:",
-             aside) +
-         part("For comparison, by records of before poolers said something else to each other:", former);
+             comparison_only) +
+         part("For comparison, by records of before poolers said something else to each other:", superseded);
 }
 
 }  // namespace
 
-std::string Figure(double value) {
-  if (value < 0) return "-" + Figure(-value);
+std::string FormatFigure(double value) {
+  if (value < 0) return "-" + FormatFigure(-value);
   if (!std::isfinite(value)) return "beyond all bounds";
   if (value == 0) return "0";
   const int digits = static_cast<int>(std::floor(std::log10(value))) + 1;
@@ -523,48 +540,48 @@
     const double unit = std::pow(10, digits - 4);
     char text[64];
     std::snprintf(text, sizeof text, "%.0f", std::round(value / unit) * unit);
-    return Grouped(text);
+    return GroupThousands(text);
   }
   char text[64];
   std::snprintf(text, sizeof text, value >= 0.001 ? "%.3g" : "%.2g", value);
   return text;
 }
 
-std::variant<Page, std::string> Render(const Target& target, const Model& model, const std::string& words,
-                                       const PageNames& names) {
+std::variant<Page, std::string> RenderPage(const Target& target, const Model& model,
+                                           const std::string& page_template, const PagePaths& names) {
   Page page;
   const std::map<std::string, std::string> parts = {
       {"target file", names.target},
-      {"target", TargetText(target)},
-      {"short", Short(target, model)},
-      {"day", "A day has " + Figure(target.machine_failures_per_day) + " machines that fail, " +
-                  Figure(target.restarts_per_day) + " restarts or replacements, " +
-                  Figure(target.configuration_changes_per_day) + " changes of configuration and " +
-                  Figure(target.primary_changes_per_day) + " of primary."},
-      {"cut", Figure(target.region_cut_s)},
+      {"target", FormatTarget(target)},
+      {"short", Summary(target, model)},
+      {"day", "A day has " + FormatFigure(target.machine_failures_per_day) + " machines that fail, " +
+                  FormatFigure(target.restarts_per_day) + " restarts or replacements, " +
+                  FormatFigure(target.configuration_changes_per_day) + " changes of configuration and " +
+                  FormatFigure(target.primary_changes_per_day) + " of primary."},
+      {"cut", FormatFigure(target.region_cut_s)},
       {"loads", LoadTable(target)},
       {"pooler", RoleTables(target, model, Role::kPooler)},
       {"control machines", RoleTables(target, model, Role::kControlMachines)},
       {"discovery", RoleTables(target, model, Role::kDiscovery)},
       {"database", RoleTables(target, model, Role::kDatabase)},
       {"command", RoleTables(target, model, Role::kCommand)},
-      {"failures", FailTable(target, model)},
+      {"failures", FailureTable(target, model)},
       {"plot", "![parts of their budgets over the number of poolers](" + names.plot_link + "/curves.svg)"},
       {"assumptions", AssumptionTable(target)},
       {"sensitivities", SensitivityTable(target, model)},
-      {"played", PlayedTable(model)},
-      {"proof", ProofTable(model)},
-      {"shown", ShownTable(model)},
+      {"played", RunsTable(model)},
+      {"proof", HollowComparisonTable(model)},
+      {"shown", GuaranteeTable(model)},
   };
-  auto text = Fill(words, parts);
-  if (auto* wrong = std::get_if<Wrong>(&text)) return std::move(wrong->what);
+  auto text = FillTemplate(page_template, parts);
+  if (auto* wrong = std::get_if<RenderError>(&text)) return std::move(wrong->message);
   page.text = std::get<std::string>(std::move(text));
 
   page.data =
       "# written by lynxgrade-testbed capacity; blocks in the order of curves.gp\n"
       "# poolers, then parts of the budget: ordinary second, worst ordinary second\n";
   const std::string target_at = std::to_string(std::lround(target.poolers));
-  const double most = target.poolers * kCurvesTo;
+  const double most = target.poolers * kMaxCurveGrowth;
   page.plot = "# gnuplot " + names.plot +
               "/curves.gp, from the project's root; written by lynxgrade-testbed capacity.\n" +
               "set terminal svg size 1000,900 font \"sans,11\" background \"white\" noenhanced\n" +
@@ -577,23 +594,23 @@
               "plot 1 with lines linewidth 2 linecolor \"black\" title \"the budget; dotted: the target\"";
   int block = 0;
   for (const Row& row : model.rows()) {
-    if (!row.budget || row.aside) continue;
-    if (row.at(target, Column::kWorstOrdinary).how == How::kNotMeasured) continue;
+    if (!row.budget || row.comparison_only) continue;
+    if (row.at(target, Scenario::kWorstOrdinary).provenance == Provenance::kNotMeasured) continue;
     if (block > 0) page.data += "\n\n";
-    page.data += "# " + Bare(row.name) + "\n";
+    page.data += "# " + StripMarkup(row.name) + "\n";
     for (double poolers = 5; poolers < most * kCurveStep; poolers *= kCurveStep) {
-      const Target grown = Grown(target, std::round(std::min(poolers, most)));
+      const Target grown = ScaledTo(target, std::round(std::min(poolers, most)));
       char line[96];
       std::snprintf(line, sizeof line, "%.0f %.4g %.4g\n", grown.poolers,
-                    row.at(grown, Column::kOrdinary).value / row.budget(grown),
-                    row.at(grown, Column::kWorstOrdinary).value / row.budget(grown));
+                    row.at(grown, Scenario::kOrdinary).value / row.budget(grown),
+                    row.at(grown, Scenario::kWorstOrdinary).value / row.budget(grown));
       page.data += line;
     }
     page.plot += ", \\\n  \"" + names.plot + "/curves.dat\" index " + std::to_string(block) +
                  " using 1:3 with lines linecolor \"" +
                  kPlotColours[static_cast<std::size_t>(block) % kPlotColours.size()] + "\" linewidth " +
                  (row.name.find("directory") != std::string::npos ? "3" : "1") + " title \"" +
-                 Bare(row.name) + "\"";
+                 StripMarkup(row.name) + "\"";
     ++block;
   }
   page.plot += "\n";
--- a/src/capacity/page.h
+++ b/src/capacity/page.h
@@ -1,5 +1,5 @@
-// Writes docs/CAPACITY.md and the plot beside it: the same bytes from the same target and records, so that a
-// test can tell whether page and figures have parted. Owns the page's words; no files, no clock.
+// Renders docs/CAPACITY.md and its plot. The output is deterministic, so that a test can detect a committed
+// page that no longer matches the target and the records. Free of I/O and clocks.
 #pragma once
 
 #include <string>
@@ -9,23 +9,25 @@
 
 namespace lynxgrade::capacity {
 
-struct PageNames {
-  std::string target;     // the target file, as the page calls it
-  std::string plot;       // the folder of the plot, from the project's root
-  std::string plot_link;  // the same, from the page
+struct PagePaths {
+  std::string target;     // the target file as named on the page
+  std::string plot;       // the plot's folder, relative to the project root
+  std::string plot_link;  // the same, relative to the page
 };
 
 struct Page {
   std::string text;  // Markdown
-  std::string data;  // curves.dat: a block a row, parts of its budget over the number of poolers
-  std::string plot;  // curves.gp, to be run from the project's root
+  std::string
+      data;  // curves.dat: one block per row, its load as a fraction of its budget by number of poolers
+  std::string plot;  // curves.gp, a gnuplot script to run from the project root
 };
 
-// `words`: the page with {{part}} where a table or a figure belongs, each part once. Or one plain sentence.
-std::variant<Page, std::string> Render(const Target& target, const Model& model, const std::string& words,
-                                       const PageNames& names);
+// `page_template` has a placeholder {{name}} for each table and figure; each must occur exactly once.
+// Otherwise an error message is returned.
+std::variant<Page, std::string> RenderPage(const Target& target, const Model& model,
+                                           const std::string& page_template, const PagePaths& paths);
 
-// Four digits, thousands set apart.
-std::string Figure(double value);
+// Up to four significant digits, with thousands separators.
+std::string FormatFigure(double value);
 
 }  // namespace lynxgrade::capacity
