--- a/src/capacity/target.cpp
+++ b/src/capacity/target.cpp
@@ -11,74 +11,76 @@
 namespace lynxgrade::capacity {
 namespace {
 
-std::string Plain(double value) {
+std::string FormatNumber(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.15g", value);
   return text;
 }
 
-std::string Where(const toml::source_region& source) {
+std::string FormatPosition(const toml::source_region& source) {
   return "line " + std::to_string(source.begin.line) + ", column " + std::to_string(source.begin.column);
 }
 
-[[noreturn]] void Wrong(const toml::source_region& source, const std::string& what) {
-  throw std::runtime_error(Where(source) + ": " + what);
+[[noreturn]] void ThrowError(const toml::source_region& source, const std::string& message) {
+  throw std::runtime_error(FormatPosition(source) + ": " + message);
 }
 
-const toml::table& TableIn(const toml::table& parent, const std::string& name, const std::string& key) {
+const toml::table& RequireTable(const toml::table& parent, const std::string& name, const std::string& key) {
   const toml::node* node = parent.get(key);
-  if (node == nullptr) Wrong(parent.source(), "'" + name + "' is missing");
-  if (!node->is_table()) Wrong(node->source(), "'" + name + "' is not a table");
+  if (node == nullptr) ThrowError(parent.source(), "'" + name + "' is missing");
+  if (!node->is_table()) ThrowError(node->source(), "'" + name + "' is not a table");
   return *node->as_table();
 }
 
-void RefuseOthers(const toml::table& table, const std::string& name, const std::set<std::string>& known) {
+void RejectUnknownKeys(const toml::table& table, const std::string& name,
+                       const std::set<std::string>& known) {
   for (const auto& [key, node] : table) {
-    const std::string own(key.str());
-    if (!known.contains(own)) Wrong(key.source(), "'" + name + own + "' is not known");
+    const std::string key_name(key.str());
+    if (!known.contains(key_name)) ThrowError(key.source(), "'" + name + key_name + "' is not a known key");
   }
 }
 
-double NumberIn(const toml::table& table, const std::string& name, const char* key, double least, double most,
-                bool whole) {
-  const std::string named = "'" + name + "." + key + "'";
+double ReadNumber(const toml::table& table, const std::string& name, const char* key, double min, double max,
+                  bool must_be_whole) {
+  const std::string quoted_key = "'" + name + "." + key + "'";
   const toml::node* node = table.get(key);
-  if (node == nullptr) Wrong(table.source(), named + " is missing");
-  if (whole ? !node->is_integer() : !node->is_number()) {
-    Wrong(node->source(), named + (whole ? " is not a whole number" : " is not a number"));
+  if (node == nullptr) ThrowError(table.source(), quoted_key + " is missing");
+  if (must_be_whole ? !node->is_integer() : !node->is_number()) {
+    ThrowError(node->source(), quoted_key + (must_be_whole ? " is not a whole number" : " is not a number"));
   }
   const double value = node->value<double>().value();
-  // Written so that 'nan' is outside.
-  if (!(value >= least && value <= most)) {
-    Wrong(node->source(), named + " lies outside " + Plain(least) + " to " + Plain(most));
+  // Negated so that NaN is rejected.
+  if (!(value >= min && value <= max)) {
+    ThrowError(node->source(),
+               quoted_key + " lies outside " + FormatNumber(min) + " to " + FormatNumber(max));
   }
   return value;
 }
 
-Assumption AssumptionIn(const toml::table& assumed, const AssumptionField& field) {
+Assumption ReadAssumption(const toml::table& assumed, const AssumptionField& field) {
   const std::string name = std::string("assumed.") + field.key;
-  const toml::table& table = TableIn(assumed, name, field.key);
-  RefuseOthers(table, name + ".", {"low", "assumed", "high", "why"});
-  Assumption read;
-  read.low = NumberIn(table, name, "low", field.least, field.most, false);
-  read.assumed = NumberIn(table, name, "assumed", field.least, field.most, false);
-  read.high = NumberIn(table, name, "high", field.least, field.most, false);
-  if (read.low > read.assumed || read.assumed > read.high) {
-    Wrong(table.source(), "'" + name + "': low, assumed and high do not ascend");
+  const toml::table& table = RequireTable(assumed, name, field.key);
+  RejectUnknownKeys(table, name + ".", {"low", "assumed", "high", "why"});
+  Assumption assumption;
+  assumption.low = ReadNumber(table, name, "low", field.min, field.max, false);
+  assumption.assumed = ReadNumber(table, name, "assumed", field.min, field.max, false);
+  assumption.high = ReadNumber(table, name, "high", field.min, field.max, false);
+  if (assumption.low > assumption.assumed || assumption.assumed > assumption.high) {
+    ThrowError(table.source(), "'" + name + "': low, assumed and high are not in ascending order");
   }
   const toml::node* why = table.get("why");
-  if (why == nullptr) Wrong(table.source(), "'" + name + ".why' is missing: an assumption has a reason");
+  if (why == nullptr) ThrowError(table.source(), "'" + name + ".why' is missing: an assumption has a reason");
   if (!why->is_string() || why->as_string()->get().empty()) {
-    Wrong(why->source(), "'" + name + ".why' is not a text");
+    ThrowError(why->source(), "'" + name + ".why' is not a non-empty string");
   }
-  read.why = why->as_string()->get();
-  return read;
+  assumption.why = why->as_string()->get();
+  return assumption;
 }
 
 }  // namespace
 
 const std::vector<NumberField>& NumberFields() {
-  // Bounds keep what is surely a slip of the pen out; none is a limit of the program.
+  // These bounds catch typing errors; they are not limits of the program.
   static const std::vector<NumberField> fields = {
       {"fleet", "poolers", &Target::poolers, 2, 100'000, true},
       {"fleet", "databases", &Target::databases, 1, 100'000, true},
@@ -124,45 +126,47 @@
   return fields;
 }
 
-std::variant<Target, std::string> ReadTarget(std::string_view text) {
+std::variant<Target, std::string> ParseTarget(std::string_view text) {
   try {
     const toml::table root = toml::parse(text);
     std::set<std::string> tables = {"assumed"};
     for (const NumberField& field : NumberFields()) tables.insert(field.table);
-    RefuseOthers(root, "", tables);
+    RejectUnknownKeys(root, "", tables);
     Target target;
     for (const std::string& name : tables) {
       std::set<std::string> known;
-      const toml::table& table = TableIn(root, name, name);
+      const toml::table& table = RequireTable(root, name, name);
       for (const NumberField& field : NumberFields()) {
         if (name == field.table) known.insert(field.key);
       }
       if (name == "assumed") {
         for (const AssumptionField& field : AssumptionFields()) known.insert(field.key);
       }
-      RefuseOthers(table, name + ".", known);
+      RejectUnknownKeys(table, name + ".", known);
     }
     for (const NumberField& field : NumberFields()) {
-      const toml::table& table = TableIn(root, field.table, field.table);
-      target.*field.value = NumberIn(table, field.table, field.key, field.least, field.most, field.whole);
+      const toml::table& table = RequireTable(root, field.table, field.table);
+      target.*field.value =
+          ReadNumber(table, field.table, field.key, field.min, field.max, field.must_be_whole);
     }
-    const toml::table& assumed = TableIn(root, "assumed", "assumed");
+    const toml::table& assumed = RequireTable(root, "assumed", "assumed");
     for (const AssumptionField& field : AssumptionFields()) {
-      target.*field.value = AssumptionIn(assumed, field);
+      target.*field.value = ReadAssumption(assumed, field);
     }
     if (target.zones < target.regions) {
-      Wrong(root.get("fleet")->as_table()->get("zones")->source(),
-            "'fleet.zones' is smaller than 'fleet.regions': each region has a zone at least");
+      ThrowError(root.get("fleet")->as_table()->get("zones")->source(),
+                 "'fleet.zones' is smaller than 'fleet.regions': each region has a zone at least");
     }
-    // One at a time they go from low to high, the other as assumed.
+    // Sensitivities vary one assumption at a time, with the other at its assumed value.
     const Assumption &writes = target.writes_percent, &reads = target.own_reads_percent;
     if (std::max(writes.high + reads.assumed, writes.assumed + reads.high) > 100) {
-      Wrong(assumed.get("own_reads_percent")->source(),
-            "'assumed.own_reads_percent' and 'assumed.writes_percent' are more than all statements together");
+      ThrowError(
+          assumed.get("own_reads_percent")->source(),
+          "'assumed.own_reads_percent' and 'assumed.writes_percent' exceed 100 % of all statements together");
     }
     return target;
   } catch (const toml::parse_error& error) {
-    return Where(error.source()) + ": " + std::string(error.description());
+    return FormatPosition(error.source()) + ": " + std::string(error.description());
   } catch (const std::runtime_error& error) {
     return std::string(error.what());
   }
--- a/testbed/capacity_command.cpp
+++ b/testbed/capacity_command.cpp
@@ -10,8 +10,8 @@
 namespace lynxgrade::testbed {
 namespace {
 
-int Complain(const std::string& what) {
-  std::fprintf(stderr, "lynxgrade-testbed: %s\n", what.c_str());
+int ReportError(const std::string& message) {
+  std::fprintf(stderr, "lynxgrade-testbed: %s\n", message.c_str());
   return 2;
 }
 
@@ -19,20 +19,22 @@
 
 int WriteCapacity(const CapacityOptions& options) {
   const auto target = capacity::LoadTarget(options.target);
-  if (const auto* wrong = std::get_if<std::string>(&target)) return Complain(*wrong);
+  if (const auto* error = std::get_if<std::string>(&target)) return ReportError(*error);
   auto records = capacity::LoadMeasurements(
-      options.measurements.empty() ? capacity::MeasurementFiles(options.plot) : options.measurements);
-  if (const auto* wrong = std::get_if<std::string>(&records)) return Complain(*wrong);
-  const std::string words_file = options.plot + "/page.md.in";
-  const auto words = capacity::LoadWords(words_file);
-  if (const auto* wrong = std::get_if<capacity::Unread>(&words)) return Complain(wrong->why);
+      options.measurements.empty() ? capacity::ListMeasurementFiles(options.plot) : options.measurements);
+  if (const auto* error = std::get_if<std::string>(&records)) return ReportError(*error);
+  const std::string template_path = options.plot + "/page.md.in";
+  const auto page_template = capacity::LoadPageTemplate(template_path);
+  if (const auto* error = std::get_if<capacity::LoadError>(&page_template))
+    return ReportError(error->message);
   const capacity::Model model(std::get<std::vector<capacity::Record>>(std::move(records)));
   const auto link = std::filesystem::path(options.plot)
                         .lexically_proximate(std::filesystem::path(options.out).parent_path());
   const auto rendered =
-      capacity::Render(std::get<capacity::Target>(target), model, std::get<std::string>(words),
-                       {options.target, options.plot, link.generic_string()});
-  if (const auto* wrong = std::get_if<std::string>(&rendered)) return Complain(words_file + ": " + *wrong);
+      capacity::RenderPage(std::get<capacity::Target>(target), model, std::get<std::string>(page_template),
+                           {options.target, options.plot, link.generic_string()});
+  if (const auto* error = std::get_if<std::string>(&rendered))
+    return ReportError(template_path + ": " + *error);
   const auto& page = std::get<capacity::Page>(rendered);
   const std::pair<std::string, const std::string*> files[] = {{options.out, &page.text},
                                                               {options.plot + "/curves.dat", &page.data},
@@ -41,7 +43,7 @@
     std::ofstream file(path, std::ios::binary | std::ios::trunc);
     file << *text;
     file.close();
-    if (!file) return Complain(path + " cannot be written");
+    if (!file) return ReportError(path + " cannot be written");
   }
   std::printf("%s: %zu rows from %zu records; the plot: gnuplot %s/curves.gp\n", options.out.c_str(),
               model.rows().size(), model.records().size(), options.plot.c_str());
