--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -36,7 +36,7 @@
 void DiscoveryWatch::ScheduleFirstRequest() {
   Duration delay{0};
   // At most half of the grace: the other half is for the response or a retry.
-  if (service_.shared) delay = retry_policy_.FirstWait(DrawUniform(), service_.drain_grace / 2);
+  if (service_.shared) delay = retry_policy_.InitialWait(DrawUniform(), service_.drain_grace / 2);
   retry_timer_.ScheduleAfter(delay, [this] { SendRequest(); });
 }
 
@@ -49,7 +49,7 @@
   if (connection_ == nullptr) return Retry("cannot open a connection");
   // One deadline for the connect and the head of the response. It counts from the precise time, as the
   // present pass of the loop may have begun long ago.
-  deadline_timer_.ScheduleAt(loop_.PreciseNow() + retry_policy_.call(),
+  deadline_timer_.ScheduleAt(loop_.PreciseNow() + retry_policy_.call_timeout(),
                              [this] { Retry("no response before the deadline"); });
 }
 
@@ -83,7 +83,7 @@
   if (state == State::kMalformed) return Retry(response_->error());
   if (state == State::kHead) return;
   if (response_->status() != kHttpOk) return Retry("HTTP status other than 200");
-  if (head_pending) ExpectActivityWithin(retry_policy_.silence());
+  if (head_pending) ExpectActivityWithin(retry_policy_.max_silence());
   body_.Append(response_->ExtractBody());
   if (state == State::kComplete) return HandleBodyEnd();
   HandleItems();
@@ -140,7 +140,7 @@
   // The data may have arrived while the loop was busy or the process was stopped; updates may be missing from
   // that time on.
   last_activity_ = std::max(last_activity_, loop_.EarliestArrival());
-  ExpectActivityWithin(retry_policy_.silence());
+  ExpectActivityWithin(retry_policy_.max_silence());
 }
 
 void DiscoveryWatch::HandleBodyEnd() {
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -35,7 +35,7 @@
   // Ends a request at once, for a shutdown that cannot wait: rejected if no attempt was started, else failed.
   void AbortRequest(RequestId request);
   // Applies an event of the endpoint list.
-  void ApplyEndpointList(ListEvent list);
+  void ApplyEndpointList(EndpointListEvent list);
   // Requests whose client has not been called yet.
   std::size_t requests_in_flight() const { return in_flight_; }
   consistency::SessionConsistencyGuard& consistency_guard() { return consistency_guard_; }
--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -27,8 +27,8 @@
   }
   void OnAttemptFinished(proxy::AttemptResult end) override { ends.push_back(std::move(end)); }
   void OnHealthCheckFinished(const HealthCheckEvent& event) override { probed.push_back(event); }
-  void Send(int limit_ms, Duration write_within = Duration::max()) {
-    pool.StartAttempt(RequestId(++last), 0, kServer, work, {limit_ms * kMs, write_within});
+  void Send(int limit_ms, Duration write_timeout = Duration::max()) {
+    pool.StartAttempt(RequestId(++last), 0, kServer, work, {limit_ms * kMs, write_timeout});
   }
   // One attempt, so that a connection stands idle.
   void Warm() {
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -180,8 +180,9 @@
     servers.push_back(std::make_unique<DataServer>(loop, std::move(query_handler)));
     return *servers.back();
   }
-  void ApplyEndpointList(ListKind kind = ListKind::kPersisted, Lifecycle first = Lifecycle::kServing) {
-    ListEvent event{kind, {}};
+  void ApplyEndpointList(EndpointListKind kind = EndpointListKind::kPersisted,
+                         Lifecycle first = Lifecycle::kServing) {
+    EndpointListEvent event{kind, {}};
     for (std::size_t i = 0; i < servers.size(); ++i) {
       const auto id = static_cast<ServerId>(i + 1);
       pool.SetAddress(id, {"127.0.0.1", servers[i]->listener.port()});
