--- a/src/capacity/model.cpp
+++ b/src/capacity/model.cpp
@@ -20,9 +20,8 @@
 constexpr double kUnlimitedPacketsFraction = 0.9;
 // A slope below two standard errors cannot be distinguished from zero.
 constexpr double kMinSlopeToErrorRatio = 2;
-constexpr double kMaxStallsPerPooler =
-    1;                            // per run; with more, the machine was overloaded by the fleet's size
-constexpr double kMaxGrowth = 8;  // times the target; larger fleets would need another design
+constexpr double kMaxStallsPerPooler = 1;  // per run; more mean that the machine was overloaded
+constexpr double kMaxGrowth = 8;           // times the target; larger fleets would need another design
 
 // Scripts without events, with the events of an ordinary day, and with the loss of a zone or a region.
 const std::vector<std::string> kOrdinaryScripts = {"quiet", "load"};
@@ -333,10 +332,11 @@
       if (cell.provenance == Provenance::kNotMeasured || per_message == 0) return Cell{};
       const double sent = only_writes_acquire ? LeaseMessagesOfWrites(size) : messages;
       if (dedicated_managers) {
-        Target more = target;
-        more.poolers += target.control_machines;
-        more.statements_per_s *= more.poolers / target.poolers;  // keeps the load per pooler
-        cell = at(more, scenario);
+        Target with_managers = target;
+        with_managers.poolers += target.control_machines;
+        with_managers.statements_per_s *=
+            with_managers.poolers / target.poolers;  // keeps the load per pooler
+        cell = at(with_managers, scenario);
       }
       cell.value -= per_message * (messages - (dedicated_managers ? sent / 2 : sent));
       cell.provenance = Provenance::kComputed;
@@ -359,13 +359,17 @@
                 "as far as reads' asks have to be held back for it, evenly; where the row above is over the "
                 "budget by itself, all of them, and it does not hold"),
         [=](const Target& target, Scenario scenario) {
-          const Cell all_bytes = demand(target, scenario), least = floor(target, scenario);
+          const Cell all_bytes = demand(target, scenario), min_bytes = floor(target, scenario);
           if (all_bytes.provenance == Provenance::kNotMeasured ||
-              least.provenance == Provenance::kNotMeasured)
+              min_bytes.provenance == Provenance::kNotMeasured)
             return Cell{};
-          const double over = all_bytes.value - target.bytes_per_s, most = all_bytes.value - least.value;
-          const double back = over <= 0 ? 0 : most <= 0 ? 1 : std::min(1.0, over / most);
-          return Cell{Provenance::kComputed, 100 * back * UnadmittedReadsShare(SizeAt(target, scenario)), 0,
+          const double excess = all_bytes.value - target.bytes_per_s,
+                       max_reduction = all_bytes.value - min_bytes.value;
+          const double limited_share = excess <= 0          ? 0
+                                       : max_reduction <= 0 ? 1
+                                                            : std::min(1.0, excess / max_reduction);
+          return Cell{Provenance::kComputed,
+                      100 * limited_share * UnadmittedReadsShare(SizeAt(target, scenario)), 0,
                       all_bytes.is_lower_bound};
         });
   };
@@ -389,26 +393,28 @@
         add("control, no read's ask admitted" + mode_suffix, floor_note, control_bytes(true, true)));
   }
   if (mode.dedicated_managers) return;
-  Row holds =
+  Row held_leases =
       MakeRow(role, "state", "sessions held by one pooler" + suffix + ", entries", mechanism,
               "(first meets + roaming statements) x a lease of 30 s; a session that goes on stays longer");
-  holds.budget = [](const Target&) { return kClientLeaseCapacity; };
-  holds.issue = "none yet";
-  builder.Arithmetic(holds, [](const Target& target, Scenario scenario) {
+  held_leases.budget = [](const Target&) { return kClientLeaseCapacity; };
+  held_leases.issue = "none yet";
+  builder.Arithmetic(held_leases, [](const Target& target, Scenario scenario) {
     const FleetSize size = SizeAt(target, scenario);
-    const double come = TermValue(Term::kFirstContacts, size) + TermValue(Term::kRoamingStatements, size);
-    return Cell{Provenance::kComputed, come * kLeaseDurationS, 0, true};
+    const double acquires_per_s =
+        TermValue(Term::kFirstContacts, size) + TermValue(Term::kRoamingStatements, size);
+    return Cell{Provenance::kComputed, acquires_per_s * kLeaseDurationS, 0, true};
   });
-  Row asks =
+  Row read_acquires =
       MakeRow(role, "messages", "asks of reads at first meets and moves" + suffix + ", a second", mechanism,
               "(first meets + roaming statements) x own-reads / session statements, beside `asks_per_s`; "
               "beyond it reads take the conservative target until a write has asked");
-  asks.budget = [](const Target&) { return kReadAcquiresPerS; };
-  asks.issue = "38";
-  builder.Arithmetic(asks, [](const Target& target, Scenario scenario) {
+  read_acquires.budget = [](const Target&) { return kReadAcquiresPerS; };
+  read_acquires.issue = "38";
+  builder.Arithmetic(read_acquires, [](const Target& target, Scenario scenario) {
     const FleetSize size = SizeAt(target, scenario);
-    const double all_asks = TermValue(Term::kFirstContacts, size) + TermValue(Term::kRoamingStatements, size);
-    return Computed(all_asks * size.own_reads_share /
+    const double acquires_per_s =
+        TermValue(Term::kFirstContacts, size) + TermValue(Term::kRoamingStatements, size);
+    return Computed(acquires_per_s * size.own_reads_share /
                     std::max(1e-12, size.own_reads_share + size.writes_share));
   });
 }
@@ -792,10 +798,10 @@
   for (const Record& record : records) {
     if (record.size.lease_managers > 0) latest = std::max(latest, record.generation);
   }
-  const RecordFilter owned = [latest](const Record& record) {
+  const RecordFilter latest_with_managers = [latest](const Record& record) {
     return record.size.lease_managers > 0 && record.generation == latest;
   };
-  const std::vector<Term> by_owner = {Term::kConstant, Term::kPoolers, Term::kManagerMessages};
+  const std::vector<Term> by_manager_messages = {Term::kConstant, Term::kPoolers, Term::kManagerMessages};
   Row entries = MakeRow(
       role, "state", "sessions owned by one machine, entries", "src/lease",
       "first meets of all poolers x 63 s (a lease of 30 s, a tenth longer at the owner, and `recall`) / "
@@ -804,8 +810,9 @@
   entries.issue = "none yet";
   builder.Arithmetic(entries, [](const Target& target, Scenario scenario) {
     const FleetSize size = SizeAt(target, scenario);
-    const double met = TermValue(Term::kFirstContacts, size) * size.poolers;
-    return Cell{Provenance::kComputed, met * kLeaseManagerRetentionS / size.lease_managers, 0, true};
+    const double first_contacts_per_s = TermValue(Term::kFirstContacts, size) * size.poolers;
+    return Cell{Provenance::kComputed, first_contacts_per_s * kLeaseManagerRetentionS / size.lease_managers,
+                0, true};
   });
   builder.Arithmetic(MakeRow(role, "messages", "messages of sessions at one machine, in and out, a second",
                              "src/lease", "2 a first meet, 4 a roaming statement; needs owners set aside"),
@@ -814,18 +821,18 @@
                      });
   builder.FittedWithEvents(
       MakeRow(role, "messages", "owners of sessions, both ways, bytes a second, one machine", "src/lease"),
-      "owner_bytes_per_s", by_owner, owned);
-  Row share = MakeRow(role, "processor", "owners of sessions, % of a core, one machine", "src/lease");
-  share.scale = 100;
-  builder.FittedWithEvents(share, "owner_cpu_share", by_owner, owned);
+      "owner_bytes_per_s", by_manager_messages, latest_with_managers);
+  Row cpu = MakeRow(role, "processor", "owners of sessions, % of a core, one machine", "src/lease");
+  cpu.scale = 100;
+  builder.FittedWithEvents(cpu, "owner_cpu_share", by_manager_messages, latest_with_managers);
   builder.FittedWithEvents(MakeRow(role, "memory", "owners of sessions, MB, one machine", "src/lease"),
-                           "owner_memory_mb", by_owner, owned);
-  const auto left = ReachableMachines;
+                           "owner_memory_mb", by_manager_messages, latest_with_managers);
+  const auto machines = ReachableMachines;
   builder.Arithmetic(
       MakeRow(role, "state", "poolers followed by one machine, entries", "none",
               "poolers / machines in reach: one fewer without a zone, the smaller half on a cut"),
-      [left](const Target& target, Scenario scenario) {
-        return Computed(SizeAt(target, scenario).poolers / left(target, scenario));
+      [machines](const Target& target, Scenario scenario) {
+        return Computed(SizeAt(target, scenario).poolers / machines(target, scenario));
       });
   builder.NotMeasured(MakeRow(role, "state", "an entry, bytes", "none"));
   builder.Arithmetic(MakeRow(role, "messages", "configuration out, messages a second, all machines", "none",
@@ -849,8 +856,8 @@
   builder.NotMeasured(MakeRow(role, "memory", "all other control, MB", "none"));
   builder.Arithmetic(MakeRow(role, "descriptors", "connections of poolers to one machine", "none",
                              "one a pooler, should they be connections"),
-                     [left](const Target& target, Scenario scenario) {
-                       return Computed(SizeAt(target, scenario).poolers / left(target, scenario));
+                     [machines](const Target& target, Scenario scenario) {
+                       return Computed(SizeAt(target, scenario).poolers / machines(target, scenario));
                      });
 }
 
@@ -1222,20 +1229,20 @@
       size.changes_per_s = 2 * target.restarts_at_once.assumed + 1 + 2;
       break;
     case Scenario::kZoneLost: {
-      const double left = 1 - 1 / target.zones;
+      const double remaining = 1 - 1 / target.zones;
       size.changes_per_s = size.databases / target.zones;
-      size.poolers *= left;
-      size.databases *= left;
-      size.groups *= left;
+      size.poolers *= remaining;
+      size.databases *= remaining;
+      size.groups *= remaining;
       break;
     }
     case Scenario::kRegionsPartitioned: {
-      const double part = 1 / target.regions;
-      size.poolers *= part;
-      size.databases *= part;
-      size.groups *= part;
-      size.clients *= part;
-      size.statements_per_s *= part;
+      const double reachable = 1 / target.regions;
+      size.poolers *= reachable;
+      size.databases *= reachable;
+      size.groups *= reachable;
+      size.clients *= reachable;
+      size.statements_per_s *= reachable;
       break;
     }
   }
--- a/src/capacity/page.cpp
+++ b/src/capacity/page.cpp
@@ -460,16 +460,16 @@
   std::map<std::tuple<std::string, std::string, double, double, double, double>, Shown> all;
   for (const Record& record : model.records()) {
     for (const FigureColumn& column : kFigureColumns) {
-      const auto told = record.figures.find(column.figure);
-      if (told == record.figures.end()) continue;
+      const auto figure = record.figures.find(column.figure);
+      if (figure == record.figures.end()) continue;
       const FleetSize& size = record.size;
       auto& row = all[{record.script, record.marks, record.generation, size.poolers, size.lease_managers,
                        record.bytes_budget}];
       row.statements = std::max(row.statements, TermValue(Term::kSessionStatements, size));
-      const auto [held, fresh] = row.figures.emplace(column.figure, told->second);
-      if (!fresh) {
-        held->second = column.shows_minimum ? std::min(held->second, told->second)
-                                            : std::max(held->second, told->second);
+      const auto [entry, inserted] = row.figures.emplace(column.figure, figure->second);
+      if (!inserted) {
+        entry->second = column.shows_minimum ? std::min(entry->second, figure->second)
+                                             : std::max(entry->second, figure->second);
       }
     }
   }
@@ -489,8 +489,8 @@
             " | " + FormatFigure(lease_managers) + " | " + (budget > 0 ? FormatFigure(budget) : "-") + " | " +
             FormatFigure(shown.statements);
     for (const FigureColumn& column : kFigureColumns) {
-      const auto told = shown.figures.find(column.figure);
-      text += " | " + (told == shown.figures.end() ? std::string("-") : FormatFigure(told->second));
+      const auto figure = shown.figures.find(column.figure);
+      text += " | " + (figure == shown.figures.end() ? std::string("-") : FormatFigure(figure->second));
     }
     text += " |\n";
   }
@@ -548,10 +548,10 @@
 }
 
 std::variant<Page, std::string> RenderPage(const Target& target, const Model& model,
-                                           const std::string& page_template, const PagePaths& names) {
+                                           const std::string& page_template, const PagePaths& paths) {
   Page page;
   const std::map<std::string, std::string> parts = {
-      {"target file", names.target},
+      {"target file", paths.target},
       {"target", FormatTarget(target)},
       {"short", Summary(target, model)},
       {"day", "A day has " + FormatFigure(target.machine_failures_per_day) + " machines that fail, " +
@@ -566,7 +566,7 @@
       {"database", RoleTables(target, model, Role::kDatabase)},
       {"command", RoleTables(target, model, Role::kCommand)},
       {"failures", FailureTable(target, model)},
-      {"plot", "![parts of their budgets over the number of poolers](" + names.plot_link + "/curves.svg)"},
+      {"plot", "![parts of their budgets over the number of poolers](" + paths.plot_link + "/curves.svg)"},
       {"assumptions", AssumptionTable(target)},
       {"sensitivities", SensitivityTable(target, model)},
       {"played", RunsTable(model)},
@@ -582,10 +582,10 @@
       "# poolers, then parts of the budget: ordinary second, worst ordinary second\n";
   const std::string target_at = std::to_string(std::lround(target.poolers));
   const double most = target.poolers * kMaxCurveGrowth;
-  page.plot = "# gnuplot " + names.plot +
+  page.plot = "# gnuplot " + paths.plot +
               "/curves.gp, from the project's root; written by lynxgrade-testbed capacity.\n" +
               "set terminal svg size 1000,900 font \"sans,11\" background \"white\" noenhanced\n" +
-              "set output \"" + names.plot + "/curves.svg\"\n" + "set logscale xy\n" +
+              "set output \"" + paths.plot + "/curves.svg\"\n" + "set logscale xy\n" +
               "set xlabel \"poolers; databases, clients and statements grow in step\"\n" +
               "set ylabel \"parts of the budget, worst ordinary second\"\n" +
               "set key outside bottom center\n" + "set grid\n" +
@@ -606,7 +606,7 @@
                     row.at(grown, Scenario::kWorstOrdinary).value / row.budget(grown));
       page.data += line;
     }
-    page.plot += ", \\\n  \"" + names.plot + "/curves.dat\" index " + std::to_string(block) +
+    page.plot += ", \\\n  \"" + paths.plot + "/curves.dat\" index " + std::to_string(block) +
                  " using 1:3 with lines linecolor \"" +
                  kPlotColours[static_cast<std::size_t>(block) % kPlotColours.size()] + "\" linewidth " +
                  (row.name.find("directory") != std::string::npos ? "3" : "1") + " title \"" +
--- a/tests/capacity/capacity_test.cpp
+++ b/tests/capacity/capacity_test.cpp
@@ -265,20 +265,20 @@
   CHECK(error_of({"1", "poolers"}, {{{1, 5}, 1}, {{1, 9}, 2}}) ==
         "2 records for 2 slopes: one more than slopes is needed at least");
   CHECK(error_of({"1"}, {{{1}, 1}}) == "1 record for 1 slope: one more than slopes is needed at least");
-  std::vector<Sample> together, nearly, narrow, apart;
+  std::vector<Sample> collinear, nearly_collinear, narrow_range, independent;
   for (int i = 1; i <= 10; ++i) {
-    together.push_back({{1, 10.0 * i, 17.8 * i}, 1.0 * i});
-    nearly.push_back({{1, 10.0 * i, 17.8 * i + (i % 2) * 0.1}, 1.0 * i});
-    narrow.push_back({{1, 1000.0 + i}, 1.0 * i});
-    apart.push_back({{1, 10.0 * i, 17.8 * ((i * 7) % 11)}, 1.0 * i});
+    collinear.push_back({{1, 10.0 * i, 17.8 * i}, 1.0 * i});
+    nearly_collinear.push_back({{1, 10.0 * i, 17.8 * i + (i % 2) * 0.1}, 1.0 * i});
+    narrow_range.push_back({{1, 1000.0 + i}, 1.0 * i});
+    independent.push_back({{1, 10.0 * i, 17.8 * ((i * 7) % 11)}, 1.0 * i});
   }
   const std::string sentence =
       "databases cannot be told from 1 and poolers: they grew together in all 10 records";
-  CHECK(error_of({"1", "poolers", "databases"}, together) == sentence);
-  CHECK(error_of({"1", "poolers", "databases"}, nearly) == sentence);
-  CHECK(error_of({"1", "poolers"}, narrow) ==
+  CHECK(error_of({"1", "poolers", "databases"}, collinear) == sentence);
+  CHECK(error_of({"1", "poolers", "databases"}, nearly_collinear) == sentence);
+  CHECK(error_of({"1", "poolers"}, narrow_range) ==
         "poolers cannot be told from 1: they grew together in all 10 records");
-  CHECK(error_of({"1", "poolers", "databases"}, apart).empty());
+  CHECK(error_of({"1", "poolers", "databases"}, independent).empty());
 }
 
 TEST_CASE("slopes: a term without variation is reported and gets no slope") {
@@ -357,9 +357,9 @@
   CHECK(IsNear(memory.at(target, Scenario::kOrdinary).value, 18.2));
   CHECK(FirstSizeOverBudget(memory, target, Scenario::kOrdinary) == 0);
   // Watermarks missed in a partition are sent again: to 205 poolers, 51.2 per second for 300 s, within 10 s.
-  const double again = 30.0 * 205 * (21'000.0 / 410 * 300) / 10;
+  const double resent = 30.0 * 205 * (21'000.0 / 410 * 300) / 10;
   CHECK(
-      IsNear(marks.at(target, Scenario::kRegionsPartitioned).value, 100 + 20 * 2'000 + 30 * 10'500 + again));
+      IsNear(marks.at(target, Scenario::kRegionsPartitioned).value, 100 + 20 * 2'000 + 30 * 10'500 + resent));
   CHECK(marks.at(target, Scenario::kRegionsPartitioned).is_lower_bound);
   const std::string text = RenderedText(target, model);
   const std::size_t bytes =
@@ -423,21 +423,21 @@
   CHECK(row.at(target, Scenario::kRegionsPartitioned).is_lower_bound);  // no such run
 
   // A recorded peak replaces the mean, and runs of a single size determine no slope.
-  std::vector<Record> few = SampleFleet();
+  std::vector<Record> with_peaks = SampleFleet();
   for (const double seed : {1.0, 2.0}) {
     Record record = SampleRecord(100, 0);
     record.script = "replaced";
     record.seed = seed;
     record.figures = {{"membership_bytes_out_per_s", 1'200},
                       {"membership_bytes_out_per_s_peak", 5'000 + seed}};
-    few.push_back(record);
+    with_peaks.push_back(record);
   }
-  const Row again = FindRow(Model(few), "membership out");
-  const Cell worst = again.at(target, Scenario::kWorstOrdinary);
+  const Row row_with_peaks = FindRow(Model(with_peaks), "membership out");
+  const Cell worst = row_with_peaks.at(target, Scenario::kWorstOrdinary);
   CHECK(IsNear(worst.value, 600 + 5 * 410 + 5'002 - (600 + 5 * 100), 1e-4));
   // Smaller fleets than those of the runs are unknown, so nothing is added.
-  CHECK(IsNear(again.at(ScaledTo(target, 50), Scenario::kWorstOrdinary).value, 600 + 5 * 50, 1e-4));
-  CHECK(again.at(ScaledTo(target, 50), Scenario::kWorstOrdinary).is_lower_bound);
+  CHECK(IsNear(row_with_peaks.at(ScaledTo(target, 50), Scenario::kWorstOrdinary).value, 600 + 5 * 50, 1e-4));
+  CHECK(row_with_peaks.at(ScaledTo(target, 50), Scenario::kWorstOrdinary).is_lower_bound);
   CHECK(worst.is_lower_bound);  // no run replaced poolers in a fleet of 410
   CHECK(worst.provenance == Provenance::kComputed);
 }
@@ -530,10 +530,10 @@
         record.figures["reigns_bytes_" + std::string(direction) + "_per_s"] = 0;
       }
       if (lease_managers > 0) {
-        const double theirs = TermValue(Term::kManagerMessages, record.size);
-        record.figures["owner_bytes_per_s"] = 700 + 92 * theirs;
-        record.figures["owner_cpu_share"] = 0.01 + 1e-6 * theirs;
-        record.figures["owner_memory_mb"] = 10 + 1e-4 * theirs;
+        const double manager_messages = TermValue(Term::kManagerMessages, record.size);
+        record.figures["owner_bytes_per_s"] = 700 + 92 * manager_messages;
+        record.figures["owner_cpu_share"] = 0.01 + 1e-6 * manager_messages;
+        record.figures["owner_memory_mb"] = 10 + 1e-4 * manager_messages;
       }
       records.push_back(record);
     }
@@ -541,8 +541,7 @@
   return records;
 }
 
-TEST_CASE(
-    "model: lease bytes come from membership, first contacts and roaming; dedicated managers take one end") {
+TEST_CASE("model: lease bytes by cause, and with dedicated managers at one end of each message") {
   const Target target = CommittedTarget();
   const double statements = 0.19 * 420'000 / 410, meets = statements / 11, moves = statements / 10;
   const double discovery = 12, messages = 2 * meets + 4 * moves;
@@ -569,46 +568,47 @@
     return std::uniform_real_distribution<double>(0, 1)(random) < share;
   };
   constexpr int kDraws = 200'000;
-  int met = 0, moved = 0, met_reads = 0, moved_reads = 0;
+  int visits_with_write = 0, roams_with_write = 0, contact_reads = 0, roam_reads = 0;
   for (int i = 0; i < kDraws; ++i) {
     bool wrote = false;
     for (int statement = 0; statement < 11; ++statement) {
       wrote |= drawn(5.0 / 19);
-      met_reads += !wrote;
+      contact_reads += !wrote;
     }
-    met += wrote;
+    visits_with_write += wrote;
     wrote = false;
     do {
       wrote |= drawn(5.0 / 19);
-      moved_reads += !wrote;
+      roam_reads += !wrote;
     } while (!drawn(0.1));
-    moved += wrote;
+    roams_with_write += wrote;
   }
-  const double floor = 2 * 90 * (2 * meets * met + 4 * moves * moved) / kDraws;
+  const double floor = 2 * 90 * (2 * meets * visits_with_write + 4 * moves * roams_with_write) / kDraws;
   const double least = 2 * (600 + 410) + floor + discovery;
   CHECK(IsNear(at(model, "control, no read's ask admitted, "), least, 0.005));
   // A budget of bytes between the two is kept if this share of reads does not acquire leases.
   Target bounded = target;
   bounded.bytes_per_s = all - (all - least) / 4;
   const Row& conservative = FindRow(model, "own-reads on the conservative target for a budget");
-  const double unasked = (meets * met_reads + moves * moved_reads) / kDraws / (0.14 * 420'000 / 410);
-  CHECK(IsNear(conservative.at(bounded, Scenario::kOrdinary).value, 25 * unasked, 0.02));
+  const double unadmitted_share =
+      (meets * contact_reads + moves * roam_reads) / kDraws / (0.14 * 420'000 / 410);
+  CHECK(IsNear(conservative.at(bounded, Scenario::kOrdinary).value, 25 * unadmitted_share, 0.02));
   bounded.bytes_per_s = 2 * all;
   CHECK(conservative.at(bounded, Scenario::kOrdinary).value == 0);
   bounded.bytes_per_s = least / 2;
-  CHECK(IsNear(conservative.at(bounded, Scenario::kOrdinary).value, 100 * unasked, 0.02));
+  CHECK(IsNear(conservative.at(bounded, Scenario::kOrdinary).value, 100 * unadmitted_share, 0.02));
 
   // Runs with dedicated lease managers replace the computed rows by measured ones.
-  std::vector<Record> both = LeaseRecords(2, 90);
-  for (const Record& record : LeaseRecords(2, 90, 7)) both.push_back(record);
-  const Model played(both);
-  const std::string comparison_only = "control, all kinds, both ways (marks: directory, owners set aside)";
-  CHECK(IsNear(at(played, comparison_only), 2 * (600 + 410) + 90 * messages + discovery, 1e-4));
-  CHECK(IsNear(at(played, "owners of sessions, both ways"), 700 + 92 * messages * 410 / 7, 1e-4));
-  CHECK(IsNear(at(played, "owners of sessions, % of a core"), 1 + 1e-4 * messages * 410 / 7, 1e-4));
-  CHECK(IsNear(at(played, "owners of sessions, MB"), 10 + 1e-4 * messages * 410 / 7, 1e-4));
+  std::vector<Record> records = LeaseRecords(2, 90);
+  for (const Record& record : LeaseRecords(2, 90, 7)) records.push_back(record);
+  const Model measured(records);
+  const std::string dedicated = "control, all kinds, both ways (marks: directory, owners set aside)";
+  CHECK(IsNear(at(measured, dedicated), 2 * (600 + 410) + 90 * messages + discovery, 1e-4));
+  CHECK(IsNear(at(measured, "owners of sessions, both ways"), 700 + 92 * messages * 410 / 7, 1e-4));
+  CHECK(IsNear(at(measured, "owners of sessions, % of a core"), 1 + 1e-4 * messages * 410 / 7, 1e-4));
+  CHECK(IsNear(at(measured, "owners of sessions, MB"), 10 + 1e-4 * messages * 410 / 7, 1e-4));
   int rows = 0;
-  for (const Row& row : played.rows()) rows += row.name.find(comparison_only) != std::string::npos;
+  for (const Row& row : measured.rows()) rows += row.name.find(dedicated) != std::string::npos;
   CHECK(rows == 1);
 }
 
@@ -642,10 +642,10 @@
   const Model model(records);
   CHECK_FALSE(
       FindRow(model, "control, all kinds, both ways (marks: directory, former records)").comparison_only);
-  const std::string comparison_only = "control, all kinds, both ways (marks: directory, owners set aside";
-  CHECK(FindRow(model, comparison_only).name.find("former") == std::string::npos);
+  const std::string dedicated = "control, all kinds, both ways (marks: directory, owners set aside";
+  CHECK(FindRow(model, dedicated).name.find("former") == std::string::npos);
   int rows = 0;  // measured rows replace those computed from the former records
-  for (const Row& row : model.rows()) rows += row.name.find(comparison_only) != std::string::npos;
+  for (const Row& row : model.rows()) rows += row.name.find(dedicated) != std::string::npos;
   CHECK(rows == 1);
 }
 
