--- a/testbed/client.h
+++ b/testbed/client.h
@@ -1,4 +1,5 @@
-// A client of a real pooler: one request on a connection of its own, and the statements that it sends.
+// A PostgreSQL client that sends one request over its own connection to a real pooler, and the statements
+// that the runs send with it.
 #pragma once
 
 #include <cstdint>
@@ -11,32 +12,34 @@
 
 namespace lynxgrade::testbed {
 
-enum class End { kServed, kRefused, kFailed, kBroken, kSilent };
+enum class RequestResult { kServed, kRejected, kFailed, kDisconnected, kTimedOut };
 
+// Calls `on_result` exactly once: with the result, or with kTimedOut. Runs on the loop's thread.
 class Client final : public net::Connection::Owner {
  public:
-  using Done = std::function<void(End, const std::string& value)>;
+  using ResultCallback = std::function<void(RequestResult, const std::string& value)>;
 
-  Client(net::Loop& loop, std::uint16_t port, const std::string& query, int budget_ms, Done done);
-  bool over() const { return over_; }
+  Client(net::Loop& loop, std::uint16_t port, const std::string& query, int budget_ms,
+         ResultCallback on_result);
+  bool finished() const { return finished_; }
 
  private:
   void OnReadable() override;
-  void OnEndOfStream() override { Finish(End::kBroken); }
-  void OnDisconnected() override { Finish(End::kBroken); }
-  void Finish(End end);
+  void OnEndOfStream() override { Finish(RequestResult::kDisconnected); }
+  void OnDisconnected() override { Finish(RequestResult::kDisconnected); }
+  void Finish(RequestResult result);
 
-  Done done_;
-  net::Timer patience_;
+  ResultCallback on_result_;
+  net::Timer timeout_;
   std::shared_ptr<net::Connection> connection_;
   std::string value_;
-  End end_ = End::kFailed;
-  bool over_ = false;
+  RequestResult result_ = RequestResult::kFailed;
+  bool finished_ = false;
 };
 
-// The comment that tells the pooler what is asked, of which group, and how long the client would wait.
-std::string CommentFor(std::uint64_t id, const char* cls, int budget_ms, std::int64_t group);
-std::string WriteOf(const std::string& session, std::uint64_t version);
-std::string ReadOf(const std::string& session);
+// The leading comment of a request: its id, class, time budget and group.
+std::string RequestComment(std::uint64_t id, const char* cls, int budget_ms, std::int64_t group);
+std::string WriteStatement(const std::string& session, std::uint64_t version);
+std::string ReadStatement(const std::string& session);
 
 }  // namespace lynxgrade::testbed
--- a/testbed/consistency_run.h
+++ b/testbed/consistency_run.h
@@ -1,5 +1,5 @@
-// Sessions that move between two real poolers, under faults: the laboratory knows every answered write and
-// counts the own-reads that miss one.
+// Consistency run: sessions move between two real poolers under faults. The run knows every acknowledged
+// write and counts the read-your-writes reads that miss one.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,17 @@
   std::string pooler;
   std::uint64_t seed = 1;
   std::size_t sessions = 5000;
-  double per_s = 250;               // sessions begun a second
-  bool keep_logs = false;           // prints where the poolers' logs are, and leaves them
-  std::string watermarks = "each";  // or "directory", as in the poolers' settings
-  bool owner = false;  // directory: the second pooler is set aside to own, though clients go to it too
-  std::string only;    // one of the scenarios by name; all where empty
-  std::string json;    // the figures, as JSON, to this file
+  double per_s = 250;               // sessions started per second
+  bool keep_logs = false;           // keeps the poolers' logs and prints their folder
+  std::string watermarks = "each";  // "each" or "directory", as in the poolers' settings
+  bool owner =
+      false;  // with "directory": the second pooler is a dedicated lease manager, and serves clients too
+  std::string only;  // name of the one scenario to run; empty: all
+  std::string json;  // file for the figures as JSON; empty: none
 };
 
-// Prints a figure a line; 0 where every rule was kept and the judge saw stale reads with the subsystem off.
+// Prints one figure per line. Returns 0 if no stale read, unanswered request, crash or dropped datagram was
+// seen and stale reads were seen with the replication off, which shows that the check detects them; else 1.
 int RunSessions(const SessionsOptions& options);
 
 }  // namespace lynxgrade::testbed
--- a/testbed/data_servers.h
+++ b/testbed/data_servers.h
@@ -1,6 +1,6 @@
-// Stand-in data servers of one group on loopback, and the list that names them, as PROTOCOL states both. They
-// answer from the group's model and check nothing: whether a read was sent to the right member is the
-// pooler's part.
+// Simulated data servers of one group on loopback, and a simulated discovery server that lists them. The data
+// servers answer from the group's model and check nothing: sending a read to a member that is recent enough
+// is the pooler's task. All classes run on the thread of the loop that they are given.
 #pragma once
 
 #include <map>
@@ -16,17 +16,18 @@
 
 namespace lynxgrade::testbed {
 
+// The data servers of one group, one listener per member. The constructor throws std::runtime_error if one
+// cannot listen.
 class DataServers {
  public:
-  DataServers(net::Loop& loop, GroupId number, Group::Options options, Duration work);
+  DataServers(net::Loop& loop, GroupId number, Group::Options options, Duration work_time);
   ~DataServers();
 
-  // Resets its connections and refuses new ones.
+  // Closes the member's connections and refuses new ones.
   void Kill(std::size_t member);
   void Restart(std::size_t member);
-  // Goes on holding its connections and answers nothing, as a machine that was cut off; its group gives it
-  // up.
-  void Cut(std::size_t member);
+  // The member keeps its connections and answers nothing, as in a network partition; its group fails over.
+  void Isolate(std::size_t member);
 
   Group& group() { return group_; }
   GroupId number() const { return number_; }
@@ -37,54 +38,56 @@
   std::uint64_t probes() const { return probes_; }
 
  private:
-  class Conversation;
+  class ClientConnection;
   struct Server {
     std::unique_ptr<net::Listener> listener;
-    std::vector<std::unique_ptr<Conversation>> conversations;
-    bool cut = false;
+    std::vector<std::unique_ptr<ClientConnection>> connections;
+    bool isolated = false;
   };
 
-  std::string Open(std::size_t member, std::uint16_t port);
-  std::string AnswerTo(std::size_t member, const std::string& query);
-  void Tick();
+  // Returns an error message, empty on success.
+  std::string Listen(std::size_t member, std::uint16_t port);
+  std::string ResponseTo(std::size_t member, const std::string& query);
+  void AdvanceGroup();
 
   net::Loop& loop_;
   GroupId number_;
-  Duration work_;
+  Duration work_time_;
   Group group_;
   std::vector<Server> servers_;
   std::vector<std::uint16_t> ports_;
-  net::Timer tick_;
+  net::Timer group_timer_;
   std::uint64_t reads_ = 0, writes_ = 0, probes_ = 0;
 };
 
-// Discovery's agent: the whole list to each watch, and each change after it.
-class Agent {
+// The discovery server: sends each watch the whole endpoint list, then each change. The constructor throws
+// std::runtime_error if it cannot listen.
+class DiscoveryServer {
  public:
-  explicit Agent(net::Loop& loop);
-  ~Agent();
+  explicit DiscoveryServer(net::Loop& loop);
+  ~DiscoveryServer();
   std::uint16_t port() const { return listener_.port(); }
-  void List(const DataServers& servers);
-  // One entry of the list as JSON, to be told with the whole list alone.
-  void List(const std::string& uid, const std::string& entry) { entries_[uid] = entry; }
-  // In place of one there is another from now on: both are told to all who watch.
-  void Replace(const std::string& old, const std::string& uid, const std::string& entry);
-  std::uint64_t calls() const { return calls_; }  // for the list
-  std::uint64_t bytes() const { return bytes_; }  // told
+  void AddServers(const DataServers& servers);
+  // Adds an entry, as JSON. Open watches are not notified.
+  void AddEntry(const std::string& uid, const std::string& entry) { entries_[uid] = entry; }
+  // Replaces an entry and sends the removal and the new entry to all watches.
+  void ReplaceEntry(const std::string& old_uid, const std::string& uid, const std::string& entry);
+  std::uint64_t list_requests() const { return list_requests_; }
+  std::uint64_t bytes_sent() const { return bytes_sent_; }
   std::size_t watchers() const;
 
  private:
   class Watcher;
-  std::string Lines(bool all, const std::vector<std::string>& entries) const;
-  std::string Whole() const;
+  std::string ListLine(bool all, const std::vector<std::string>& entries) const;
+  std::string WholeList() const;
 
   net::Loop& loop_;
   net::Listener listener_;
   std::vector<std::unique_ptr<Watcher>> watchers_;
   std::map<std::string, std::string> entries_;  // by uid
   std::int64_t revision_ = 1;
-  std::uint64_t calls_ = 0, bytes_ = 0;
-  net::Timer beat_;
+  std::uint64_t list_requests_ = 0, bytes_sent_ = 0;
+  net::Timer keepalive_timer_;
 };
 
 }  // namespace lynxgrade::testbed
--- a/testbed/group.h
+++ b/testbed/group.h
@@ -1,5 +1,6 @@
-// A model of one group of data servers: a primary, replicas that apply its log late, and changes of primary
-// that lose the log's tail. Owns the log and what each member holds; knows no sockets, and is told the time.
+// A model of one group of data servers: a primary, replicas that apply its log with a delay, and failovers
+// that lose the tail of the log. Owns the log and the data of each member; has no sockets and no clock of its
+// own.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +17,9 @@
  public:
   struct Options {
     std::size_t members = 3;
-    Duration ship{8000};         // from commit to applied on a replica; each one's own is up to twice as much
-    Duration failover{1500000};  // from a primary's death to its successor's first answer
+    Duration replication_delay{
+        8000};  // from commit to applied on a replica; up to twice as much on later members
+    Duration failover_time{1500000};  // from the primary's failure to the promotion of its successor
   };
 
   Group(Options options, TimePoint now);
@@ -27,23 +29,25 @@
   std::optional<std::size_t> primary() const { return primary_; }
   bool IsPrimary(std::size_t member) const { return primary_ == member; }
 
-  // Commits on the primary; its position. Absent where the member is not primary.
+  // Commits on the primary and returns the commit's position; empty if the member is not the primary.
   std::optional<LogPosition> Write(std::size_t member, const std::string& object, std::int64_t version,
                                    TimePoint now);
-  // What the member holds: the newest version applied there, zero for none.
+  // Newest version of the object that the member has applied; 0 if none.
   std::int64_t Read(std::size_t member, const std::string& object, TimePoint now);
-  // Up to where it has applied all, rounded down to milliseconds.
-  LogPosition At(std::size_t member, TimePoint now);
+  // Position up to which the member has applied the log, rounded down to milliseconds.
+  LogPosition PositionOf(std::size_t member, TimePoint now);
 
-  void Die(std::size_t member, TimePoint now);
-  // Comes back as a replica of whoever reigns, rewound to that one's log.
-  void Return(std::size_t member, TimePoint now);
-  // A replica falls behind by so much.
-  void Lag(std::size_t member, Duration ship) { members_[member].ship = ship; }
-  // To be called often: completes a change of primary that is due. True where one was.
-  bool Advance(TimePoint now);
-  // Commits that were answered and went with a primary.
-  std::uint64_t lost() const { return lost_; }
+  void Fail(std::size_t member, TimePoint now);
+  // The member comes back as a replica and rebuilds its data from the log of the current timeline.
+  void Recover(std::size_t member, TimePoint now);
+  void SetReplicationDelay(std::size_t member, Duration replication_delay) {
+    members_[member].replication_delay = replication_delay;
+  }
+  // Promotes the replica with the most log entries once the failover time has passed since the primary's
+  // failure. Returns true if it did. To be called every few milliseconds.
+  bool CompleteFailover(TimePoint now);
+  // Acknowledged commits that were lost in failovers.
+  std::uint64_t lost_commits() const { return lost_commits_; }
 
  private:
   struct Entry {
@@ -53,21 +57,21 @@
   };
   struct Member {
     bool up = true;
-    Duration ship{0};
-    std::size_t applied = 0;  // entries of the log
-    LogPosition reached{};
+    Duration replication_delay{0};
+    std::size_t applied = 0;  // number of applied log entries
+    LogPosition position{};
     std::unordered_map<std::string, std::int64_t> objects;
   };
 
-  void Apply(Member& member, TimePoint now);
-  void Take(Member& member, const Entry& entry);
+  void ApplyReplicated(Member& member, TimePoint now);
+  void ApplyEntry(Member& member, const Entry& entry);
 
   Options options_;
   std::vector<Member> members_;
   std::vector<Entry> log_;
   std::optional<std::size_t> primary_;
-  std::optional<TimePoint> died_;  // the primary, with no successor yet
-  std::uint64_t lost_ = 0;
+  std::optional<TimePoint> primary_failed_at_;  // set until a successor is promoted
+  std::uint64_t lost_commits_ = 0;
 };
 
 }  // namespace lynxgrade::testbed
--- a/testbed/membership_run.cpp
+++ b/testbed/membership_run.cpp
@@ -26,13 +26,15 @@
 
 std::string At(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
+// The sides of a partition, each a list of instances.
 using Sides = std::vector<std::vector<int>>;
 
-// What one process said of its part or of another, with the times of its own log.
-struct Said {
-  double at = 0;  // Unix seconds
-  std::string part, view;
-  int dead = -1;  // held dead from now on; -1: it speaks of its part
+// One log line of a process: a change of its view, or a peer that it declared dead.
+struct LogEvent {
+  double at = 0;     // Unix time in seconds, of the log line
+  std::string part;  // how much of the fleet is in reach: "whole", "larger part" and so on
+  std::string view;  // the view's id
+  int dead = -1;     // the peer that was declared dead; -1: a change of the view
 };
 
 double UnixNow() {
@@ -41,41 +43,43 @@
   return static_cast<double>(now.tv_sec) + 1e-9 * static_cast<double>(now.tv_nsec);
 }
 
-std::vector<Said> ReadLog(const std::string& path) {
-  static const std::regex line_of(
+std::vector<LogEvent> ReadLog(const std::string& path) {
+  static const std::regex kLinePattern(
       R"((\S+ \S+)\.(\d+) I peers: (?:peer n(\d+) declared dead|(.+): \d+ of \d+ instances in reach, )"
       R"(view (\w+)))");
-  std::vector<Said> said;
+  std::vector<LogEvent> events;
   std::ifstream file(path);
   for (std::string line; std::getline(file, line);) {
-    std::smatch found;
+    std::smatch match;
     std::tm time{};
-    if (!std::regex_match(line, found, line_of)) continue;
-    strptime(found[1].str().c_str(), "%Y-%m-%d %H:%M:%S", &time);
+    if (!std::regex_match(line, match, kLinePattern)) continue;
+    strptime(match[1].str().c_str(), "%Y-%m-%d %H:%M:%S", &time);
     time.tm_isdst = -1;
-    said.push_back({static_cast<double>(std::mktime(&time)) + 1e-3 * std::stoi(found[2]), found[4], found[5],
-                    found[3].matched ? std::stoi(found[3]) : -1});
+    events.push_back({static_cast<double>(std::mktime(&time)) + 1e-3 * std::stoi(match[2]), match[4],
+                      match[5], match[3].matched ? std::stoi(match[3]) : -1});
   }
-  return said;
+  return events;
 }
 
 bool IsMajority(const std::string& part) {
   return part == "whole" || part == "some missing" || part == "larger part";
 }
 
+// The pooler processes of one script, the relay between them, and the record of which links were blocked and
+// which processes were stopped at each time.
 struct Fleet {
-  Fleet(const MembersOptions& options, const std::string& script)
+  Fleet(const MembershipOptions& options, const std::string& script)
       : options(options), relay(loop, options.instances, options.seed) {
     key = folder.Write("key", "1 " + std::string(64, 'a') + "\n");
-    for (int i = 0; i < options.instances; ++i) real.push_back(FreePort(true));
-    relay.Behind(real);
-    for (int i = 0; i < options.instances; ++i) Launch(i, real[static_cast<std::size_t>(i)]);
-    Note();
+    for (int i = 0; i < options.instances; ++i) ports.push_back(FreePort(true));
+    relay.SetDestinations(ports);
+    for (int i = 0; i < options.instances; ++i) StartInstance(i, ports[static_cast<std::size_t>(i)]);
+    RecordTruth();
     if (options.keep_logs) std::printf("%s: logs in %s\n", script.c_str(), folder.path().c_str());
   }
 
-  // One that calls itself by the i-th name and address of the relay, and listens on `port`.
-  void Launch(int i, std::uint16_t port) {
+  // Starts instance `i`: it advertises its address at the relay and listens on `port`.
+  void StartInstance(int i, std::uint16_t port) {
     std::string seeds;
     for (int j = 0; j < options.instances; ++j) {
       if (j != i) seeds += (seeds.empty() ? "\"" : ", \"") + At(relay.port(j)) + "\"";
@@ -83,7 +87,8 @@
     const std::string name = "n" + std::to_string(i), file = name + "-" + std::to_string(processes.size());
     PoolerProcess::Files files;
     files.program = options.pooler;
-    files.config = folder.Write(file + ".json", ConfigFor(name, FreePort(false), FreePort(false), "off"));
+    files.config =
+        folder.Write(file + ".json", MakePlatformConfig(name, FreePort(false), FreePort(false), "off"));
     files.settings = folder.Write(
         file + ".toml", "[sessions]\nscope = \"everywhere\"\n[peers]\nlisten = \"" + At(port) +
                             "\"\nadvertise = \"" + At(relay.port(i)) + "\"\nseeds = [" + seeds +
@@ -92,398 +97,431 @@
     files.log = folder.path() + "/" + file + ".log";
     logs.push_back(files.log);
     processes.push_back(std::make_unique<PoolerProcess>(files));
-    const std::string fault = processes.back()->Start();
-    if (!fault.empty()) throw std::runtime_error("a pooler cannot be started: " + fault);
+    const std::string problem = processes.back()->Start();
+    if (!problem.empty()) throw std::runtime_error("cannot start a pooler: " + problem);
   }
 
-  // What is true from now on: which links are cut, and which processes do not run.
-  void Note() { truth.push_back({UnixNow(), relay.cut, down}); }
+  // Records the links that are blocked and the processes that are stopped from now on.
+  void RecordTruth() { truth.push_back({UnixNow(), relay.blocked_links, down}); }
   void Signal(int i, int signal) {
     if (signal == SIGCONT) down.erase(i);
     if (signal != SIGCONT) down.insert(i);
     if (signal == SIGKILL) {
-      processes[static_cast<std::size_t>(i)]->End(signal);
+      processes[static_cast<std::size_t>(i)]->Stop(signal);
     } else {
       processes[static_cast<std::size_t>(i)]->Signal(signal);
     }
-    Note();
+    RecordTruth();
   }
-  bool Again(int i) {
+  bool Restart(int i) {
     down.erase(i);
-    Note();
+    RecordTruth();
     return processes[static_cast<std::size_t>(i)]->Start().empty();
   }
 
-  void Pass(Duration time) {
+  void RunFor(Duration time) {
     net::Timer end(loop);
     end.ScheduleAfter(time, [this] { loop.Stop(); });
     loop.Run();
   }
-  // Runs until it holds. The limit is for what never will, not a measure of speed.
-  bool Until(const std::function<bool()>& holds) {
+  // Runs until the condition holds, or for 60 s. The limit only ends scripts that never converge; it is not a
+  // measure of speed.
+  bool RunUntil(const std::function<bool()>& condition) {
     for (int i = 0; i < 300; ++i) {
-      if (holds()) return true;
-      Pass(kSecond / 5);
+      if (condition()) return true;
+      RunFor(kSecond / 5);
     }
     return false;
   }
-  void Cut(const Sides& sides) {
-    relay.cut.clear();
-    for (const auto& a : sides) {
-      for (const auto& b : sides) {
-        if (&a == &b) continue;
-        for (int from : a) {
-          for (int to : b) relay.cut.insert({from, to});
+  // Blocks all links between different sides and unblocks all others.
+  void Partition(const Sides& sides) {
+    relay.blocked_links.clear();
+    for (const auto& side : sides) {
+      for (const auto& other : sides) {
+        if (&side == &other) continue;
+        for (int from : side) {
+          for (int to : other) relay.blocked_links.insert({from, to});
         }
       }
     }
-    Note();
-    cuts.push_back({UnixNow(), sides});
+    RecordTruth();
+    partitions.push_back({UnixNow(), sides});
   }
-  void Heal() { Cut({}); }
-  std::vector<Said> Parts(int i) const {
-    auto said = ReadLog(logs[static_cast<std::size_t>(i)]);
-    std::erase_if(said, [](const Said& one) { return one.dead >= 0; });
-    return said;
+  void HealPartition() { Partition({}); }
+  std::vector<LogEvent> ViewChanges(int i) const {
+    auto events = ReadLog(logs[static_cast<std::size_t>(i)]);
+    std::erase_if(events, [](const LogEvent& event) { return event.dead >= 0; });
+    return events;
   }
-  std::string PartOf(int i) const {
-    const auto said = Parts(i);
-    return said.empty() ? "nothing" : said.back().part;
+  std::string CurrentPart(int i) const {
+    const auto changes = ViewChanges(i);
+    return changes.empty() ? "nothing" : changes.back().part;
   }
-  // `since`: and said it after that; a log is as it was until its process has started again.
-  bool All(const std::vector<int>& of, const std::string& part, double since = 0) const {
-    return std::ranges::all_of(of, [&](int i) {
-      const auto said = Parts(i);
-      return !said.empty() && said.back().part == part && said.back().at >= since;
+  // Whether the last view change of each instance is to `part`, and not before `since`. The log of a process
+  // that was stopped keeps its former lines until the process has started again.
+  bool AllReport(const std::vector<int>& instances, const std::string& part, double since = 0) const {
+    return std::ranges::all_of(instances, [&](int i) {
+      const auto changes = ViewChanges(i);
+      return !changes.empty() && changes.back().part == part && changes.back().at >= since;
     });
   }
 
-  // Times from `since` on until each of these says `part`.
-  void Times(const std::vector<int>& of, const std::string& part, double since,
-             std::vector<double>& to) const {
-    for (int i : of) {
-      for (const Said& one : Parts(i)) {
-        if (one.at < since || one.part != part) continue;
-        to.push_back(one.at - since);
+  // Adds, for each instance, the seconds from `since` to its first change to `part`.
+  void CollectDelays(const std::vector<int>& instances, const std::string& part, double since,
+                     std::vector<double>& delays) const {
+    for (int i : instances) {
+      for (const LogEvent& event : ViewChanges(i)) {
+        if (event.at < since || event.part != part) continue;
+        delays.push_back(event.at - since);
         break;
       }
     }
   }
 
-  bool DownAt(int i, double at) const {
-    const auto next = std::ranges::upper_bound(truth, at, {}, &Moment::at);
+  bool IsDownAt(int i, double at) const {
+    const auto next = std::ranges::upper_bound(truth, at, {}, &TruthRecord::at);
     return next != truth.begin() && std::prev(next)->down.contains(i);
   }
 
-  // Moments, 50 ms apart, at which processes of two views both held themselves for more than half; and the
-  // longest time after a cut for which one whose side has half or less did.
-  int BothLarger(double& stale) const {
-    int moments = 0;
-    std::vector<std::vector<Said>> said;
-    for (int i = 0; i < options.instances; ++i) said.push_back(Parts(i));
-    const auto claimed = [&](int i, double at) {
-      const Said* last = nullptr;
-      for (const Said& one : said[static_cast<std::size_t>(i)]) last = one.at <= at ? &one : last;
+  // Counts the samples, 50 ms apart, at which running processes of two different views both claimed a
+  // majority. Raises `stale_view_s` to the longest time after a partition for which an instance on a side
+  // with at most half of the fleet claimed a majority.
+  int CountConflictingMajorities(double& stale_view_s) const {
+    int conflicts = 0;
+    std::vector<std::vector<LogEvent>> changes;
+    for (int i = 0; i < options.instances; ++i) changes.push_back(ViewChanges(i));
+    const auto majority_view = [&](int i, double at) {
+      const LogEvent* last = nullptr;
+      for (const LogEvent& event : changes[static_cast<std::size_t>(i)])
+        last = event.at <= at ? &event : last;
       return last != nullptr && IsMajority(last->part) ? last->view : std::string();
     };
     const double end = UnixNow();
     for (double at = truth.front().at; at < end; at += 0.05) {
       std::set<std::string> views;
       for (int i = 0; i < options.instances; ++i) {
-        if (!DownAt(i, at) && !claimed(i, at).empty()) views.insert(claimed(i, at));
+        if (!IsDownAt(i, at) && !majority_view(i, at).empty()) views.insert(majority_view(i, at));
       }
-      moments += views.size() > 1;
+      conflicts += views.size() > 1;
     }
-    for (std::size_t c = 0; c < cuts.size(); ++c) {
-      const double until = c + 1 < cuts.size() ? cuts[c + 1].at : end;
-      std::size_t on_a_side = 0;  // others hear both
-      for (const auto& side : cuts[c].sides) on_a_side += side.size();
-      for (const auto& side : cuts[c].sides) {
+    for (std::size_t c = 0; c < partitions.size(); ++c) {
+      const double until = c + 1 < partitions.size() ? partitions[c + 1].at : end;
+      std::size_t on_a_side = 0;  // an instance on no side reaches all sides
+      for (const auto& side : partitions[c].sides) on_a_side += side.size();
+      for (const auto& side : partitions[c].sides) {
         if (side.size() * 2 > logs.size() || on_a_side < logs.size()) continue;
         for (int i : side) {
-          for (double at = cuts[c].at; at < until && !claimed(i, at).empty(); at += 0.05) {
-            stale = std::max(stale, at + 0.05 - cuts[c].at);
+          for (double at = partitions[c].at; at < until && !majority_view(i, at).empty(); at += 0.05) {
+            stale_view_s = std::max(stale_view_s, at + 0.05 - partitions[c].at);
           }
         }
       }
     }
-    return moments;
+    return conflicts;
   }
 
-  // Others that a process held dead though they ran and both heard each other for the last `settle` seconds.
-  int WronglyDead(double settle) const {
+  // Counts the peers declared dead although both processes had run and reached each other for the last
+  // `settle_s` seconds.
+  int CountWronglyDead(double settle_s) const {
     int wrong = 0;
     for (int i = 0; i < options.instances; ++i) {
-      for (const Said& one : ReadLog(logs[static_cast<std::size_t>(i)])) {
-        if (one.dead < 0 || one.dead == starved) continue;
-        bool fine = true;
+      for (const LogEvent& event : ReadLog(logs[static_cast<std::size_t>(i)])) {
+        if (event.dead < 0 || event.dead == starved) continue;
+        bool reachable = true;
         for (std::size_t t = 0; t < truth.size(); ++t) {
           const double until = t + 1 < truth.size() ? truth[t + 1].at : UnixNow();
-          if (until < one.at - settle || truth[t].at > one.at) continue;
-          fine = fine && !truth[t].cut.contains({i, one.dead}) && !truth[t].cut.contains({one.dead, i}) &&
-                 !truth[t].down.contains(one.dead) && !truth[t].down.contains(i);
+          if (until < event.at - settle_s || truth[t].at > event.at) continue;
+          reachable = reachable && !truth[t].blocked_links.contains({i, event.dead}) &&
+                      !truth[t].blocked_links.contains({event.dead, i}) &&
+                      !truth[t].down.contains(event.dead) && !truth[t].down.contains(i);
         }
-        wrong += fine;
+        wrong += reachable;
       }
     }
     return wrong;
   }
 
-  struct CutAt {
+  struct PartitionRecord {
     double at;
     Sides sides;
   };
-  struct Moment {
+  struct TruthRecord {
     double at;
-    std::set<std::pair<int, int>> cut;
+    std::set<std::pair<int, int>> blocked_links;
     std::set<int> down;
   };
-  MembersOptions options;
+  MembershipOptions options;
   net::Loop loop;
-  Folder folder;
+  TemporaryFolder folder;
   Relay relay;
-  std::vector<std::uint16_t> real;
+  std::vector<std::uint16_t> ports;
   std::vector<std::string> logs;
   std::vector<std::unique_ptr<PoolerProcess>> processes;
-  std::vector<CutAt> cuts;
-  std::vector<Moment> truth;
+  std::vector<PartitionRecord> partitions;
+  std::vector<TruthRecord> truth;
   std::set<int> down;
   std::string key;
-  std::vector<double> detected, healed;  // seconds
-  int never_found = 0;
-  int starved = -1;  // of whom nobody is judged for what they hold
+  std::vector<double> detection_s, healing_s;
+  int undetected = 0;  // processes that did not declare a killed one dead
+  int starved = -1;    // declaring this instance dead is not counted as wrong
 };
 
-std::vector<int> Range(int from, int to) {
-  std::vector<int> all;
-  for (int i = from; i < to; ++i) all.push_back(i);
-  return all;
+std::vector<int> InstanceRange(int from, int to) {
+  std::vector<int> instances;
+  for (int i = from; i < to; ++i) instances.push_back(i);
+  return instances;
 }
 
 struct Script {
   const char* name;
-  std::function<bool(Fleet&, int)> play;  // whether it ended as it should; the number of instances
+  // Runs the script on a fleet of the given number of instances. Returns whether it ended as expected.
+  std::function<bool(Fleet&, int)> run;
 };
 
 const std::vector<Script>& Scripts() {
   static const std::vector<Script> all = {
       {"cut",
-       [](Fleet& f, int n) {
-         const int more = n / 2 + 1;
-         f.Cut({Range(0, more), Range(more, n)});
-         const bool right = f.Until([&] {
-           return f.All(Range(0, more), n - more > 1 ? "larger part" : "some missing") &&
-                  f.All(Range(more, n), n - more > 1 ? "smaller part" : "alone");
+       [](Fleet& fleet, int count) {
+         const int majority = count / 2 + 1;
+         fleet.Partition({InstanceRange(0, majority), InstanceRange(majority, count)});
+         const bool as_expected = fleet.RunUntil([&] {
+           return fleet.AllReport(InstanceRange(0, majority),
+                                  count - majority > 1 ? "larger part" : "some missing") &&
+                  fleet.AllReport(InstanceRange(majority, count),
+                                  count - majority > 1 ? "smaller part" : "alone");
          });
-         f.Heal();
+         fleet.HealPartition();
          const double since = UnixNow();
-         const bool whole = f.Until([&] { return f.All(Range(0, n), "whole"); });
-         f.Times(Range(0, n), "whole", since, f.healed);
-         return right && whole;
+         const bool healed =
+             fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole"); });
+         fleet.CollectDelays(InstanceRange(0, count), "whole", since, fleet.healing_s);
+         return as_expected && healed;
        }},
       {"thirds",
-       [](Fleet& f, int n) {
-         f.Cut({Range(0, n / 3), Range(n / 3, 2 * n / 3), Range(2 * n / 3, n)});
-         return f.Until([&] {
-           const auto all = Range(0, n);
-           return std::ranges::all_of(
-               all, [&](int i) { return f.PartOf(i) == "smaller part" || f.PartOf(i) == "alone"; });
+       [](Fleet& fleet, int count) {
+         fleet.Partition({InstanceRange(0, count / 3), InstanceRange(count / 3, 2 * count / 3),
+                          InstanceRange(2 * count / 3, count)});
+         return fleet.RunUntil([&] {
+           const auto all = InstanceRange(0, count);
+           return std::ranges::all_of(all, [&](int i) {
+             return fleet.CurrentPart(i) == "smaller part" || fleet.CurrentPart(i) == "alone";
+           });
          });
        }},
       {"bridge",
-       [](Fleet& f, int n) {
-         // The middle hears both sides, and changes sides.
+       [](Fleet& fleet, int count) {
+         // One instance reaches both sides of the partition; each turn shifts the sides and with them that
+         // instance.
          for (int turn = 0; turn < 4; ++turn) {
-           f.Cut({Range(0, n / 2 - (turn % 2)), Range(n / 2 + 1 - (turn % 2), n)});
-           f.Pass(kSecond * 4);
+           fleet.Partition(
+               {InstanceRange(0, count / 2 - (turn % 2)), InstanceRange(count / 2 + 1 - (turn % 2), count)});
+           fleet.RunFor(kSecond * 4);
          }
          return true;
        }},
       {"loss",
-       [](Fleet& f, int n) {
-         f.relay.loss = 30;
-         // Answers come back within half of a period: on slower paths the period is to be longer.
-         f.relay.delay = Duration(1000) * f.options.probe_ms / 20;
-         f.relay.jitter = Duration(1000) * f.options.probe_ms / 5;
-         f.Pass(kSecond * 10);
-         f.relay.loss = 0;
-         return f.Until([&] { return f.All(Range(0, n), "whole"); });
+       [](Fleet& fleet, int count) {
+         fleet.relay.loss_percent = 30;
+         // Acks return within half of a probe period. Networks with a higher latency need a longer period.
+         fleet.relay.delay = Duration(1000) * fleet.options.probe_ms / 20;
+         fleet.relay.jitter = Duration(1000) * fleet.options.probe_ms / 5;
+         fleet.RunFor(kSecond * 10);
+         fleet.relay.loss_percent = 0;
+         return fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole"); });
        }},
       {"one_way",
-       [](Fleet& f, int n) {
-         for (int i : Range(2 * n / 3, n)) f.relay.cut.insert({0, i});
-         f.Note();
-         f.Pass(kSecond * 8);
-         f.Heal();
-         return f.Until([&] { return f.All(Range(0, n), "whole"); });
+       [](Fleet& fleet, int count) {
+         for (int i : InstanceRange(2 * count / 3, count)) fleet.relay.blocked_links.insert({0, i});
+         fleet.RecordTruth();
+         fleet.RunFor(kSecond * 8);
+         fleet.HealPartition();
+         return fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole"); });
        }},
       {"bad_link",
-       [](Fleet& f, int n) {
-         f.relay.cut = {{0, 1}, {1, 0}};
-         f.Note();
-         f.Pass(kSecond * 8);
-         // The others reach both: neither is dead, and there are still more than half.
-         const bool right = std::ranges::all_of(Range(0, n), [&](int i) { return IsMajority(f.PartOf(i)); });
-         f.Heal();
-         return right && f.Until([&] { return f.All(Range(0, n), "whole"); });
+       [](Fleet& fleet, int count) {
+         fleet.relay.blocked_links = {{0, 1}, {1, 0}};
+         fleet.RecordTruth();
+         fleet.RunFor(kSecond * 8);
+         // The others reach both instances, so neither may be declared dead and all keep a majority.
+         const bool as_expected = std::ranges::all_of(
+             InstanceRange(0, count), [&](int i) { return IsMajority(fleet.CurrentPart(i)); });
+         fleet.HealPartition();
+         return as_expected &&
+                fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole"); });
        }},
       {"flapping",
-       [](Fleet& f, int n) {
+       [](Fleet& fleet, int count) {
          for (int i = 0; i < 12; ++i) {
-           i % 2 == 0 ? f.Cut({Range(0, n / 2 + 1), Range(n / 2 + 1, n)}) : f.Heal();
-           f.Pass(kSecond * (3 + i % 5) / 5);
+           i % 2 == 0
+               ? fleet.Partition({InstanceRange(0, count / 2 + 1), InstanceRange(count / 2 + 1, count)})
+               : fleet.HealPartition();
+           fleet.RunFor(kSecond * (3 + i % 5) / 5);
          }
-         f.Heal();
-         return f.Until([&] { return f.All(Range(0, n), "whole"); });
+         fleet.HealPartition();
+         return fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole"); });
        }},
       {"flood",
-       [](Fleet& f, int n) {
-         f.relay.Flood(0, kSecond * 5);
-         f.Pass(kSecond * 5);
-         return f.Until([&] { return f.All(Range(0, n), "whole"); });
+       [](Fleet& fleet, int count) {
+         fleet.relay.Flood(0, kSecond * 5);
+         fleet.RunFor(kSecond * 5);
+         return fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole"); });
        }},
       {"starved",
-       [](Fleet& f, int n) {
-         // It gets two fifths of its time, in pieces of a period and a half.
-         f.relay.loss = 10;
-         f.starved = 0;
+       [](Fleet& fleet, int count) {
+         // Instance 0 runs for 40 % of the time, in cycles of one and a half probe periods.
+         fleet.relay.loss_percent = 10;
+         fleet.starved = 0;
          for (int i = 0; i < 200; ++i) {
-           f.processes[0]->Signal(SIGSTOP);
-           f.Pass(Duration(900) * f.options.probe_ms);
-           f.processes[0]->Signal(SIGCONT);
-           f.Pass(Duration(600) * f.options.probe_ms);
+           fleet.processes[0]->Signal(SIGSTOP);
+           fleet.RunFor(Duration(900) * fleet.options.probe_ms);
+           fleet.processes[0]->Signal(SIGCONT);
+           fleet.RunFor(Duration(600) * fleet.options.probe_ms);
          }
-         f.relay.loss = 0;
-         return f.Until([&] { return f.All(Range(0, n), "whole"); });
+         fleet.relay.loss_percent = 0;
+         return fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole"); });
        }},
       {"paused",
-       [](Fleet& f, int n) {
-         f.Signal(0, SIGSTOP);
-         f.Pass(kSecond);
-         f.Signal(0, SIGCONT);
-         return f.Until([&] { return f.All(Range(0, n), "whole"); });
+       [](Fleet& fleet, int count) {
+         fleet.Signal(0, SIGSTOP);
+         fleet.RunFor(kSecond);
+         fleet.Signal(0, SIGCONT);
+         return fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole"); });
        }},
       {"stopped",
-       [](Fleet& f, int n) {
-         f.Signal(0, SIGSTOP);
-         f.Pass(kSecond * 10);
-         const auto before = f.Parts(0).size();
-         f.Signal(0, SIGCONT);
-         f.Until([&] { return f.Parts(0).size() > before; });
-         const auto said = f.Parts(0);
-         const bool doubts = said.size() > before && said[before].part == "in doubt";
-         return doubts && f.Until([&] { return f.All(Range(0, n), "whole"); });
+       [](Fleet& fleet, int count) {
+         fleet.Signal(0, SIGSTOP);
+         fleet.RunFor(kSecond * 10);
+         const auto before = fleet.ViewChanges(0).size();
+         fleet.Signal(0, SIGCONT);
+         fleet.RunUntil([&] { return fleet.ViewChanges(0).size() > before; });
+         const auto changes = fleet.ViewChanges(0);
+         const bool suspects = changes.size() > before && changes[before].part == "in doubt";
+         return suspects && fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole"); });
        }},
       {"killed",
-       [](Fleet& f, int n) {
+       [](Fleet& fleet, int count) {
          const double since = UnixNow();
-         f.Signal(0, SIGKILL);
-         const bool right = f.Until([&] { return f.All(Range(1, n), "some missing"); });
-         for (int i : Range(1, n)) {
-           const auto said = ReadLog(f.logs[static_cast<std::size_t>(i)]);
-           const auto found = std::ranges::find(said, 0, &Said::dead);
-           f.never_found += found == said.end();
-           if (found != said.end()) f.detected.push_back(found->at - since);
+         fleet.Signal(0, SIGKILL);
+         const bool as_expected =
+             fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(1, count), "some missing"); });
+         for (int i : InstanceRange(1, count)) {
+           const auto events = ReadLog(fleet.logs[static_cast<std::size_t>(i)]);
+           const auto death = std::ranges::find(events, 0, &LogEvent::dead);
+           fleet.undetected += death == events.end();
+           if (death != events.end()) fleet.detection_s.push_back(death->at - since);
          }
-         const double again = UnixNow();
-         return f.Again(0) && right && f.Until([&] { return f.All(Range(0, n), "whole", again); });
+         const double restarted_at = UnixNow();
+         return fleet.Restart(0) && as_expected && fleet.RunUntil([&] {
+           return fleet.AllReport(InstanceRange(0, count), "whole", restarted_at);
+         });
        }},
       {"restart",
-       [](Fleet& f, int n) {
-         for (int i : Range(0, n)) f.Signal(i, SIGKILL);
+       [](Fleet& fleet, int count) {
+         for (int i : InstanceRange(0, count)) fleet.Signal(i, SIGKILL);
          const double since = UnixNow();
          bool started = true;
-         for (int i : Range(0, n)) started = f.Again(i) && started;
-         return started && f.Until([&] { return f.All(Range(0, n), "whole", since); });
+         for (int i : InstanceRange(0, count)) started = fleet.Restart(i) && started;
+         return started &&
+                fleet.RunUntil([&] { return fleet.AllReport(InstanceRange(0, count), "whole", since); });
        }},
   };
   return all;
 }
 
-// What came of all scripts together.
-struct Sum {
-  int both = 0, wrongly_dead = 0, wrongly_dead_one_way = 0, never_found = 0, wrong_end = 0, crashed = 0;
-  double stale = 0;
-  std::vector<double> detected, healed;
+// The results of all scripts together.
+struct Totals {
+  int conflicting_majorities = 0, wrongly_dead = 0, wrongly_dead_one_way = 0, undetected = 0,
+      unexpected_end = 0, crashed = 0;
+  double stale_view_s = 0;
+  std::vector<double> detection_s, healing_s;
 };
 
-double Quantile(std::vector<double> of, double part) {
-  if (of.empty()) return -1;
-  std::ranges::sort(of);
-  return of[static_cast<std::size_t>(part * static_cast<double>(of.size() - 1))];
+double Quantile(std::vector<double> values, double fraction) {
+  if (values.empty()) return -1;
+  std::ranges::sort(values);
+  return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
 }
 
-void Play(const MembersOptions& options, const Script& script, nlohmann::json& json, Sum& sum) {
+void RunScript(const MembershipOptions& options, const Script& script, nlohmann::json& json, Totals& totals) {
   Fleet fleet(options, script.name);
-  const auto all = Range(0, options.instances);
-  const bool met = fleet.Until([&] { return fleet.All(all, "whole"); });
-  const std::uint64_t bytes = fleet.relay.bytes;
-  const double from = UnixNow();
-  const bool right = met && script.play(fleet, options.instances);
-  const double each = static_cast<double>(fleet.relay.bytes - bytes) / (UnixNow() - from) / options.instances;
-  const int larger = fleet.BothLarger(sum.stale);
-  // What was cut off, stopped or killed just before may be held dead as the news of its return goes round.
-  const int wrongly = fleet.WronglyDead(1e-3 * options.probe_ms * 20);
-  for (const auto& process : fleet.processes) sum.crashed += process->Crashed();
-  sum.both += larger;
-  (std::string(script.name) == "one_way" ? sum.wrongly_dead_one_way : sum.wrongly_dead) += wrongly;
-  sum.never_found += fleet.never_found;
-  sum.wrong_end += !right;
-  sum.detected.insert(sum.detected.end(), fleet.detected.begin(), fleet.detected.end());
-  sum.healed.insert(sum.healed.end(), fleet.healed.begin(), fleet.healed.end());
+  const auto all = InstanceRange(0, options.instances);
+  const bool converged = fleet.RunUntil([&] { return fleet.AllReport(all, "whole"); });
+  const std::uint64_t bytes_before = fleet.relay.bytes;
+  const double started_at = UnixNow();
+  const bool as_expected = converged && script.run(fleet, options.instances);
+  const double bytes_per_s =
+      static_cast<double>(fleet.relay.bytes - bytes_before) / (UnixNow() - started_at) / options.instances;
+  const int conflicts = fleet.CountConflictingMajorities(totals.stale_view_s);
+  // An instance that has just come back may still be declared dead while the gossip of its return spreads.
+  const int wrongly_dead = fleet.CountWronglyDead(1e-3 * options.probe_ms * 20);
+  for (const auto& process : fleet.processes) totals.crashed += process->Crashed();
+  totals.conflicting_majorities += conflicts;
+  (std::string(script.name) == "one_way" ? totals.wrongly_dead_one_way : totals.wrongly_dead) += wrongly_dead;
+  totals.undetected += fleet.undetected;
+  totals.unexpected_end += !as_expected;
+  totals.detection_s.insert(totals.detection_s.end(), fleet.detection_s.begin(), fleet.detection_s.end());
+  totals.healing_s.insert(totals.healing_s.end(), fleet.healing_s.begin(), fleet.healing_s.end());
   std::printf("%s%s: ended as it should: %s; both_larger %d, wrongly_dead %d, %.0f bytes a second each\n",
               script.name, options.plain ? " (plain)" : "",
-              right ? "yes"
-              : met ? "no"
-                    : "no, they did not meet",
-              larger, wrongly, each);
+              as_expected ? "yes"
+              : converged ? "no"
+                          : "no, they did not meet",
+              conflicts, wrongly_dead, bytes_per_s);
   std::fflush(stdout);
   if (options.plain) return;
-  json[script.name] = {
-      {"right", right}, {"both_larger", larger}, {"wrongly_dead", wrongly}, {"bytes_per_s", each}};
+  json[script.name] = {{"right", as_expected},
+                       {"both_larger", conflicts},
+                       {"wrongly_dead", wrongly_dead},
+                       {"bytes_per_s", bytes_per_s}};
 }
 
 }  // namespace
 
-int RunMembers(const MembersOptions& options) {
+int RunMembership(const MembershipOptions& options) {
   nlohmann::json json = {{"seed", options.seed}, {"instances", options.instances}};
-  Sum with, off;
+  Totals proven, plain_totals;
   for (const Script& script : Scripts()) {
-    if (options.only.empty() || options.only == script.name) Play(options, script, json, with);
+    if (options.only.empty() || options.only == script.name) RunScript(options, script, json, proven);
   }
-  // With the mechanism taken out: an odd number, so that two sides that share one may both see more than
-  // half.
-  MembersOptions plain = options;
+  // The plain protocol is run with an odd number of instances, so that two sides that share one instance can
+  // both see a majority.
+  MembershipOptions plain = options;
   plain.plain = true;
   plain.instances -= 1 - plain.instances % 2;
   for (const Script& script : Scripts()) {
     const std::string name = script.name;
-    if (options.compare && (name == "bridge" || name == "starved")) Play(plain, script, json, off);
+    if (options.compare && (name == "bridge" || name == "starved"))
+      RunScript(plain, script, json, plain_totals);
   }
-  const auto tell = [&json](const char* name, double value) {
+  const auto print = [&json](const char* name, double value) {
     std::printf("%s: %.6g\n", name, value);
     json[name] = value;
   };
-  tell("both_larger", with.both);
-  tell("wrongly_dead", with.wrongly_dead);
-  tell("wrongly_dead_one_way", with.wrongly_dead_one_way);
-  tell("never_found", with.never_found);
-  tell("stale_view_s", with.stale);
-  if (!with.detected.empty()) {
-    tell("detect_p50_ms", 1e3 * Quantile(with.detected, 0.5));
-    tell("detect_p99_ms", 1e3 * Quantile(with.detected, 0.99));
+  print("both_larger", proven.conflicting_majorities);
+  print("wrongly_dead", proven.wrongly_dead);
+  print("wrongly_dead_one_way", proven.wrongly_dead_one_way);
+  print("never_found", proven.undetected);
+  print("stale_view_s", proven.stale_view_s);
+  if (!proven.detection_s.empty()) {
+    print("detect_p50_ms", 1e3 * Quantile(proven.detection_s, 0.5));
+    print("detect_p99_ms", 1e3 * Quantile(proven.detection_s, 0.99));
   }
-  if (!with.healed.empty()) tell("heal_p99_ms", 1e3 * Quantile(with.healed, 0.99));
+  if (!proven.healing_s.empty()) print("heal_p99_ms", 1e3 * Quantile(proven.healing_s, 0.99));
   if (options.compare) {
-    tell("both_larger_off", off.both);
-    tell("wrongly_dead_off", off.wrongly_dead);
+    print("both_larger_off", plain_totals.conflicting_majorities);
+    print("wrongly_dead_off", plain_totals.wrongly_dead);
   }
-  tell("wrong_end", with.wrong_end);
-  tell("crashed", with.crashed + off.crashed);
+  print("wrong_end", proven.unexpected_end);
+  print("crashed", proven.crashed + plain_totals.crashed);
   if (!options.json.empty()) std::ofstream(options.json) << json.dump(2) << '\n';
-  const bool judged = !options.compare || (off.both > 0 && off.wrongly_dead > 0);
-  return with.both + with.wrongly_dead + with.never_found + with.wrong_end + with.crashed > 0 || !judged ? 1
-                                                                                                         : 0;
+  const bool check_proven =
+      !options.compare || (plain_totals.conflicting_majorities > 0 && plain_totals.wrongly_dead > 0);
+  return proven.conflicting_majorities + proven.wrongly_dead + proven.undetected + proven.unexpected_end +
+                         proven.crashed >
+                     0 ||
+                 !check_proven
+             ? 1
+             : 0;
 }
 
 }  // namespace lynxgrade::testbed
--- a/testbed/membership_run.h
+++ b/testbed/membership_run.h
@@ -1,5 +1,6 @@
-// Real pooler processes that know each other, with a relay between every two of them that drops, delays and
-// cuts by a script; what each says of its part of the fleet is judged against what is true.
+// Membership run: real pooler processes exchange datagrams through a relay that drops, delays and blocks them
+// by a script. What each process logs about its view is checked against which processes ran and which links
+// worked.
 #pragma once
 
 #include <cstdint>
@@ -7,21 +8,21 @@
 
 namespace lynxgrade::testbed {
 
-struct MembersOptions {
+struct MembershipOptions {
   std::string pooler;
   std::uint64_t seed = 1;
   int instances = 8;
   int probe_ms = 100;
-  std::string only;  // one script
+  std::string only;  // name of the one script to run; empty: all
   std::string json;
   bool keep_logs = false;
-  bool compare = false;  // two scripts once more with the mechanism taken out: faults have to show then
-  bool plain = false;    // taken out
+  bool compare = false;  // run two scripts again with the plain protocol, where faults must show
+  bool plain = false;    // run with the plain protocol
 };
 
-// Prints a figure a line; 0 where no two parts held themselves for the larger, nobody in reach was held dead
-// but on a one-way cut, no process crashed, each script ended as it should, and the judge saw faults where it
-// should.
-int RunMembers(const MembersOptions& options);
+// Prints one figure per line. Returns 0 if no two views claimed a majority at once, no reachable process was
+// declared dead (other than by a one-way partition), no process crashed, each script ended as expected and,
+// with `compare`, the plain protocol showed faults; else 1.
+int RunMembership(const MembershipOptions& options);
 
 }  // namespace lynxgrade::testbed
--- a/testbed/pooler_process.cpp
+++ b/testbed/pooler_process.cpp
@@ -13,18 +13,18 @@
 
 namespace lynxgrade::testbed {
 
-Folder::Folder() {
+TemporaryFolder::TemporaryFolder() {
   std::string name = (std::filesystem::temp_directory_path() / "lynxgrade-testbed-XXXXXX").string();
-  if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no temporary folder to be had");
+  if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create a temporary folder");
   path_ = name;
 }
 
-Folder::~Folder() {
+TemporaryFolder::~TemporaryFolder() {
   std::error_code ignored;
   std::filesystem::remove_all(path_, ignored);
 }
 
-std::string Folder::Write(const std::string& name, const std::string& text) const {
+std::string TemporaryFolder::Write(const std::string& name, const std::string& text) const {
   const std::string path = path_ + "/" + name;
   std::ofstream(path, std::ios::binary) << text;
   return path;
@@ -39,17 +39,18 @@
   const bool bound = fd >= 0 && bind(fd, reinterpret_cast<sockaddr*>(&address), size) == 0 &&
                      getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) == 0;
   if (fd >= 0) close(fd);
-  if (!bound) throw std::runtime_error("no free port to be had");
+  if (!bound) throw std::runtime_error("cannot find a free port");
   return ntohs(address.sin_port);
 }
 
-std::string ConfigFor(const std::string& name, std::uint16_t port, std::uint16_t discovery,
-                      const std::string& server_checks) {
+std::string MakePlatformConfig(const std::string& name, std::uint16_t port, std::uint16_t discovery_port,
+                               const std::string& server_checks) {
   using Json = nlohmann::json;
-  const auto cls = [](const char* of, const char* effect, int aim_ms, int deadline_ms, double worth) {
-    return Json{{"name", of},
+  const auto cls = [](const char* class_name, const char* effect, int objective_ms, int deadline_ms,
+                      double worth) {
+    return Json{{"name", class_name},
                 {"effect", effect},
-                {"objective_us", aim_ms * 1000},
+                {"objective_us", objective_ms * 1000},
                 {"deadline_us", deadline_ms * 1000},
                 {"key_scope", "cell"},
                 {"repeat_window_us", 3000000},
@@ -92,7 +93,7 @@
         {"list_role", "off"}}}};
   return Json{{"name", name},
               {"listen", "127.0.0.1:" + std::to_string(port)},
-              {"discovery", "127.0.0.1:" + std::to_string(discovery)},
+              {"discovery", "127.0.0.1:" + std::to_string(discovery_port)},
               {"seed", "8c1f30d27a5be964"},
               {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
               {"settings", settings}}
@@ -100,7 +101,7 @@
 }
 
 PoolerProcess::~PoolerProcess() {
-  if (running()) End(SIGKILL);
+  if (running()) Stop(SIGKILL);
 }
 
 std::string PoolerProcess::Start() {
@@ -108,13 +109,14 @@
       g_subprocess_launcher_new(G_SUBPROCESS_FLAGS_STDERR_MERGE));
   g_subprocess_launcher_setenv(launcher.get(), "RELAY_CONFIG", files_.config.c_str(), TRUE);
   g_subprocess_launcher_set_stdout_file_path(launcher.get(), files_.log.c_str());
-  std::vector<const char*> words = {files_.program.c_str()};
+  std::vector<const char*> arguments = {files_.program.c_str()};
   if (!files_.settings.empty()) {
-    for (const char* word : {"serve", "--settings", files_.settings.c_str()}) words.push_back(word);
+    for (const char* argument : {"serve", "--settings", files_.settings.c_str()})
+      arguments.push_back(argument);
   }
-  words.push_back(nullptr);
+  arguments.push_back(nullptr);
   net::ErrorSlot error;
-  process_.reset(g_subprocess_launcher_spawnv(launcher.get(), words.data(), error.out()));
+  process_.reset(g_subprocess_launcher_spawnv(launcher.get(), arguments.data(), error.out()));
   return process_ == nullptr ? error.message() : std::string();
 }
 
@@ -122,14 +124,14 @@
   if (running()) g_subprocess_send_signal(process_.get(), signal);
 }
 
-void PoolerProcess::End(int signal) {
+void PoolerProcess::Stop(int signal) {
   if (!running()) return;
   g_subprocess_send_signal(process_.get(), signal);
   g_subprocess_wait(process_.get(), nullptr, nullptr);
   process_.reset();
 }
 
-int PoolerProcess::number() const {
+int PoolerProcess::pid() const {
   const char* text = running() ? g_subprocess_get_identifier(process_.get()) : nullptr;
   return text == nullptr ? 0 : std::atoi(text);
 }
@@ -138,7 +140,7 @@
   return running() && g_subprocess_get_identifier(process_.get()) == nullptr;
 }
 
-std::string DefaultPooler() {
+std::string DefaultPoolerProgram() {
   return (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "lynxgrade").string();
 }
 
--- a/testbed/pooler_process.h
+++ b/testbed/pooler_process.h
@@ -1,4 +1,4 @@
-// Real pooler processes under the laboratory's control: their files, their start, their end by signal.
+// Real pooler processes as children of the testbed: their files, start and signals.
 #pragma once
 
 #include <gio/gio.h>
@@ -11,13 +11,14 @@
 
 namespace lynxgrade::testbed {
 
-// A folder of its own under the system's temporary one; removed with all that it holds.
-class Folder {
+// A new folder under the system's temporary folder, removed with its contents by the destructor. The
+// constructor throws std::runtime_error if it cannot be created.
+class TemporaryFolder {
  public:
-  Folder();
-  ~Folder();
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TemporaryFolder();
+  ~TemporaryFolder();
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
   const std::string& path() const { return path_; }
   std::string Write(const std::string& name, const std::string& text) const;
 
@@ -25,30 +26,32 @@
   std::string path_;
 };
 
-// A port that was free a moment ago, for TCP or UDP on loopback.
+// A TCP or UDP port on loopback that was free at the time of the call. Throws std::runtime_error if there is
+// none.
 std::uint16_t FreePort(bool udp);
 
-// The platform's configuration for a pooler before the stand-ins.
-std::string ConfigFor(const std::string& name, std::uint16_t port, std::uint16_t discovery,
-                      const std::string& server_checks);
+// The platform's configuration file of a pooler that serves the simulated data servers.
+std::string MakePlatformConfig(const std::string& name, std::uint16_t port, std::uint16_t discovery_port,
+                               const std::string& server_checks);
 
+// One pooler process. The destructor kills it if it still runs.
 class PoolerProcess {
  public:
   struct Files {
-    std::string program, config, settings, log;  // no settings: started as the platform does
+    std::string program, config, settings, log;  // paths; empty settings: started as the platform starts it
   };
   explicit PoolerProcess(Files files) : files_(std::move(files)) {}
   ~PoolerProcess();
 
-  // Empty, or why it could not be started.
+  // Returns an error message, empty on success.
   std::string Start();
-  // Sends the signal and waits for the end.
-  void End(int signal);
+  // Sends the signal and waits until the process has exited.
+  void Stop(int signal);
   void Signal(int signal);
   bool running() const { return process_ != nullptr; }
-  // As the system numbers it; 0 where it does not run.
-  int number() const;
-  // Whether it ended by itself.
+  // Process id; 0 if it does not run.
+  int pid() const;
+  // Whether it exited without having been stopped.
   bool Crashed() const;
 
  private:
@@ -56,7 +59,7 @@
   net::ObjectPtr<GSubprocess> process_;
 };
 
-// Beside this program.
-std::string DefaultPooler();
+// The pooler program in the folder of this program.
+std::string DefaultPoolerProgram();
 
 }  // namespace lynxgrade::testbed
--- a/testbed/relay.h
+++ b/testbed/relay.h
@@ -1,6 +1,6 @@
-// A relay between poolers that loses, delays and cuts what they say to each other. One socket stands for each
-// instance: what another sends there is passed on from that other's own, so an answer finds its way back
-// through the relay as well.
+// A UDP relay between poolers that drops, delays and blocks their datagrams. It has one socket per instance.
+// A datagram that arrives at the socket of its destination is forwarded from the socket of its sender, so
+// that the reply passes through the relay as well.
 #pragma once
 
 #include <arpa/inet.h>
@@ -30,17 +30,18 @@
   return address;
 }
 
+// Runs on the loop's thread. The constructor throws std::runtime_error if a socket cannot be opened.
 class Relay final : private net::Poller::Handler {
  public:
   Relay(net::Loop& loop, int instances, std::uint64_t seed)
-      : loop_(loop), random_(seed), landing_(loop), flood_(loop) {
+      : loop_(loop), random_(seed), delivery_timer_(loop), flood_timer_(loop) {
     for (int i = 0; i < instances; ++i) {
       const int fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
       sockaddr_in address = Loopback(0);
       socklen_t size = sizeof address;
       if (fd < 0 || bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
           getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
-        throw std::runtime_error("the relay gets no socket");
+        throw std::runtime_error("the relay cannot open a UDP socket");
       }
       sockets_.push_back(fd);
       ports_.push_back(ntohs(address.sin_port));
@@ -53,24 +54,27 @@
       close(fd);
     }
   }
-  std::uint16_t port(int of) const { return ports_[static_cast<std::size_t>(of)]; }
-  void Behind(const std::vector<std::uint16_t>& real) { real_ = real; }
+  std::uint16_t port(int instance) const { return ports_[static_cast<std::size_t>(instance)]; }
+  // The ports on which the instances listen, by instance. To be set before the first datagram.
+  void SetDestinations(const std::vector<std::uint16_t>& ports) { destination_ports_ = ports; }
 
-  // Forged datagrams to an instance, 10,000 a second, every other one a true one sent again.
-  void Flood(int to, Duration left) {
+  // Sends an instance 10,000 datagrams per second for the given time: forged ones and, every second one, a
+  // replay of a real one.
+  void Flood(int to, Duration time_left) {
     for (int i = 0; i < 50; ++i) {
-      std::string datagram = last_;
+      std::string datagram = last_datagram_;
       if (i % 2 == 0) std::ranges::generate(datagram, [this] { return static_cast<char>(random_()); });
       Deliver(1, to, datagram);
     }
-    if (left <= Duration{0}) return;
-    flood_.ScheduleAfter(Duration(5000), [this, to, left] { Flood(to, left - Duration(5000)); });
+    if (time_left <= Duration{0}) return;
+    flood_timer_.ScheduleAfter(Duration(5000),
+                               [this, to, time_left] { Flood(to, time_left - Duration(5000)); });
   }
 
-  std::set<std::pair<int, int>> cut;  // from, to
-  int loss = 0;                       // percent
+  std::set<std::pair<int, int>> blocked_links;  // from, to
+  int loss_percent = 0;
   Duration delay{0}, jitter{0};
-  std::uint64_t bytes = 0;
+  std::uint64_t bytes = 0;  // received from all instances
 
  private:
   void OnEvents(std::uint32_t) override {
@@ -80,37 +84,37 @@
       socklen_t size = sizeof sender;
       for (ssize_t n; (n = recvfrom(sockets_[to], buffer, sizeof buffer, 0,
                                     reinterpret_cast<sockaddr*>(&sender), &size)) >= 0;) {
-        const auto from = std::ranges::find(real_, ntohs(sender.sin_port));
-        if (from == real_.end()) continue;
-        Pass(static_cast<int>(from - real_.begin()), static_cast<int>(to),
-             {buffer, static_cast<std::size_t>(n)});
+        const auto from = std::ranges::find(destination_ports_, ntohs(sender.sin_port));
+        if (from == destination_ports_.end()) continue;
+        Forward(static_cast<int>(from - destination_ports_.begin()), static_cast<int>(to),
+                {buffer, static_cast<std::size_t>(n)});
       }
     }
   }
 
-  void Pass(int from, int to, std::string datagram) {
+  void Forward(int from, int to, std::string datagram) {
     bytes += datagram.size();
-    if (to == 0) last_ = datagram;
-    if (cut.contains({from, to}) || static_cast<int>(random_() % 100) < loss) return;
-    const Duration late = delay + jitter * static_cast<std::int64_t>(random_() % 100) / 100;
-    if (late == Duration{0}) return Deliver(from, to, datagram);
-    flying_.emplace(loop_.Now() + late, Flying{from, to, std::move(datagram)});
-    Land();
+    if (to == 0) last_datagram_ = datagram;
+    if (blocked_links.contains({from, to}) || static_cast<int>(random_() % 100) < loss_percent) return;
+    const Duration latency = delay + jitter * static_cast<std::int64_t>(random_() % 100) / 100;
+    if (latency == Duration{0}) return Deliver(from, to, datagram);
+    in_flight_.emplace(loop_.Now() + latency, InFlight{from, to, std::move(datagram)});
+    DeliverDue();
   }
 
-  // Delivers what is due, and waits for the next.
-  void Land() {
-    while (!flying_.empty() && flying_.begin()->first <= loop_.Now()) {
-      const Flying due = std::move(flying_.begin()->second);
-      flying_.erase(flying_.begin());
+  // Delivers the datagrams that are due and schedules the next delivery.
+  void DeliverDue() {
+    while (!in_flight_.empty() && in_flight_.begin()->first <= loop_.Now()) {
+      const InFlight due = std::move(in_flight_.begin()->second);
+      in_flight_.erase(in_flight_.begin());
       Deliver(due.from, due.to, due.datagram);
     }
-    if (flying_.empty()) return;
-    landing_.ScheduleAfter(flying_.begin()->first - loop_.Now(), [this] { Land(); });
+    if (in_flight_.empty()) return;
+    delivery_timer_.ScheduleAfter(in_flight_.begin()->first - loop_.Now(), [this] { DeliverDue(); });
   }
 
   void Deliver(int from, int to, const std::string& datagram) {
-    const sockaddr_in address = Loopback(real_[static_cast<std::size_t>(to)]);
+    const sockaddr_in address = Loopback(destination_ports_[static_cast<std::size_t>(to)]);
     sendto(sockets_[static_cast<std::size_t>(from)], datagram.data(), datagram.size(), 0,
            reinterpret_cast<const sockaddr*>(&address), sizeof address);
   }
@@ -118,14 +122,14 @@
   net::Loop& loop_;
   std::mt19937_64 random_;
   std::vector<int> sockets_;
-  std::vector<std::uint16_t> ports_, real_;
-  struct Flying {
+  std::vector<std::uint16_t> ports_, destination_ports_;
+  struct InFlight {
     int from, to;
     std::string datagram;
   };
-  std::multimap<TimePoint, Flying> flying_;
-  net::Timer landing_, flood_;
-  std::string last_ = std::string(200, 'x');  // datagram passed on to instance 0
+  std::multimap<TimePoint, InFlight> in_flight_;
+  net::Timer delivery_timer_, flood_timer_;
+  std::string last_datagram_ = std::string(200, 'x');  // the last one sent to instance 0
 };
 
 }  // namespace lynxgrade::testbed
--- a/testbed/scale_databases.h
+++ b/testbed/scale_databases.h
@@ -1,6 +1,6 @@
-// Hollow databases: groups of a primary and replicas that answer from a table, without sockets. Positions are
-// times, as the stand-ins tell them; who is primary, and from when on, is told by the coordinator ahead of
-// the time, so that all hosts hold the same.
+// Simulated databases: groups of a primary and replicas whose state is computed from the time, without
+// sockets. Log positions are times, as with the simulated data servers. The coordinator announces each
+// failure and promotion ahead of its time, so that all host processes compute the same state.
 #pragma once
 
 #include <cstdint>
@@ -11,61 +11,61 @@
 
 namespace lynxgrade::testbed {
 
-// What data some member holds: all up to a position, on one line of reigns.
-struct Held {
+// The data of a member: all commits up to a position on a timeline.
+struct DataState {
   LogPosition position{};
-  std::size_t reign = 0;  // 0: the first
+  std::size_t timeline = 0;  // number of promotions in the group so far
 };
 
-class Databases {
+class SimulatedDatabases {
  public:
-  // How long each group has, in members.
-  explicit Databases(const std::vector<int>& groups);
+  // The number of members of each group.
+  explicit SimulatedDatabases(const std::vector<int>& groups);
 
-  struct Where {
+  struct Member {
     std::size_t group = 0, member = 0;
   };
-  // Of the i-th database, in the order of groups.
-  Where At(std::size_t database) const { return where_[database]; }
-  std::size_t size() const { return where_.size(); }
+  // The member that the i-th database is, counted in the order of groups.
+  Member MemberAt(std::size_t database) const { return members_[database]; }
+  std::size_t size() const { return members_.size(); }
   std::size_t groups() const { return groups_.size(); }
 
-  // From `at` on. A primary's end leaves its group without one until the next reign.
-  void Die(std::size_t group, std::size_t member, TimePoint at);
-  void Return(std::size_t group, std::size_t member, TimePoint at);
+  // These take effect at the time `at`. After a primary's failure its group has no primary until a promotion.
+  void Fail(std::size_t group, std::size_t member, TimePoint at);
+  void Recover(std::size_t group, std::size_t member, TimePoint at);
   void Promote(std::size_t group, std::size_t member, TimePoint at);
 
-  bool Up(Where where, TimePoint now) const;
-  bool IsPrimary(Where where, TimePoint now) const;
-  // The position that it tells, in whole milliseconds.
-  LogPosition Tells(Where where, TimePoint now) const;
-  Held Holds(Where where, TimePoint now) const;
-  // A commit there; absent where it is not primary.
-  std::optional<Held> Commit(Where where, TimePoint now) const;
-  // Whether what is held has a write that was answered as `wrote`.
-  bool Has(std::size_t group, const Held& held, const Held& wrote) const;
+  bool IsUp(Member member, TimePoint now) const;
+  bool IsPrimary(Member member, TimePoint now) const;
+  // The log position that the member reports, in whole milliseconds.
+  LogPosition ReportedPosition(Member member, TimePoint now) const;
+  DataState StateOf(Member member, TimePoint now) const;
+  // Commits on the member; empty if it is not the primary.
+  std::optional<DataState> Commit(Member member, TimePoint now) const;
+  // Whether the data contains the write that was acknowledged as `write`.
+  bool Contains(std::size_t group, const DataState& state, const DataState& write) const;
 
  private:
   struct Outage {
     TimePoint from{}, to = TimePoint::max();
   };
-  struct Reigning {
-    std::size_t member = 0;
+  struct Timeline {
+    std::size_t member = 0;  // the primary
     TimePoint since{};
     TimePoint until = TimePoint::max();
-    LogPosition had{};  // of the reign before, all up to here
+    LogPosition inherited_up_to{};  // commits of the former timeline after this position are lost
   };
   struct Group {
     std::vector<std::vector<Outage>> down;  // by member
-    std::vector<Reigning> timelines;
+    std::vector<Timeline> timelines;
   };
 
-  Duration DelayOf(const Group& group, std::size_t member) const;
-  // The reign at a time, or the last before it; whether it is over.
-  std::size_t ReignAt(const Group& group, TimePoint now) const;
+  Duration ReplicationDelay(const Group& group, std::size_t member) const;
+  // Index of the newest timeline that has started by `now`; its primary may have failed since.
+  std::size_t TimelineAt(const Group& group, TimePoint now) const;
 
   std::vector<Group> groups_;
-  std::vector<Where> where_;
+  std::vector<Member> members_;
 };
 
 }  // namespace lynxgrade::testbed
--- a/testbed/scale_run.h
+++ b/testbed/scale_run.h
@@ -1,12 +1,14 @@
-// The scale run: hollow poolers by the hundred beside real ones, before stand-ins for discovery and
-// databases, by a script. It measures what an instance sends, takes and spends, and judges what was answered.
+// Scale run: hundreds of simulated poolers beside real ones, with simulated discovery servers and databases,
+// follow a script. The run measures the traffic, CPU time and memory per instance, and checks the responses
+// for stale reads.
 #pragma once
 
 #include "scale_script.h"
 
 namespace lynxgrade::testbed {
 
-// Prints a figure a line; 0 where nobody crashed, no stale read was served and all met before it began.
+// Prints one figure per line. Returns 0 if no process crashed, no stale read was served and the membership
+// had converged before the measurement, 2 if the run is not possible on this machine, else 1.
 int RunScale(const ScaleOptions& options);
 
 }  // namespace lynxgrade::testbed
--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -23,11 +23,11 @@
 
 TEST_CASE("sizes and scripts that cannot be played are refused with a sentence") {
   ScaleOptions options;
-  CHECK(WhyNotPlayed(options, kLarge) == "");
+  CHECK(ValidateScaleOptions(options, kLarge) == "");
   const auto refused = [&](auto change) {
     ScaleOptions wrong = options;
     change(wrong);
-    return WhyNotPlayed(wrong, kLarge);
+    return ValidateScaleOptions(wrong, kLarge);
   };
   CHECK(refused([](auto& o) { o.script = "flood"; }).find("there is no script \"flood\": quiet, ") == 0);
   CHECK(refused([](auto& o) { o.watermarks = "some"; }).find("marks") == 0);
@@ -64,12 +64,13 @@
   ScaleOptions options;
   options.poolers = 820;
   options.real = 0;
-  CHECK(WhyNotPlayed(options, kLarge) == "");
-  CHECK(WhyNotPlayed(options, {20000, 500, 10000}).find("MB of memory and may take 500") !=
+  CHECK(ValidateScaleOptions(options, kLarge) == "");
+  CHECK(ValidateScaleOptions(options, {20000, 500, 10000}).find("MB of memory and may take 500") !=
+        std::string::npos);
+  CHECK(ValidateScaleOptions(options, {256, 20000, 10000}).find("descriptors and may hold 256") !=
         std::string::npos);
-  CHECK(WhyNotPlayed(options, {256, 20000, 10000}).find("descriptors and may hold 256") != std::string::npos);
   options.poolers = 40;
-  CHECK(WhyNotPlayed(options, {1024, 1000, 10000}) == "");
+  CHECK(ValidateScaleOptions(options, {1024, 1000, 10000}) == "");
 }
 
 TEST_CASE("a machine with too few cores for the size is named before anything is started") {
@@ -78,13 +79,13 @@
   options.watermarks = "directory";
   const Machine eight{20000, 20000, 8};
   options.poolers = 205;
-  CHECK(WhyNotPlayed(options, eight) == "");
+  CHECK(ValidateScaleOptions(options, eight) == "");
   // Each to each grows with the square of the size.
   options.watermarks = "each";
   options.poolers = 100;
-  CHECK(WhyNotPlayed(options, eight) == "");
+  CHECK(ValidateScaleOptions(options, eight) == "");
   options.poolers = 820;
-  const std::string wrong = WhyNotPlayed(options, eight);
+  const std::string wrong = ValidateScaleOptions(options, eight);
   CHECK(wrong.find("the run would keep ") == 0);
   CHECK(wrong.find(" cores busy and may take 6.4 of 8") != std::string::npos);
   // Each part of the work asks for its own.
@@ -92,7 +93,7 @@
     ScaleOptions other;
     other.watermarks = "directory";
     change(other);
-    return CoresFor(other);
+    return EstimatedCores(other);
   };
   const double least = cores([](auto&) {});
   CHECK(least > 0);
@@ -112,11 +113,11 @@
   options.alone = 4;
   options.owners = 7;
   options.watermarks = "directory";
-  CHECK(WhyNotPlayed(options, kLarge) == "");
+  CHECK(ValidateScaleOptions(options, kLarge) == "");
   std::set<int> zones;
   for (int i = 0; i < options.poolers; ++i) {
     CHECK(IsOwner(options, i) == (i >= 6 && i < 13));
-    if (IsOwner(options, i)) zones.insert(PlaceOf(i, options.real).zone);
+    if (IsOwner(options, i)) zones.insert(PlacementOf(i, options.real).zone);
   }
   CHECK(zones.size() == 7);
   ScaleSpec spec;
@@ -136,10 +137,10 @@
   CHECK(!spec.IsOwner(64));  // nor one that replaces another
   // Those are never replaced; a rack and a zone take one with them, and a cut parts them.
   options.script = "replaced";
-  for (const Step& step : StepsOf(options, 4)) CHECK(!IsOwner(options, step.who.front()));
+  for (const Step& step : MakeSteps(options, 4)) CHECK(!IsOwner(options, step.targets.front()));
   const auto owners = [&](const char* script) {
     options.script = script;
-    return std::ranges::count_if(StepsOf(options, 4).front().who,
+    return std::ranges::count_if(MakeSteps(options, 4).front().targets,
                                  [&](int pooler) { return IsOwner(options, pooler); });
   };
   CHECK(owners("rack") == 1);
@@ -160,11 +161,11 @@
   std::mt19937_64 random(1);
   int writes = 0, own_reads = 0, at_home = 0;
   for (int i = 0; i < 100000; ++i) {
-    const Drawn drawn = Draw(spec, 3, random);
+    const DrawnStatement drawn = DrawStatement(spec, 3, random);
     writes += drawn.cls == kMatchWrite;
     own_reads += drawn.cls == kOwnRead;
-    CHECK(drawn.session < static_cast<std::size_t>(10 * kSessionsEach));
-    at_home += drawn.session / kSessionsEach == 3;
+    CHECK(drawn.session < static_cast<std::size_t>(10 * kSessionsPerPooler));
+    at_home += drawn.session / kSessionsPerPooler == 3;
   }
   CHECK(writes == doctest::Approx(5000).epsilon(0.05));
   CHECK(own_reads == doctest::Approx(14000).epsilon(0.05));
@@ -175,27 +176,27 @@
   ScaleOptions options;
   options.poolers = 72;
   options.real = 2;
-  for (const std::string& script : ScaleScripts()) {
+  for (const std::string& script : ScaleScriptNames()) {
     for (const int seconds : {5, 20, 60}) {
       options.script = script;
       options.seconds = seconds;
-      const auto steps = StepsOf(options, 4);
+      const auto steps = MakeSteps(options, 4);
       CAPTURE(script);
       CHECK(steps.empty() == (script == "quiet" || script == "load"));
       for (const Step& step : steps) {
         CHECK(step.at > Duration{0});
         CHECK(step.at < Duration(seconds * 1'000'000));
-        if (step.what == Step::What::kPrimary) continue;
-        for (const int who : step.who) CHECK(who >= options.real);
+        if (step.action == Step::Action::kPrimary) continue;
+        for (const int who : step.targets) CHECK(who >= options.real);
       }
       CHECK(std::ranges::is_sorted(steps, {}, &Step::at));
-      CHECK(ScriptCompressed(options, 4) > 0);
+      CHECK(ScriptSpeedup(options, 4) > 0);
     }
   }
 }
 
 TEST_CASE("each script does what it is called") {
-  using What = Step::What;
+  using Action = Step::Action;
   ScaleOptions options;
   options.poolers = 205;
   options.real = 0;
@@ -203,35 +204,35 @@
   options.watermarks = "directory";
   const auto steps = [&](const char* script) {
     options.script = script;
-    return StepsOf(options, 244);
+    return MakeSteps(options, 244);
   };
   for (const char* script : {"rack", "zone"}) {
     const auto gone = steps(script);
     REQUIRE(gone.size() == 2);
-    CHECK(gone[0].what == What::kKill);
-    CHECK(gone[1].what == What::kRestart);
+    CHECK(gone[0].action == Action::kKill);
+    CHECK(gone[1].action == Action::kRestart);
     CHECK(gone[1].at - gone[0].at >= Duration(5'000'000));  // long enough to be held dead
-    CHECK(gone[0].who == gone[1].who);
+    CHECK(gone[0].targets == gone[1].targets);
     std::set<int> zones;
-    for (const int who : gone[0].who) zones.insert(PlaceOf(who, 0).zone);
+    for (const int who : gone[0].targets) zones.insert(PlacementOf(who, 0).zone);
     CHECK(zones.size() == 1);
   }
   const auto cut = steps("regions");
   REQUIRE(cut.size() == 2);
-  CHECK(cut[0].what == What::kCut);
-  CHECK(cut[1].what == What::kHeal);
-  CHECK(cut[0].who.size() == 87);
-  for (const int who : cut[0].who) CHECK(PlaceOf(who, 0).region == 1);
+  CHECK(cut[0].action == Action::kCut);
+  CHECK(cut[1].action == Action::kHeal);
+  CHECK(cut[0].targets.size() == 87);
+  for (const int who : cut[0].targets) CHECK(PlacementOf(who, 0).region == 1);
   for (const Step& step : steps("replaced")) {
-    CHECK(step.what == What::kReplace);
-    CHECK(step.who.size() == 1);
+    CHECK(step.action == Action::kReplace);
+    CHECK(step.targets.size() == 1);
   }
   REQUIRE(steps("configuration").size() == 1);
-  CHECK(steps("configuration")[0].what == What::kConfiguration);
+  CHECK(steps("configuration")[0].action == Action::kConfiguration);
   std::set<int> groups;
   for (const Step& step : steps("primaries")) {
-    CHECK(step.what == What::kPrimary);
-    groups.insert(step.who.begin(), step.who.end());
+    CHECK(step.action == Action::kPrimary);
+    groups.insert(step.targets.begin(), step.targets.end());
   }
   CHECK(groups.size() == steps("primaries").size());
   CHECK(groups.size() == 4);
@@ -239,7 +240,7 @@
 
 TEST_CASE("the news of the meeting takes longer where no marks carry it, and for more poolers") {
   ScaleOptions options;
-  const auto seconds = [&] { return static_cast<double>(NewsOfMeeting(options).count()) * 1e-6; };
+  const auto seconds = [&] { return static_cast<double>(StartupGossipTime(options).count()) * 1e-6; };
   CHECK(seconds() == 3);
   options.script = "load";
   CHECK(seconds() == 13);
@@ -257,65 +258,65 @@
   options.real = 0;
   const auto who = [&](const char* script) {
     options.script = script;
-    return StepsOf(options, 4).front().who.size();
+    return MakeSteps(options, 4).front().targets.size();
   };
   CHECK(who("zone") == 20);
   CHECK(who("rack") == 10);
   CHECK(who("regions") == 60);
-  CHECK(PlaceOf(6, 0).zone == 6);
-  CHECK(PlaceOf(6, 0).region == 1);
-  CHECK(PlaceOf(6, 7).region == 0);  // real ones stand in the first
+  CHECK(PlacementOf(6, 0).zone == 6);
+  CHECK(PlacementOf(6, 0).region == 1);
+  CHECK(PlacementOf(6, 7).region == 0);  // real ones stand in the first
   options.script = "replaced";
   std::set<int> replaced;
-  for (const Step& step : StepsOf(options, 4)) replaced.insert(step.who.front());
-  CHECK(replaced.size() == StepsOf(options, 4).size());
+  for (const Step& step : MakeSteps(options, 4)) replaced.insert(step.targets.front());
+  CHECK(replaced.size() == MakeSteps(options, 4).size());
 }
 
 TEST_CASE("how much faster than at the target events come") {
   ScaleOptions options;
   options.script = "regions";
   options.seconds = 20;
-  CHECK(ScriptCompressed(options, 4) == doctest::Approx(300 / 9.0));
+  CHECK(ScriptSpeedup(options, 4) == doctest::Approx(300 / 9.0));
   options.script = "configuration";
-  CHECK(ScriptCompressed(options, 4) == doctest::Approx(86400 / 20.0 / 290));
+  CHECK(ScriptSpeedup(options, 4) == doctest::Approx(86400 / 20.0 / 290));
   options.script = "quiet";
-  CHECK(ChangesPerS(options) == 0);
-  CHECK(ListCompressed(options) == 1);
+  CHECK(ListChangesPerS(options) == 0);
+  CHECK(ListSpeedup(options) == 1);
   options.changes_per_s = 1;
-  CHECK(ListCompressed(options) == doctest::Approx(86400 / (93 * 730.0 / 1147)));
+  CHECK(ListSpeedup(options) == doctest::Approx(86400 / (93 * 730.0 / 1147)));
 }
 
 TEST_CASE("hollow databases: a replica is late, a primary's end loses what was not shipped") {
-  Databases databases({3, 3, 1});
+  SimulatedDatabases databases({3, 3, 1});
   CHECK(databases.size() == 7);
-  CHECK(databases.At(4).group == 1);
-  CHECK(databases.At(4).member == 1);
-  const Databases::Where primary{0, 0}, replica{0, 1}, other{0, 2};
+  CHECK(databases.MemberAt(4).group == 1);
+  CHECK(databases.MemberAt(4).member == 1);
+  const SimulatedDatabases::Member primary{0, 0}, replica{0, 1}, other{0, 2};
   CHECK(databases.IsPrimary(primary, At(100)));
   CHECK(!databases.Commit(replica, At(100)));
-  const Held early = *databases.Commit(primary, At(100)), late = *databases.Commit(primary, At(498));
-  CHECK(databases.Has(0, databases.Holds(primary, At(100)), early));
-  CHECK(!databases.Has(0, databases.Holds(replica, At(100)), early));
-  CHECK(databases.Has(0, databases.Holds(replica, At(120)), early));
-  databases.Die(0, 0, At(500));
-  CHECK(!databases.Up(primary, At(500)));
+  const DataState early = *databases.Commit(primary, At(100)), late = *databases.Commit(primary, At(498));
+  CHECK(databases.Contains(0, databases.StateOf(primary, At(100)), early));
+  CHECK(!databases.Contains(0, databases.StateOf(replica, At(100)), early));
+  CHECK(databases.Contains(0, databases.StateOf(replica, At(120)), early));
+  databases.Fail(0, 0, At(500));
+  CHECK(!databases.IsUp(primary, At(500)));
   CHECK(!databases.Commit(primary, At(500)));
   CHECK(databases.Commit(primary, At(499)));  // it was told ahead
-  CHECK(databases.Holds(replica, At(900)).position < At(500));
+  CHECK(databases.StateOf(replica, At(900)).position < At(500));
   databases.Promote(0, 1, At(2000));
   CHECK(!databases.Commit(replica, At(1999)));
-  const Held next = *databases.Commit(replica, At(2000));
-  CHECK(next.reign == 1);
+  const DataState next = *databases.Commit(replica, At(2000));
+  CHECK(next.timeline == 1);
   // It has what it had before, though its position is past all.
-  CHECK(databases.Has(0, next, early));
+  CHECK(databases.Contains(0, next, early));
   CHECK(late.position < next.position);
-  CHECK(!databases.Has(0, next, late));
-  CHECK(!databases.Has(0, databases.Holds(other, At(3000)), late));
-  CHECK(databases.Has(0, databases.Holds(other, At(3000)), next));
-  databases.Return(0, 0, At(4000));
-  CHECK(databases.Up(primary, At(4000)));
+  CHECK(!databases.Contains(0, next, late));
+  CHECK(!databases.Contains(0, databases.StateOf(other, At(3000)), late));
+  CHECK(databases.Contains(0, databases.StateOf(other, At(3000)), next));
+  databases.Recover(0, 0, At(4000));
+  CHECK(databases.IsUp(primary, At(4000)));
   CHECK(!databases.IsPrimary(primary, At(4000)));
-  CHECK(!databases.Has(0, databases.Holds(primary, At(5000)), late));
+  CHECK(!databases.Contains(0, databases.StateOf(primary, At(5000)), late));
 }
 
 TEST_CASE("the files of a hollow pooler are those that a real one reads") {
@@ -326,10 +327,10 @@
   spec.udp = {4001, 4002, 4003};
   spec.discovery = 4000;
   spec.seed = 7;
-  const auto config = ParsePlatformConfig(ScaleConfigOf(spec, 1, 5000));
+  const auto config = ParsePlatformConfig(MakeScaleConfig(spec, 1, 5000));
   REQUIRE(config);
   CHECK(config->settings.peers_total == 3);
-  const auto setup = ParseProgramSettings(ScaleSettingsOf(spec, 1, {0, 1, 2}, 0));
+  const auto setup = ParseProgramSettings(MakeScaleSettings(spec, 1, {0, 1, 2}, 0));
   REQUIRE(setup);
   CHECK(setup->replication.seeds.size() == 2);
   CHECK(setup->replication.listen_address->port == 4002);
@@ -338,14 +339,14 @@
   spec.owners = 1;
   spec.bytes_per_s = 12000;
   for (const int pooler : {0, 1}) {
-    const auto read = ParseProgramSettings(ScaleSettingsOf(spec, pooler, {0, 1, 2}, 0));
+    const auto read = ParseProgramSettings(MakeScaleSettings(spec, pooler, {0, 1, 2}, 0));
     REQUIRE(read);
     CHECK(read->replication.dedicated_lease_manager == (pooler == 0));
     CHECK(read->replication.bytes_per_s == 12000);
   }
 }
 
-// ---- The seam -------------------------------------------------------------------------------------------
+// ---- The seam ----
 
 // Takes all that is sent and answers when it is told to.
 struct Silent final : proxy::Upstream {
@@ -383,7 +384,7 @@
     spec.poolers = 1;
     spec.udp = {1};
     spec.discovery = 1;  // nobody answers there
-    auto read = ParsePlatformConfig(ScaleConfigOf(spec, 0, 1));
+    auto read = ParsePlatformConfig(MakeScaleConfig(spec, 0, 1));
     config = std::move(read.value());
     config.known_endpoint_list =
         R"({"rev":3,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:9","az":"a","pod_group":1,)"
@@ -485,9 +486,9 @@
     spec.udp = {FreePort(true), FreePort(true)};
     spec.discovery = 1;  // nobody answers there
     for (std::size_t i = 0; i < 2; ++i) {
-      auto read = ParsePlatformConfig(ScaleConfigOf(spec, static_cast<int>(i), 1));
+      auto read = ParsePlatformConfig(MakeScaleConfig(spec, static_cast<int>(i), 1));
       config[i] = std::move(read.value());
-      auto settings = ParseProgramSettings(ScaleSettingsOf(spec, static_cast<int>(i), {0, 1}, 0));
+      auto settings = ParseProgramSettings(MakeScaleSettings(spec, static_cast<int>(i), {0, 1}, 0));
       setup[i] = std::move(settings.value());
       Instance::Host host;
       host.set_server_address = [](ServerId, const net::Address&) {};
@@ -519,7 +520,7 @@
   static constexpr auto kMarks = static_cast<std::size_t>(replication::TrafficKind::kWatermarks);
 
   net::Loop loop;
-  Folder folder;
+  TemporaryFolder folder;
   ScaleSpec spec;
   std::array<PlatformConfig, 2> config;
   std::array<ProgramSettings, 2> setup;
