--- a/src/estimation/client_patience_estimator.cpp
+++ b/src/estimation/client_patience_estimator.cpp
@@ -5,26 +5,28 @@
 namespace lynxgrade::estimation {
 namespace {
 
-constexpr double kDecay = 0.998;     // of all counts with each client: about the last five hundred count
-constexpr double kPriorClients = 5;  // taken to have stayed throughout: the first to leave is no proof
+constexpr double kDecayPerClient = 0.998;  // weights about the last 500 clients
+// Assumed clients that never left, so that the first one to leave does not determine the estimate.
+constexpr double kPriorClients = 5;
+// While at least half of the clients still wait, a response is more likely than not to be useful.
 constexpr double kMedian = 0.5;
 
 }  // namespace
 
-void ClientPatienceEstimator::RecordStay(double objectives, StayEnd end) {
+void ClientPatienceEstimator::RecordWait(double objectives, WaitEnd end) {
   const auto last_bin = static_cast<std::size_t>(std::max(0.0, objectives) * kBins);
   for (std::size_t i = 0; i < kBins; ++i) {
-    const bool left_here = end == StayEnd::kLeft && i == last_bin;
-    present_[i] = present_[i] * kDecay + (i <= last_bin ? 1 : 0);
-    left_[i] = left_[i] * kDecay + (left_here ? 1 : 0);
+    const bool abandoned_here = end == WaitEnd::kAbandoned && i == last_bin;
+    present_[i] = present_[i] * kDecayPerClient + (i <= last_bin ? 1 : 0);
+    abandoned_[i] = abandoned_[i] * kDecayPerClient + (abandoned_here ? 1 : 0);
   }
 }
 
-double ClientPatienceEstimator::MedianStay() const {
-  double still_present = 1;
+double ClientPatienceEstimator::MedianPatience() const {
+  double still_waiting = 1;
   for (std::size_t i = 0; i < kBins; ++i) {
-    still_present *= 1 - left_[i] / (present_[i] + kPriorClients);
-    if (still_present < kMedian) return static_cast<double>(i + 1) / kBins;
+    still_waiting *= 1 - abandoned_[i] / (present_[i] + kPriorClients);
+    if (still_waiting < kMedian) return static_cast<double>(i + 1) / kBins;
   }
   return 1;
 }
--- a/src/estimation/client_patience_estimator.h
+++ b/src/estimation/client_patience_estimator.h
@@ -1,4 +1,5 @@
-// Estimates how long clients stay for a response, which may be shorter than the deadline that they state.
+// Estimates how long clients wait for a response before they abandon the request, which may be shorter than
+// the deadline that they state.
 #pragma once
 
 #include <array>
@@ -6,23 +7,25 @@
 
 namespace lynxgrade::estimation {
 
-// How the time that a client stayed came to its end.
-enum class StayEnd { kAnswered, kLeft };
+// How a client's wait ended.
+enum class WaitEnd { kAnswered, kAbandoned };
 
-// The product-limit estimate of how many clients are still there at an age (E. L. Kaplan and P. Meier,
-// "Nonparametric Estimation from Incomplete Observations", 1958). Clients that were answered only show that
-// they stayed until then, so that few clients who leave early do not stand for all.
+// The product-limit estimator of the fraction of clients that still wait at an age (E. L. Kaplan and P.
+// Meier, "Nonparametric Estimation from Incomplete Observations", 1958). Answered clients are censored
+// observations: they are only known to have waited until their answer. A few clients that leave early thus do
+// not determine the estimate.
 class ClientPatienceEstimator {
  public:
-  // A client left, or was answered or rejected, after so many latency objectives of its class.
-  void RecordStay(double objectives, StayEnd end);
-  // The fraction of the latency objective up to which at least half of the clients stay; at most 1.
-  double MedianStay() const;
+  // Records that a client abandoned its request, or got its final answer, after `objectives` times the
+  // latency objective of its class.
+  void RecordWait(double objectives, WaitEnd end);
+  // The fraction of the latency objective for which at least half of the clients wait; at most 1.
+  double MedianPatience() const;
 
  private:
-  static constexpr std::size_t kBins = 10;  // of one objective; whoever leaves after it changes nothing
-  std::array<double, kBins> present_{};     // clients that were there at the beginning of a bin
-  std::array<double, kBins> left_{};        // and those of them that left in it
+  static constexpr std::size_t kBins = 10;  // per objective; clients that leave after it are not counted
+  std::array<double, kBins> present_{};     // clients still waiting at the start of a bin
+  std::array<double, kBins> abandoned_{};   // those of them that left within it
 };
 
 }  // namespace lynxgrade::estimation
--- a/src/estimation/duration.h
+++ b/src/estimation/duration.h
@@ -1,4 +1,4 @@
-// Durations in whole microseconds, and their conversions. The one definition that all folders share.
+// Durations in whole microseconds, and their conversions. Shared by all folders.
 #pragma once
 
 #include <chrono>
--- a/src/estimation/replica_position.h
+++ b/src/estimation/replica_position.h
@@ -1,7 +1,7 @@
-// Estimates how far a data server has come in the log of its group, from what it reports now and then.
+// Estimates the log position of a data server from its occasional reports.
 //
-// A position is a time up to which all commits are applied. It never decreases, so what was once reported
-// stays proven. All else is expectation: between two reports, and ahead.
+// A position is a time up to which all commits have been applied. It never decreases, so a reported position
+// remains proven. Between reports the position is extrapolated.
 #pragma once
 
 #include <optional>
@@ -10,44 +10,46 @@
 
 namespace lynxgrade::estimation {
 
-// A time since the clock's zero, of the log and of the clock alike: positions are times.
+// A time since the clock's zero. Log positions and clock times share this type.
 using Instant = Duration;
 
-// Whether the position that a read requires moves on with the clock while the read waits.
+// Whether the position that a read requires advances with the clock while the read waits.
 enum class TargetMotion { kFixed, kWithClock };
 
-// The estimate of one server. Has no clock.
+// The estimate for one server. Reads no clock.
 class ReplicaPosition {
  public:
-  // The server reported the position, heard at `now`. False if that is nothing new.
+  // Records a report of the position, received at `now`. Returns false if it repeats a recent one.
   bool RecordPosition(Instant now, Instant position);
 
   // Whether the server is proven to have reached `target`.
   bool IsProven(Instant target) const { return proven_ && *proven_ >= target; }
-  // Where the server is by now if it goes on as it did, at the clock's pace at most.
+  // The position extrapolated to `now` at the measured apply rate, which is limited to the clock's.
   Instant ExpectedPosition(Instant now) const;
-  // Whether it is known if the server has reached `target`: it is proven, or was heard of recently. That
-  // it is behind is known for about as long as it is behind.
+  // Whether it is known if the server has reached `target`: either this is proven, or the last report is
+  // recent enough. The validity of a report is extended by the time that the server is expected to be behind.
   bool IsKnown(Instant now, Instant target) const;
 
-  // Whether another report may show that the server has reached `target` by now, at the fastest that a server
-  // catches up. Where it may not, asking it is wasted.
+  // Whether the server may have reached `target` by now, at the maximum apply rate. If not, a health check
+  // would be wasted.
   bool MayHaveReached(Instant now, Instant target) const;
-  // Whether the server may reach `target` `within` from now. True where too little is known to rule it out.
+  // Whether the server may reach `target` within the given time from now. True if too little is known to rule
+  // it out.
   bool MayReach(Instant now, Duration within, Instant target, TargetMotion motion) const;
 
-  // The instance itself was stalled for so long, until `now`: the time does not count as the server's.
+  // Excludes a stall of the instance itself, which lasted until `now`, from the measurement of the apply
+  // rate.
   void ExcludeStall(Instant now, Duration stall);
-  // When the server was last heard of; zero: never.
-  Instant last_heard() const { return last_heard_; }
+  // When the server last reported its position; zero: never.
+  Instant last_reported_at() const { return last_reported_at_; }
 
  private:
   std::optional<Instant> proven_;
-  Instant last_heard_{0};
-  double pace_ = 1;  // of the position against the clock; assumed until it is measured
-  bool is_pace_measured_ = false;
-  Instant pace_from_{0};  // the position at `pace_since_`
-  std::optional<Instant> pace_since_;
+  Instant last_reported_at_{0};
+  double apply_rate_ = 1;  // position time per clock time; 1 is assumed until it is measured
+  bool is_apply_rate_measured_ = false;
+  Instant interval_start_position_{0};
+  std::optional<Instant> interval_start_;  // of the current measurement of the apply rate
 };
 
 }  // namespace lynxgrade::estimation
--- a/src/fleet/capped_weighted_choice.cpp
+++ b/src/fleet/capped_weighted_choice.cpp
@@ -8,8 +8,8 @@
 
 constexpr double kNotCapped = -1;
 
-// Finds one more candidate whose share of the remaining probability exceeds its cap, and caps it. False if
-// there is none.
+// Caps the first candidate whose share of the remaining probability exceeds its cap. Returns false if there
+// is none.
 bool CapOne(std::span<const WeightedCandidate> candidates, double share_per_weight, double& remaining,
             std::vector<double>& probabilities) {
   for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -30,7 +30,7 @@
     for (std::size_t i = 0; i < candidates.size(); ++i)
       weight += probabilities[i] < 0 ? candidates[i].weight : 0;
     if (weight <= 0) return probabilities;
-    // A cap frees probability for the others, which may then exceed their caps.
+    // Each cap frees probability for the other candidates, which may then exceed their caps in turn.
     const double share_per_weight = remaining / weight;
     if (CapOne(candidates, share_per_weight, remaining, probabilities)) continue;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
@@ -51,7 +51,7 @@
     uniform -= probabilities[i];
     if (candidates[i].max_probability >= 1) last_uncapped = i;
   }
-  // Reached without a cap where the probabilities fall short of one by rounding alone.
+  // Without caps the probabilities may still sum to slightly less than 1 due to rounding.
   return last_uncapped;
 }
 
--- a/src/fleet/capped_weighted_choice.h
+++ b/src/fleet/capped_weighted_choice.h
@@ -1,4 +1,4 @@
-// A weighted random choice in which some candidates may be chosen only so often.
+// A weighted random choice in which the probability of single candidates can be capped.
 #pragma once
 
 #include <cstddef>
@@ -8,13 +8,13 @@
 namespace lynxgrade::fleet {
 
 struct WeightedCandidate {
-  double weight = 0;           // against the others'
+  double weight = 0;           // relative to the others'
   double max_probability = 1;  // 1: no cap
 };
 
-// Returns the index of the candidate that `uniform`, drawn from [0, 1), falls on. None is chosen more often
-// than its cap; what a cap cuts off goes to the candidates below theirs, in proportion to their weights, and
-// to none once all are at their caps.
+// Returns the index of the candidate that `uniform`, drawn from [0, 1), selects. No candidate's probability
+// exceeds its cap. The excess goes to the uncapped candidates in proportion to their weights. If all are at
+// their caps, it stays unassigned, and the result is empty where `uniform` falls into it.
 std::optional<std::size_t> ChooseCapped(std::span<const WeightedCandidate> candidates, double uniform);
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/demand.cpp
+++ b/src/fleet/demand.cpp
@@ -6,9 +6,9 @@
 namespace lynxgrade::fleet {
 namespace {
 
-constexpr double kTimeConstantSeconds = 3;  // short against a slow start, long against gaps between arrivals
-constexpr double kPriorSeconds = 3;         // of observation that the prior stands for
-constexpr double kLeastObservedSeconds = 0.3;  // one arrival in the first instant is no flood
+constexpr double kTimeConstantSeconds = 3;   // shorter than a slow start, longer than gaps between arrivals
+constexpr double kPriorSeconds = 3;          // observation time that the prior stands for
+constexpr double kMinObservedSeconds = 0.3;  // keeps a single first arrival from looking like a high rate
 
 }  // namespace
 
@@ -17,7 +17,7 @@
   return sum_ * std::exp(-ToSeconds(std::max(Duration{0}, now - last_)) / kTimeConstantSeconds);
 }
 
-// How much time the sum stands for: less than its time constant until that has passed.
+// The observation time that the sum stands for, which approaches the time constant.
 double DemandEstimator::ObservedSeconds(Duration now) const {
   if (!first_) return 0;
   const double age = ToSeconds(std::max(Duration{0}, now - *first_));
@@ -35,11 +35,11 @@
 }
 
 double DemandEstimator::PerSecond(Duration now) const {
-  return DecayedSum(now) / std::max(kLeastObservedSeconds, ObservedSeconds(now));
+  return DecayedSum(now) / std::max(kMinObservedSeconds, ObservedSeconds(now));
 }
 
-double AdmissionProbability(double allowed, double wanted) {
-  return wanted <= allowed || wanted <= 0 ? 1 : std::max(0.0, allowed) / wanted;
+double AdmissionProbability(double allowed, double demand) {
+  return demand <= allowed || demand <= 0 ? 1 : std::max(0.0, allowed) / demand;
 }
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/demand.h
+++ b/src/fleet/demand.h
@@ -1,4 +1,4 @@
-// Estimates how much work is wanted for one purpose, from few arrivals.
+// Estimates the demand for work from few arrivals, and the admission probability that follows from it.
 #pragma once
 
 #include <optional>
@@ -7,15 +7,14 @@
 
 namespace lynxgrade::fleet {
 
-// Work per second over about the last three seconds. One instance of many sees an arrival for a given group
-// only now and then: its own count is weighed with a prior, what the instance sees of all groups, in equal
-// parts (the mean of a Gamma prior with as much time behind it as the count itself has). Has no clock.
+// Demand in work per second over about the last 3 s. In a large fleet an instance rarely sees a request for a
+// given group. Its own count is therefore combined with a prior, the mean demand that the instance sees over
+// all groups (the mean of a Gamma prior that stands for as much time as the count itself). Reads no clock.
 class DemandEstimator {
  public:
-  // Times are on any clock that does not decrease; `work` in seconds.
+  // `now` is on any monotonic clock; `work` is in seconds.
   void RecordWork(Duration now, double work);
-  // Work per second; `prior` likewise. What was recorded at `now` counts, so that first arrivals are not
-  // taken for none.
+  // Work per second, as is `prior`. Work recorded at `now` counts, so that the first arrivals are included.
   double PerSecond(Duration now, double prior) const;
   // The same without a prior.
   double PerSecond(Duration now) const;
@@ -24,14 +23,14 @@
   double DecayedSum(Duration now) const;
   double ObservedSeconds(Duration now) const;
 
-  std::optional<Duration> first_;  // absent: nothing was recorded
+  std::optional<Duration> first_;  // absent: nothing recorded yet
   Duration last_{0};
   double sum_ = 0;
 };
 
-// The probability with which an instance admits a request where all instances together may send only so much,
-// and each of them has its part of the allowance: what is sent adds up over the fleet without a bucket that
-// each would have to save up. `allowed` and `wanted` in work per second; 1 where nothing is wanted.
-double AdmissionProbability(double allowed, double wanted);
+// The probability with which an instance admits a request so that it sends `allowed` of the work per second
+// that it is asked for, `demand`; 1 without demand. Used where the rate of the whole fleet is limited and an
+// instance's share is too small for a token bucket, which would rarely hold enough for a request.
+double AdmissionProbability(double allowed, double demand);
 
 }  // namespace lynxgrade::fleet
--- a/src/fleet/latency.cpp
+++ b/src/fleet/latency.cpp
@@ -6,15 +6,15 @@
 namespace lynxgrade::fleet {
 namespace {
 
-// A queue that matters is some of the shortest latency objectives long (hundreds of milliseconds). It builds
-// up and drains within about a second, so that what was recorded so long ago has half decayed.
+// Relevant queues are a few times the shortest latency objective long (hundreds of milliseconds) and build up
+// and drain within about 1 s. Responses of that age have decayed to half.
 constexpr double kTimeConstantSeconds = 1.5;
-constexpr double kMinGain = 0.08;         // about the last twenty responses, where they come fast
-constexpr double kMaxGain = 0.6;          // one response is not all: requests of a class differ
-constexpr double kMaxOverdueGain = 0.25;  // without a response it may be the connection that is lost
-constexpr double kPriorResponses = 1;
-constexpr double kOwnTimeConstantSeconds =
-    3;  // longer, as the server's own responses say more than its group's
+constexpr double kMinGain = 0.08;          // weights about the last 20 responses if they arrive fast
+constexpr double kMaxGain = 0.6;           // below 1, as the requests of a class vary
+constexpr double kMaxOverdueGain = 0.25;   // lower, as a missing response may be a lost connection
+constexpr double kPriorResponseCount = 1;  // responses that the prior stands for
+// Longer, as a server's own responses are more informative than its group's.
+constexpr double kServerTimeConstantSeconds = 3;
 
 double ElapsedSeconds(Duration now, Duration since) { return ToSeconds(std::max(Duration{0}, now - since)); }
 
@@ -33,7 +33,7 @@
 
 double GroupLatencyEstimator::Mean(Duration now, double prior) const {
   const double decay = Decay(now);
-  return (sum_ * decay + kPriorResponses * prior) / (count_ * decay + kPriorResponses);
+  return (sum_ * decay + kPriorResponseCount * prior) / (count_ * decay + kPriorResponseCount);
 }
 
 double ServerLatencyEstimator::Gain(Duration now) const {
@@ -55,7 +55,7 @@
 }
 
 double ServerLatencyEstimator::Slowness(Duration now, const GroupLatencyEstimator& group) const {
-  const double own = std::exp(-ElapsedSeconds(now, last_recorded_) / kOwnTimeConstantSeconds);
+  const double own = std::exp(-ElapsedSeconds(now, last_recorded_) / kServerTimeConstantSeconds);
   return own * slowness_ + (1 - own) * group.Mean(now, slowness_);
 }
 
--- a/src/fleet/latency.h
+++ b/src/fleet/latency.h
@@ -1,4 +1,5 @@
-// Estimates how slow a server is just now, from responses that one instance of many gets now and then.
+// Estimates the current slowness of a server from the few responses that one instance of a large fleet gets.
+// Slowness is a latency as a multiple of the baseline of its request class.
 #pragma once
 
 #include <cstddef>
@@ -7,13 +8,13 @@
 
 namespace lynxgrade::fleet {
 
-// The mean slowness of a group's servers, each response weighed for about a second: the group's requests come
-// from the same clients and its replicas apply the same log, so that they slow down together. Has no clock.
+// The mean slowness of a group's servers over about the last second. It is useful for each of them, as they
+// often slow down together: their requests come from the same clients and they apply the same log. Reads no
+// clock.
 class GroupLatencyEstimator {
  public:
-  // `slowness`: a latency as a multiple of the usual.
   void RecordResponse(Duration now, double slowness);
-  // Nearer to `prior` the less was recorded.
+  // Converges to `prior` as recorded responses decay.
   double Mean(Duration now, double prior) const;
 
  private:
@@ -24,18 +25,18 @@
   double count_ = 0;
 };
 
-// The slowness of one server: its latency as a multiple of what its requests usually take. Has no clock.
+// The slowness of one server. Reads no clock.
 class ServerLatencyEstimator {
  public:
-  // A response to an attempt; `in_flight` attempts of this instance were at the server when it was sent,
-  // itself included.
+  // Records the response to an attempt. `in_flight` is the number of this instance's attempts at the server
+  // when it was sent, itself included.
   void RecordResponse(Duration now, double slowness, std::size_t in_flight);
-  // An attempt that ended without a response and would have taken longer still: it can only raise the
-  // estimate.
+  // Records an attempt that ended without a response, whose slowness is thus a lower bound. It never lowers
+  // the estimate.
   void RecordOverdue(Duration now, double slowness);
-  // By now: of the server itself, and of its group as that grows old.
+  // The slowness at `now`. The weight shifts from the server's own responses to its group's mean as they age.
   double Slowness(Duration now, const GroupLatencyEstimator& group) const;
-  // What each request in flight adds.
+  // Slowness added by each attempt in flight.
   double slowness_per_request() const { return slowness_per_request_; }
 
  private:
--- a/src/fleet/slow_start.cpp
+++ b/src/fleet/slow_start.cpp
@@ -5,15 +5,16 @@
 namespace lynxgrade::fleet {
 namespace {
 
-// Of the allowed work: the instances' rates are estimates.
+// Fraction of the allowed rate that is used, as the instances' rates are estimates.
 constexpr double kSafetyFactor = 0.7;
-// More of it by the end of the slow start, as the least capacity underrates the server ever more.
+// Relative growth of that fraction during the slow start, as the minimum capacity increasingly underestimates
+// the server.
 constexpr double kSafetyGrowth = 0.4;
-constexpr double kLeastBurstSeconds = 0.1;
-constexpr double kLeastDurationSeconds = 1e-6;
+constexpr double kMinBurstSeconds = 0.1;
+constexpr double kMinDurationSeconds = 1e-6;
 
 double Progress(Duration age, Duration duration) {
-  return std::clamp(ToSeconds(age) / std::max(kLeastDurationSeconds, ToSeconds(duration)), 0.0, 1.0);
+  return std::clamp(ToSeconds(age) / std::max(kMinDurationSeconds, ToSeconds(duration)), 0.0, 1.0);
 }
 
 }  // namespace
@@ -28,7 +29,7 @@
 }
 
 double SlowStartRule::BurstSeconds() const {
-  return std::max(kLeastBurstSeconds, ToSeconds(overload_duration) / 2);
+  return std::max(kMinBurstSeconds, ToSeconds(overload_duration) / 2);
 }
 
 void WarmingTokenBucket::Begin(Duration now, const SlowStartRule& rule) {
--- a/src/fleet/slow_start.h
+++ b/src/fleet/slow_start.h
@@ -1,36 +1,38 @@
-// How much one instance of many may send to a server that has just started, so that all of them together stay
-// below what overloads it.
+// Limits the rate at which each instance of a fleet sends work to a server that has just started, so that all
+// of them together do not overload it.
 #pragma once
 
 #include "estimation/duration.h"
 
 namespace lynxgrade::fleet {
 
-// The rule as the settings give it: a warming server that is sent `overload_factor` times what it can do for
-// `overload_duration` fails.
+// Slow start as configured: a warming server fails if it is sent `overload_factor` times its capacity for
+// `overload_duration`.
 struct SlowStartRule {
-  double initial_capacity = 1;  // the least share of its capacity that a server begins with
-  Duration duration{0};         // until it is warm, at the latest
+  double initial_capacity = 1;  // minimum fraction of its full capacity that a server starts with
+  Duration duration{0};         // maximum time until it is warm
   double overload_factor = 1;
   Duration overload_duration{0};
 
-  // The least share of its capacity that a server has `age` after its start.
+  // Minimum fraction of its full capacity that a server has at `age` after its start.
   double CapacityShare(Duration age) const;
-  // What an instance may send in work per second, where it gets `throughput` through a warm server. The rates
-  // of all instances add up to the allowed one, whatever their sizes.
+  // The rate in work per second that an instance may send if its throughput at a warm server is `throughput`.
+  // As the rates are proportional to throughput, those of all instances add up to the allowed rate even if
+  // traffic is distributed unevenly.
   double InstanceRate(Duration age, double throughput) const;
-  // How much of the rate may be saved up, in seconds of it.
+  // Size of a full token bucket, in seconds of the rate.
   double BurstSeconds() const;
 };
 
-// What one instance has saved up for one server, in seconds of work; below zero: a debt.
+// Token bucket of one instance for one warming server, in seconds of work. May be negative.
 class WarmingTokenBucket {
  public:
-  // The server starts at `now`; its bucket fills as if it had begun to a while before.
+  // Begins the slow start of the server at `now`. The bucket is filled as if half of the overload duration
+  // had already passed.
   void Begin(Duration now, const SlowStartRule& rule);
-  // Adds what the time since the last call brought, of which at most `credit_seconds` count, up to
-  // `burst_seconds` of the rate. Returns that limit. A request that costs more is sent when the bucket is
-  // full, and leaves a debt.
+  // Adds the work for the time since the last call, of which at most `credit_seconds` count, up to
+  // `burst_seconds` of the rate. Returns that limit. A request that costs more may be sent when the bucket is
+  // full, and makes it negative.
   double Refill(Duration now, double rate, double burst_seconds, double credit_seconds);
   void Consume(double work) { work_ -= work; }
   double work() const { return work_; }
--- a/src/fleet/warm_server_throughput.cpp
+++ b/src/fleet/warm_server_throughput.cpp
@@ -6,7 +6,7 @@
 namespace lynxgrade::fleet {
 namespace {
 
-constexpr double kTimeConstantSeconds = 5;  // short against a slow start, long against a burst
+constexpr double kTimeConstantSeconds = 5;  // shorter than a slow start, longer than a burst
 
 }  // namespace
 
--- a/src/fleet/warm_server_throughput.h
+++ b/src/fleet/warm_server_throughput.h
@@ -1,17 +1,17 @@
-// Measures what one instance gets through a warm server: its share of what a warming one may be sent.
+// Measures an instance's throughput at a warm server, which determines its share of the rate for warming
+// ones.
 #pragma once
 
 namespace lynxgrade::fleet {
 
-// A smoothed rate of work. Has no clock.
+// An exponentially weighted rate of work. Reads no clock.
 class WarmServerThroughput {
  public:
-  // Work that was answered, in seconds.
+  // Records work of an answered request, in seconds.
   void RecordWork(double work) { work_ += work; }
-  // Ends an interval of so many seconds, in which usable servers had the capacity of `warm_servers` warm
-  // ones.
+  // Ends an interval of `seconds` in which the usable servers had the capacity of `warm_servers` warm ones.
   void EndInterval(double seconds, double warm_servers);
-  // Work per second, for one warm server.
+  // Work per second per warm server.
   double PerSecond() const { return rate_; }
 
  private:
--- a/src/limits/aimd_window.cpp
+++ b/src/limits/aimd_window.cpp
@@ -7,7 +7,7 @@
 
 constexpr double kIncrease = 0.5;  // requests
 constexpr double kDecreaseFactor = 0.7;
-// Some responses long: what is in flight at a decrease shows the window before it.
+// The length of several responses: those in flight at a decrease still reflect the larger window.
 constexpr Duration kDecreaseInterval{200000};
 
 }  // namespace
--- a/src/routing/actions.h
+++ b/src/routing/actions.h
@@ -1,4 +1,4 @@
-// The actions that the decision module asks its host for.
+// Actions that the decision module requests from its host, the program that embeds it.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,16 @@
   RequestId id{};
   ServerId server{};
   Duration timeout{0};
-  // Retries of what may have run: the last byte goes out within this, or not at all.
+  // For a retry of a request that may have run: the last byte must be sent within this time, else the attempt
+  // is not made.
   Duration write_timeout = Duration::max();
 };
-// The final answer that promises that a retry does no harm.
+// Final answer: the request had no effect, so that the client may safely retry it.
 struct Reject {
   RequestId id{};
-  Duration retry_after{0};  // 0: no advice
+  Duration retry_after{0};  // 0: no Retry-After
 };
-// The final answer where the request may have run.
+// Final answer: the request may have run.
 struct Fail {
   RequestId id{};
 };
@@ -44,7 +45,7 @@
 };
 struct FetchEndpointList {};
 struct SendToPeers {
-  std::optional<std::uint32_t> peer{};  // absent: all
+  std::optional<std::uint32_t> peer{};  // absent: all peers
   std::string message;
 };
 struct CloseIdleConnections {
--- a/src/routing/balancer.cpp
+++ b/src/routing/balancer.cpp
@@ -1,5 +1,5 @@
-// The dispatcher of the decision module: owns its parts and the seeded engine, and feeds each event to them
-// in a fixed order.
+// Dispatcher of the decision module: owns its parts and the seeded random engine, and passes each event to
+// them in a fixed order.
 #include "routing/balancer.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace lynxgrade {
 namespace {
 
-// A gap between events of more ticks than this means that the instance itself was stalled.
+// A gap between events longer than this many tick intervals means that the instance itself was stalled.
 constexpr int kStallTicks = 2;
 
 }  // namespace
@@ -25,7 +25,8 @@
     ExcludeOwnStall();
     std::visit([this](const auto& typed_event) { On(typed_event); }, event);
     if (context_.IsRetryOfWaitingRequested()) router_.RetryWaiting();
-    context_.ClearRetryOfWaiting();  // also what routing itself noted: each request is routed once an event
+    // Also clears requests that routing itself made: waiting requests are routed again once per event.
+    context_.ClearRetryOfWaiting();
   }
 
  private:
@@ -33,7 +34,7 @@
   void On(const RequestEvent& event) { router_.HandleRequest(event); }
   void On(const ResponseStartedEvent& event) { router_.HandleResponseStarted(event); }
   void On(const ClientDisconnectedEvent& event) { router_.HandleClientDisconnected(event); }
-  void On(const PeerEvent&) {}  // instances share nothing
+  void On(const PeerEvent&) {}  // routing uses no messages between instances
 
   void On(const AttemptEndedEvent& event) {
     Server* server = servers_.Find(event.server);
@@ -60,7 +61,7 @@
     }
   }
 
-  // What the end of an attempt says of its server.
+  // Updates the server's state from the end of an attempt.
   void RecordAttemptEnd(Server& server, const InFlightAttempt& attempt, const AttemptEndedEvent& event) {
     if (attempt.overflow) primary_overflow_.RecordEnd(server, event.outcome);
     RecordReadOfPosition(server, attempt, event.outcome);
@@ -80,8 +81,8 @@
   void RecordReadOfPosition(Server& server, const InFlightAttempt& attempt, Outcome outcome) {
     if (!attempt.required_position || server.IsPrimary()) return;
     if (outcome != Outcome::kOk && outcome != Outcome::kMisrouted) return;
-    if (attempt.position_unknown) candidate_selection_.RecordBlindRead(server, outcome);
-    // Servers that check positions answer only once they hold the required one.
+    if (attempt.position_unknown) candidate_selection_.RecordReadOfUnknownPosition(server, outcome);
+    // Servers that check positions respond only once they have reached the required one.
     if (outcome == Outcome::kOk && context_.settings().position_check != PositionCheck::kNone) {
       replication_.RecordPosition(server, *attempt.required_position);
     }
@@ -90,7 +91,7 @@
   void HandleTick() {
     context_.SetTimer(TimerKind::kPeriodicTick, kTickInterval);
     double warm_servers = 0;
-    // One pass: with hundreds of servers each pass costs an instance without requests 0.2 % of a core.
+    // A single pass: with hundreds of servers, each pass costs an idle instance 0.2 % of a core.
     servers_.EraseIf([&](const Server& server) {
       warm_servers += server.IsUsable(context_.now()) ? slow_start_.CapacityShare(server) : 0;
       return endpoint_list_.IsExpired(server);
@@ -101,8 +102,9 @@
     context_.RequestRetryOfWaiting();
   }
 
-  // An instance that was stalled finds responses late though no server was slow, and would reject reads long
-  // after. The tick shows it, as it should have come: a pause of all traffic alone does not count.
+  // After a stall of the instance itself, responses arrive late although no server was slow; without the
+  // correction all servers would look slow and reads would be rejected long afterwards. The periodic tick
+  // makes a stall distinguishable from a pause of all traffic, during which ticks continue.
   void ExcludeOwnStall() {
     const TimePoint now = context_.now();
     const Duration gap = now - last_event_;
--- a/src/routing/balancer.h
+++ b/src/routing/balancer.h
@@ -1,9 +1,9 @@
-// The decision module of lynxgrade: which server a request goes to, when it is retried, and when it is
-// rejected.
+// The decision module of lynxgrade: selects the server for each request, and decides on retries and
+// rejections.
 //
-// One Balancer serves one instance. It is fed events in order with the instance's clock and appends actions
-// to a list; it reads no clock, shares nothing and draws from one seeded engine, so that the same events give
-// the same actions.
+// Each instance owns one Balancer and feeds it events in order. It is a deterministic state machine: it reads
+// no clock, shares no state and draws from one seeded random engine, so that the same events and times result
+// in the same actions. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Handles one event at the clock time `now`, which never decreases, and appends the actions that result.
+  // Handles one event at the clock time `now`, which must not decrease, and appends the resulting actions.
   // Throws std::out_of_range for a request of an unknown class.
   void Handle(TimePoint now, const Event& event, Actions& actions);
 
--- a/src/routing/candidate_selection.h
+++ b/src/routing/candidate_selection.h
@@ -1,4 +1,4 @@
-// Chooses one of the candidates for a read: a weighted draw with caps.
+// Chooses a server for a read among its candidates by a weighted random draw with caps.
 #pragma once
 
 #include <span>
@@ -19,25 +19,28 @@
         latencies_(latencies),
         slow_start_(slow_start) {}
 
-  // Draws one of the candidates by weight, latency, load, failures and position. Null if there is none, or if
-  // all are at their caps.
+  // Draws a candidate, weighted by configured weight, latency, load, failures and position. Returns null if
+  // there is none, or if the draw falls on probability that caps leave unassigned.
   Server* Draw(const Request& request, std::span<Server* const> candidates);
-  // A read of a replica whose position was unknown was answered, or the replica did not hold the position.
-  void RecordBlindRead(const Server& server, Outcome outcome);
+  // Records whether a replica of unknown position served a read (kOk) or had not reached the required
+  // position (kMisrouted).
+  void RecordReadOfUnknownPosition(const Server& server, Outcome outcome);
 
  private:
-  const Server* LongReadHost(GroupId group) const;
-  bool GoesToLongReadHost(const Request& request, const Server* host) const;
-  double Weight(const Request& request, const Server& server, const Server* host, bool prefers_host) const;
+  const Server* LongReadReplica(GroupId group) const;
+  bool PrefersLongReadReplica(const Request& request, const Server* long_read_replica) const;
+  double Weight(const Request& request, const Server& server, const Server* long_read_replica,
+                bool prefers_long_read_replica) const;
 
   DecisionContext& context_;
   ServerTable& servers_;
   const ReplicationState& replication_;
   const LatencyModel& latencies_;
   SlowStartAdmission& slow_start_;
-  // Share of blind reads whose position the replica did not hold: long-read hosts, and other replicas.
-  double host_miss_rate_ = 0;
-  double replica_miss_rate_ = 0;
+  // Fraction of reads sent to replicas of unknown position that those had not reached: for the replicas that
+  // take the long reads, and for all others.
+  double long_read_replica_miss_rate_ = 0;
+  double other_replica_miss_rate_ = 0;
 };
 
 }  // namespace lynxgrade
--- a/src/routing/eligibility.cpp
+++ b/src/routing/eligibility.cpp
@@ -65,8 +65,8 @@
       const Duration hold = context_.settings().replica_wait_limit;
       if (replication_.ExpectedPosition(server) + hold >= *required) return true;
     } else if (!request.misrouted_to.contains(id)) {
-      // Where little is heard the read's own rejection is evidence too: that server is not asked blindly
-      // again.
+      // Without a recent report, a rejection of this read is the only evidence. A server that rejected it is
+      // not tried again.
       return true;
     }
   }
--- a/src/routing/eligibility.h
+++ b/src/routing/eligibility.h
@@ -1,4 +1,4 @@
-// Which servers a request may be sent to at all, and which of the replicas can serve a read.
+// Decides which servers a request may be sent to, and which replicas can serve a read.
 #pragma once
 
 #include <vector>
@@ -19,20 +19,19 @@
         retry_policy_(retry_policy),
         slow_start_(slow_start) {}
 
-  // The one check of every rule before an attempt is sent.
+  // Checks all rules that an attempt must satisfy: group, draining, retries, position and slow start.
   bool MaySend(const Request& request, Server& server);
-  // Whether a read may go only to a server that is proven to hold the required position.
+  // Whether a read may go only to a server that is proven to have reached the required position.
   bool MustProvePosition(const Request& request) const;
-  // The servers that a read may go to now: replicas that are expected to hold its position, else, where
-  // servers check it themselves, any replica. Where no replica can serve at all the primary does, then
-  // ejected replicas.
+  // The servers that a read may go to now: usable replicas that are expected to have reached its position,
+  // else any usable replica that MaySend allows. If no replica is usable: the primary, else ejected replicas.
   std::vector<Server*> ReadCandidates(const Request& request);
 
-  // Whether a usable replica has reached the read's required position; false where none is required.
+  // Whether a usable replica has reached the read's required position; false if none is required.
   bool HasReplicaAtPosition(const Request& request) const;
-  // Whether a replica may come to the required position while it would hold the read back for it.
+  // Whether a replica may reach the required position within the time that it lets a read wait.
   bool MayReplicaCatchUpWhileHolding(const Request& request) const;
-  // Whether a replica may come to the required position within the time; true where there is no replica.
+  // Whether a replica may reach the required position within the given time; true if there is no replica.
   bool MayReplicaCatchUp(const Request& request, Duration within) const;
 
  private:
--- a/src/routing/endpoint_list_updater.cpp
+++ b/src/routing/endpoint_list_updater.cpp
@@ -8,16 +8,16 @@
 
 constexpr int kMaxErrorDoublings = 4;
 constexpr int kErrorBackoffTicks = 4;
-// What a delayed list says of a role is taken to be this old.
+// Assumed age of the roles in a delayed list.
 constexpr Duration kDelayedListAge{5000000};
-// How long a deleted server is kept, longer than servers are away before they come back.
+// How long a deleted server's state is kept: longer than any observed absence before a server came back.
 constexpr Duration kDeletedRetention{30000000};
 
 }  // namespace
 
 void EndpointListUpdater::Apply(const EndpointListEvent& event) {
   if (event.kind == EndpointListKind::kPersisted) {
-    // Instances that start together must not act in step.
+    // Jitter keeps instances that start together from acting simultaneously.
     context_.SetTimer(TimerKind::kPeriodicTick, context_.Jitter(kTickInterval));
     if (context_.settings().poll_endpoint_list) {
       context_.SetTimer(TimerKind::kWatchEndpointList, context_.Jitter(kTickInterval));
@@ -51,8 +51,8 @@
 void EndpointListUpdater::ApplyEntry(const EndpointListEntry& entry, EndpointListKind kind) {
   Server& server = servers_.FindOrAdd(entry.server, entry.group, entry.zone);
   server.weight = entry.weight > 0 ? entry.weight : 1;
-  // A server that was listed as draining gets nothing until it is listed as serving again, also once it is
-  // deleted.
+  // A server listed as draining gets no requests until it is listed as serving again, even if it is deleted
+  // in between.
   const bool deleted = entry.lifecycle == Lifecycle::kDeleted;
   const bool deletion_drains = server.draining || !context_.settings().unlisted_stay_usable;
   server.draining = entry.lifecycle == Lifecycle::kDraining || (deleted && deletion_drains);
@@ -66,7 +66,7 @@
   }
   const ListedRole listed_role = context_.settings().listed_role;
   if (listed_role == ListedRole::kNone) return;
-  // What the list says of a role is as old as the list may be: any response or report outweighs it.
+  // A listed role is dated back by the possible age of the list, so that any response or report overrides it.
   const bool is_old = kind == EndpointListKind::kPersisted || listed_role == ListedRole::kInitial;
   const TimePoint as_of = is_old ? TimePoint{} : context_.now() - kDelayedListAge;
   if (entry.primary && (!server.role.as_primary || *server.role.as_primary < as_of)) {
--- a/src/routing/endpoint_list_updater.h
+++ b/src/routing/endpoint_list_updater.h
@@ -1,4 +1,4 @@
-// Applies the endpoint list to the server table, and asks for it again after an error.
+// Applies the endpoint list to the server table, and polls it again after an error.
 #pragma once
 
 #include "routing/replication_state.h"
@@ -13,9 +13,9 @@
       : context_(context), servers_(servers), replication_(replication), slow_start_(slow_start) {}
 
   void Apply(const EndpointListEvent& event);
-  // Whether a deleted server can be forgotten: it has been gone for long, and nothing of it is in flight.
-  // Servers are replaced under new ids as long as the service runs; one that comes back soon keeps what is
-  // known of it.
+  // Whether a deleted server's state can be erased: the retention time is over and nothing is in flight to
+  // it. As servers are replaced under new ids, their state would otherwise accumulate; a server that comes
+  // back within the retention time keeps its state.
   bool IsExpired(const Server& server) const;
 
  private:
--- a/src/routing/events.h
+++ b/src/routing/events.h
@@ -1,4 +1,4 @@
-// The events that the host of the decision module feeds to it.
+// Events that the host, the program that embeds the decision module, feeds to it.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace lynxgrade {
 
-// What a server reports of itself. Absent: not reported.
+// A server's report on its own state. Absent fields were not reported.
 struct LoadReport {
   std::optional<LogPosition> position{};
   std::optional<bool> primary{};
@@ -20,7 +20,7 @@
   std::optional<double> utilization{};
 };
 
-// What a response says of its server.
+// The server's state that came with a response. Absent fields were not reported.
 struct ResponseMetadata {
   std::optional<LogPosition> position{};
   std::optional<bool> primary{};
@@ -28,7 +28,7 @@
 
 enum class Lifecycle { kServing, kDraining, kDeleted };
 
-// One server of the endpoint list.
+// One server in the endpoint list.
 struct EndpointListEntry {
   ServerId server{};
   GroupId group{};
@@ -40,10 +40,10 @@
 };
 
 enum class EndpointListKind {
-  kPersisted,  // a stored list, at the start of the instance
+  kPersisted,  // read from disk when the instance starts
   kComplete,
   kPartial,  // changes only
-  kError     // the list could not be had
+  kError     // the list could not be fetched
 };
 
 // How an attempt or a health check ended.
@@ -52,11 +52,11 @@
   kError,  // the server answered with an error
   kOverloaded,
   kTimeout,
-  kUnreachable,     // nothing was sent: no connection
+  kUnreachable,     // no connection; nothing was sent
   kConnectionLost,  // after something was sent; the request may have run
   kCancelled,
-  kNotRun,    // never sent, or of no use to any server
-  kMisrouted  // the server is not the primary, or does not hold the required position
+  kNotRun,    // never sent, or invalid on every server
+  kMisrouted  // the server is not the primary, or has not reached the required position
 };
 
 struct EndpointListEvent {
@@ -70,13 +70,13 @@
   ClassIndex request_class = 0;
   TenantIndex tenant = 0;
   std::string session{};
-  bool is_retry = false;  // the client says that it asked before
+  bool is_retry = false;  // the client marked it as a retry
   std::optional<Duration> time_since_write{};
-  std::optional<LogPosition> required_position{};  // kSessionRead: from src/consistency/
-  bool require_proven_position = false;  // only proven positions suffice, even where servers check them
-  std::optional<TimePoint> arrived{};    // the latest at which it can have been sent; absent: now
+  std::optional<LogPosition> required_position{};  // kSessionRead: set by src/consistency/
+  bool require_proven_position = false;  // an expected position does not suffice, even if servers check it
+  std::optional<TimePoint> arrived{};    // the latest time at which it can have been sent; absent: now
   Duration waited{0};                    // from its last byte until this event
-  Duration time_left{0};                 // from this event until the client gives up; 0: it has
+  Duration time_left{0};                 // from this event until the client gives up; 0: it already has
 };
 
 struct AttemptEndedEvent {
@@ -85,12 +85,12 @@
   ServerId server{};
   Outcome outcome = Outcome::kOk;
   Duration elapsed{0};
-  bool request_done = false;  // the host has given the final answer
+  bool request_done = false;  // the host has sent the final answer
   ResponseMetadata metadata{};
   std::optional<LoadReport> report{};
 };
 
-// The first byte of a response has gone to the client: the attempt is final.
+// The first byte of a response was sent to the client, so that no other attempt can be made.
 struct ResponseStartedEvent {
   RequestId id{};
   AttemptNumber attempt = 0;
@@ -113,7 +113,7 @@
   RequestId id{};
 };
 
-// A message of another instance.
+// A message from another instance.
 struct PeerEvent {
   std::uint32_t from = 0;
   std::string message;
--- a/src/routing/health_checks.cpp
+++ b/src/routing/health_checks.cpp
@@ -6,13 +6,13 @@
 namespace lynxgrade {
 namespace {
 
-// Of a request's value: what routine checks may cost.
+// Routine checks may cost at most this fraction of a request's value.
 constexpr double kBudgetFraction = 0.004;
-constexpr double kMaxChecksPerRequest = 1;
+constexpr double kMaxChecksPerRequest = 1;  // applies where checks have no price
 constexpr std::size_t kMaxStaleChecksPerTick = 3;
-// In ticks: when a position is stale, where responses do not report positions and where they do.
-constexpr int kStaleTicks = 3;
-constexpr int kStaleReportedTicks = 20;
+// Age in ticks at which a position is stale: if responses do not report positions, and if they do.
+constexpr int kStalePositionTicks = 3;
+constexpr int kStalePositionTicksWithReports = 20;
 
 }  // namespace
 
@@ -54,19 +54,21 @@
   }
 }
 
-// A few at each tick only, as all instances may have started together.
+// Limited per tick, as all instances may have started together and would check the same servers at once.
 void HealthChecks::CheckStaleServers() {
   if (context_.settings().load_reporting == LoadReporting::kNone || budget_ < 1) return;
-  const int stale_ticks = context_.settings().responses_report_position ? kStaleReportedTicks : kStaleTicks;
+  const int stale_ticks =
+      context_.settings().responses_report_position ? kStalePositionTicksWithReports : kStalePositionTicks;
   std::vector<Server*> stale;
   servers_.ForEach([&](Server& server) {
     if (server.draining || server.health_check.in_flight) return;
     const Duration refreshed =
-        std::max(server.position.last_heard(), server.health_check.started.time_since_epoch());
+        std::max(server.position.last_reported_at(), server.health_check.started.time_since_epoch());
     if (context_.now_since_epoch() - refreshed > kTickInterval * stale_ticks) stale.push_back(&server);
   });
   std::shuffle(stale.begin(), stale.end(), context_.random_engine());
-  std::ranges::stable_sort(stale, {}, [](const Server* server) { return server->position.last_heard(); });
+  std::ranges::stable_sort(stale, {},
+                           [](const Server* server) { return server->position.last_reported_at(); });
   for (std::size_t i = 0; i < std::min(kMaxStaleChecksPerTick, stale.size()); ++i) StartFromBudget(*stale[i]);
 }
 
--- a/src/routing/latency_model.cpp
+++ b/src/routing/latency_model.cpp
@@ -5,77 +5,79 @@
 namespace lynxgrade {
 namespace {
 
-// Gain of a class's usual latency. It is a yardstick and moves slowly, upwards more slowly still: time spent
-// in queues must not pass for work.
-constexpr double kUsualGain = 0.02;
-constexpr double kUsualRiseFactor = 0.2;
-constexpr double kLeastUsualSeconds = 1e-3;
-constexpr double kInitialObjectiveFraction = 0.25;
-constexpr double kLeastResponseSeconds = 1e-4;
-constexpr double kLeastSlowness = 0.05;
-constexpr double kMaxCancelledSlowness = 8;
-// Of the latency objective: a server at which work takes less has capacity to spare.
-constexpr double kSpareObjectiveFraction = 0.6;
+// Gain of the moving average of a class's baseline latency, and further factor for increases. The baseline
+// adapts slowly, upwards even more slowly, so that queueing time is not mistaken for work.
+constexpr double kBaselineGain = 0.02;
+constexpr double kBaselineRiseFactor = 0.2;
+constexpr double kMinBaselineSeconds = 1e-3;
+constexpr double kInitialBaselineFraction = 0.25;  // of the latency objective
+constexpr double kMinResponseSeconds = 1e-4;
+constexpr double kMinSlowness = 0.05;
+// Limits the effect of one cancelled attempt.
+constexpr double kMaxCancelledSlowness = 8;  // times the baseline
+// A server has spare capacity if requests take at most this fraction of their latency objective there.
+constexpr double kSpareCapacityFraction = 0.6;
 
 }  // namespace
 
 LatencyModel::LatencyModel(DecisionContext& context, ServerTable& servers)
     : context_(context), servers_(servers) {
   for (const RequestClass& request_class : context.settings().classes) {
-    const double initial = ToSeconds(request_class.latency_objective) * kInitialObjectiveFraction;
-    usual_seconds_.push_back(std::max(kLeastUsualSeconds, initial));
+    const double initial = ToSeconds(request_class.latency_objective) * kInitialBaselineFraction;
+    baseline_seconds_.push_back(std::max(kMinBaselineSeconds, initial));
   }
 }
 
-double LatencyModel::ShortestUsualSeconds() const { return *std::ranges::min_element(usual_seconds_); }
+double LatencyModel::ShortestBaselineSeconds() const { return *std::ranges::min_element(baseline_seconds_); }
 
-// An attempt sent before one that was answered is not counted: the server works, and the older attempt's
-// connection has fallen silent, or its work is long.
+// Attempts sent before one that has been answered are not counted: the server is working, and either the
+// older attempt's connection hangs or its work is long. Counting it would make a healthy server look slow for
+// as long as the attempt is in flight.
 double LatencyModel::Slowness(const Server& server) const {
   double ages = 0;
   double count = 0;
   for (const auto& [key, attempt] : server.load.in_flight) {
-    if (attempt.sent < server.load.newest_answered) continue;
-    ages += ToSeconds(context_.now() - attempt.sent) / usual_seconds_[attempt.request_class];
+    if (attempt.sent < server.load.newest_answered_sent) continue;
+    ages += ToSeconds(context_.now() - attempt.sent) / baseline_seconds_[attempt.request_class];
     ++count;
   }
   const auto& group_latency = servers_.GroupOf(server.group).latency.For(server.IsPrimary());
   const double recorded = server.load.latency.Slowness(context_.now_since_epoch(), group_latency);
-  return std::max({kLeastSlowness, recorded, count > 0 ? ages / count : 0});
+  return std::max({kMinSlowness, recorded, count > 0 ? ages / count : 0});
 }
 
-// What is in flight now shows a queue before its latencies do.
+// Attempts in flight indicate a queue before latencies do.
 double LatencyModel::ExpectedSeconds(const Request& request, const Server& server) const {
   const double queue =
       server.load.latency.slowness_per_request() * static_cast<double>(server.load.in_flight.size() + 1);
-  return UsualSeconds(request) * std::max(Slowness(server), queue);
+  return BaselineSeconds(request) * std::max(Slowness(server), queue);
 }
 
-bool LatencyModel::HasSpareTime(ClassIndex request_class, const Server& server) const {
+bool LatencyModel::IsWellWithinObjective(ClassIndex request_class, const Server& server) const {
   const RequestClass& settings = context_.settings().classes[request_class];
-  return usual_seconds_[request_class] * Slowness(server) <=
-         kSpareObjectiveFraction * ToSeconds(settings.latency_objective);
+  return baseline_seconds_[request_class] * Slowness(server) <=
+         kSpareCapacityFraction * ToSeconds(settings.latency_objective);
 }
 
 void LatencyModel::RecordResponse(Server& server, const InFlightAttempt& attempt, Duration elapsed) {
-  double& usual = usual_seconds_[attempt.request_class];
+  double& baseline = baseline_seconds_[attempt.request_class];
   const Duration now = context_.now_since_epoch();
-  const double taken = std::max(kLeastResponseSeconds, ToSeconds(elapsed));
-  server.load.latency.RecordResponse(now, taken / usual, attempt.in_flight_at_start);
-  servers_.GroupOf(server.group).latency.For(server.IsPrimary()).RecordResponse(now, taken / usual);
-  usual += kUsualGain * (taken > usual ? kUsualRiseFactor : 1) * (taken - usual);
-  server.load.newest_answered = std::max(server.load.newest_answered, attempt.sent);
+  const double taken = std::max(kMinResponseSeconds, ToSeconds(elapsed));
+  server.load.latency.RecordResponse(now, taken / baseline, attempt.in_flight_at_start);
+  servers_.GroupOf(server.group).latency.For(server.IsPrimary()).RecordResponse(now, taken / baseline);
+  baseline += kBaselineGain * (taken > baseline ? kBaselineRiseFactor : 1) * (taken - baseline);
+  server.load.newest_answered_sent = std::max(server.load.newest_answered_sent, attempt.sent);
 }
 
 void LatencyModel::RecordCancelled(Server& server, const InFlightAttempt& attempt, Duration elapsed) {
-  // Where later attempts were answered, or where responses report queues and the last reported none, the
-  // response was lost and says nothing of the server's speed.
+  // If a later attempt was answered, or if responses report queue lengths and the last one reported no queue,
+  // the response was lost, which does not indicate a slow server.
   const bool may_be_queued =
       context_.settings().load_reporting != LoadReporting::kWithResponses || server.load.queued >= 1;
-  if (attempt.sent <= server.load.newest_answered || !may_be_queued) return;
+  if (attempt.sent <= server.load.newest_answered_sent || !may_be_queued) return;
   const Duration now = context_.now_since_epoch();
   const double slowness =
-      std::min(kMaxCancelledSlowness, ToSeconds(elapsed) / usual_seconds_[attempt.request_class]);
+      std::min(kMaxCancelledSlowness, ToSeconds(elapsed) / baseline_seconds_[attempt.request_class]);
   server.load.latency.RecordOverdue(now, slowness);
   auto& group_latency = servers_.GroupOf(server.group).latency.For(server.IsPrimary());
   if (slowness > group_latency.Mean(now, 1)) group_latency.RecordResponse(now, slowness);
--- a/src/routing/latency_model.h
+++ b/src/routing/latency_model.h
@@ -1,4 +1,5 @@
-// How long requests take: by class over all servers, and at one server against that.
+// Latency estimates: a baseline per request class over all servers, and each server's slowness relative to
+// it.
 #pragma once
 
 #include <span>
@@ -9,33 +10,35 @@
 
 namespace lynxgrade {
 
-// Keeps the usual latency of each request class, which stands for the work of one request in seconds, and
-// reads the latency estimates of the servers against it.
+// Keeps the baseline latency of each request class, which also serves as the work of one request in seconds.
+// Slowness is a latency as a multiple of the baseline.
 class LatencyModel {
  public:
   LatencyModel(DecisionContext& context, ServerTable& servers);
 
-  // Seconds that a request of the class usually takes.
-  double UsualSeconds(ClassIndex request_class) const { return usual_seconds_[request_class]; }
-  double UsualSeconds(const Request& request) const { return usual_seconds_[request.event.request_class]; }
-  double ShortestUsualSeconds() const;
+  // Baseline latency of the class.
+  double BaselineSeconds(ClassIndex request_class) const { return baseline_seconds_[request_class]; }
+  double BaselineSeconds(const Request& request) const {
+    return baseline_seconds_[request.event.request_class];
+  }
+  double ShortestBaselineSeconds() const;
 
-  // How slow the server is now, as a multiple of the usual, counting the age of attempts in flight.
+  // The server's current slowness, including the age of attempts in flight.
   double Slowness(const Server& server) const;
-  // Seconds that the request would take at the server.
+  // Expected latency of the request at the server.
   double ExpectedSeconds(const Request& request, const Server& server) const;
-  // Whether the class takes at most a fixed part of its latency objective at the server.
-  bool HasSpareTime(ClassIndex request_class, const Server& server) const;
+  // Whether the class's expected latency at the server leaves part of the latency objective unused.
+  bool IsWellWithinObjective(ClassIndex request_class, const Server& server) const;
 
-  // An attempt was answered after `elapsed`.
+  // Records an attempt that was answered after `elapsed`.
   void RecordResponse(Server& server, const InFlightAttempt& attempt, Duration elapsed);
-  // An attempt was cancelled after `elapsed`: it would have taken longer still.
+  // Records an attempt that was cancelled after `elapsed`, which is a lower bound of its latency.
   void RecordCancelled(Server& server, const InFlightAttempt& attempt, Duration elapsed);
 
  private:
   DecisionContext& context_;
   ServerTable& servers_;
-  std::vector<double> usual_seconds_;  // by class
+  std::vector<double> baseline_seconds_;  // by class
 };
 
 }  // namespace lynxgrade
--- a/src/routing/load_shedding.cpp
+++ b/src/routing/load_shedding.cpp
@@ -6,22 +6,22 @@
 namespace lynxgrade {
 namespace {
 
-// Rejection starts where the expected latency is this part of the time left, and is almost certain the second
-// part later.
-constexpr double kRejectFromFraction = 0.35;
-constexpr double kRejectRampFraction = 0.4;
-// Some requests always get through, or recovery would go unnoticed.
+// Requests are rejected with a probability that rises from 0, where the expected latency is the first
+// fraction of the time left, to its maximum, where it is the sum of both.
+constexpr double kRejectionStartFraction = 0.35;
+constexpr double kRejectionRampFraction = 0.4;
+// Below 1, so that some requests still reach the servers and recovery is noticed.
 constexpr double kMaxRejectionProbability = 0.95;
-// Of its length: what a queue takes to drain while rejections thin out the arrivals.
+// A queue drains in this fraction of its length while rejections reduce the arrivals.
 constexpr double kQueueDrainFraction = 0.5;
-// A class that is worth at least this part when late is waited for after its latency objective.
-constexpr double kLateResponseMatters = 0.5;
-// Bounds of the shedding priority, so that no class starves.
+// Classes whose late responses have at least this value may wait beyond their latency objective.
+constexpr double kMinLateResponseValue = 0.5;
+// Bounds of the shedding priority, which keep classes from starving.
 constexpr double kMinSheddingPriority = 0.8;
 constexpr double kMaxSheddingPriority = 1.6;
-constexpr double kLeastEarningRate = 1e-9;
-constexpr double kLeastSecondsLeft = 1e-4;
-constexpr double kLeastObjectiveSeconds = 1e-6;
+constexpr double kMinValueRate = 1e-9;
+constexpr double kMinSecondsLeft = 1e-4;
+constexpr double kMinObjectiveSeconds = 1e-6;
 constexpr Duration kOneSecond{1000000};
 
 }  // namespace
@@ -32,7 +32,7 @@
       latencies_(latencies),
       first_attempts_(context.settings().classes.size()) {}
 
-TimePoint LoadShedding::EstimateFirstAsked(const Request& request) {
+TimePoint LoadShedding::EstimateFirstClientAttempt(const Request& request) {
   estimation::FirstAttemptEstimator& estimator = first_attempts_[request.event.request_class];
   const auto kind =
       request.event.is_retry ? estimation::AttemptKind::kRetry : estimation::AttemptKind::kFirst;
@@ -41,26 +41,26 @@
 }
 
 void LoadShedding::RecordUnserved(const Request& request) {
-  first_attempts_[request.event.request_class].RecordUnserved(context_.now() - request.first_asked);
+  first_attempts_[request.event.request_class].RecordUnserved(context_.now() - request.first_client_attempt);
 }
 
-void LoadShedding::RecordClientStay(const Request& request, estimation::StayEnd end) {
+void LoadShedding::RecordClientWait(const Request& request, estimation::WaitEnd end) {
   const double objective =
-      std::max(kLeastObjectiveSeconds, ToSeconds(context_.ClassOf(request).latency_objective));
-  patience_.RecordStay(ToSeconds(context_.now() - request.arrived) / objective, end);
+      std::max(kMinObjectiveSeconds, ToSeconds(context_.ClassOf(request).latency_objective));
+  patience_.RecordWait(ToSeconds(context_.now() - request.arrived) / objective, end);
 }
 
 Duration LoadShedding::EffectiveObjective(const Request& request) const {
-  return Scale(context_.ClassOf(request).latency_objective, patience_.MedianStay());
+  return Scale(context_.ClassOf(request).latency_objective, patience_.MedianPatience());
 }
 
 TimePoint LoadShedding::UsefulUntil(const Request& request) const {
-  if (context_.ClassOf(request).late_response_value >= kLateResponseMatters) return request.deadline;
-  return std::min(request.deadline, request.first_asked + EffectiveObjective(request));
+  if (context_.ClassOf(request).late_response_value >= kMinLateResponseValue) return request.deadline;
+  return std::min(request.deadline, request.first_client_attempt + EffectiveObjective(request));
 }
 
 bool LoadShedding::IsTooLate(const Request& request) const {
-  return ToSeconds(UsefulUntil(request) - context_.now()) < latencies_.UsualSeconds(request) / 2;
+  return ToSeconds(UsefulUntil(request) - context_.now()) < latencies_.BaselineSeconds(request) / 2;
 }
 
 bool LoadShedding::HasWaitedTooLong(const Request& request) const {
@@ -69,14 +69,14 @@
 }
 
 bool LoadShedding::DrawRejection(const Request& request, const Server& server) {
-  // Once the objective has passed, what is left of the usefulness counts.
-  const TimePoint objective = request.first_asked + EffectiveObjective(request);
+  // Once the objective has passed, the time until a response becomes useless counts instead.
+  const TimePoint objective = request.first_client_attempt + EffectiveObjective(request);
   const TimePoint until =
       context_.now() < objective ? std::min(objective, request.deadline) : UsefulUntil(request);
-  const double left = std::max(kLeastSecondsLeft, ToSeconds(until - context_.now()));
+  const double left = std::max(kMinSecondsLeft, ToSeconds(until - context_.now()));
   const double weighted = latencies_.ExpectedSeconds(request, server) / left * SheddingPriority(request);
-  return context_.DrawChance(
-      std::min(kMaxRejectionProbability, (weighted - kRejectFromFraction) / kRejectRampFraction));
+  return context_.DrawBernoulli(
+      std::min(kMaxRejectionProbability, (weighted - kRejectionStartFraction) / kRejectionRampFraction));
 }
 
 double LoadShedding::SheddingPriority(const Request& request) const {
@@ -85,17 +85,17 @@
   double count = 0;
   for (std::size_t i = 0; i < classes.size(); ++i) {
     if (NeedsPrimary(classes[i]) != context_.NeedsPrimary(request)) continue;
-    sum += classes[i].priority_weight / latencies_.UsualSeconds(static_cast<ClassIndex>(i));
+    sum += classes[i].priority_weight / latencies_.BaselineSeconds(static_cast<ClassIndex>(i));
     ++count;
   }
-  const double own = std::max(kLeastEarningRate,
-                              context_.ClassOf(request).priority_weight / latencies_.UsualSeconds(request));
+  const double own = std::max(
+      kMinValueRate, context_.ClassOf(request).priority_weight / latencies_.BaselineSeconds(request));
   return std::clamp(std::sqrt(sum / count / own), kMinSheddingPriority, kMaxSheddingPriority);
 }
 
-// Once the server that is ready soonest has ended its ejection and has worked off what makes it too slow for
-// the class; a tick where no server is known to take the request. Never less than one response takes, in
-// which little changes.
+// The time until the first server has ended its ejection and drained the queue that makes it too slow for the
+// class, or one tick interval if no server is known that could take the request. Not less than the baseline
+// latency (or a tick interval, if that is shorter), as little changes in that time.
 Duration LoadShedding::RetryAfter(const Request& request) const {
   if (!context_.settings().clients_honor_retry_after) return Duration{0};
   std::optional<Duration> soonest;
@@ -105,12 +105,12 @@
     if (server.draining || needs_primary != server.IsPrimary()) continue;
     const Duration ejected = std::max(Duration{0}, server.ejection.ejected_until - context_.now());
     const double excess = std::max(0.0, latencies_.ExpectedSeconds(request, server) -
-                                            kRejectFromFraction * ToSeconds(EffectiveObjective(request)));
+                                            kRejectionStartFraction * ToSeconds(EffectiveObjective(request)));
     const Duration ready = ejected + Scale(kOneSecond, kQueueDrainFraction * excess);
     soonest = std::min(soonest.value_or(ready), ready);
   }
-  const Duration least = std::min(kTickInterval, Scale(kOneSecond, latencies_.UsualSeconds(request)));
-  return std::min(context_.settings().max_retry_after, std::max(least, soonest.value_or(kTickInterval)));
+  const Duration minimum = std::min(kTickInterval, Scale(kOneSecond, latencies_.BaselineSeconds(request)));
+  return std::min(context_.settings().max_retry_after, std::max(minimum, soonest.value_or(kTickInterval)));
 }
 
 }  // namespace lynxgrade
--- a/src/routing/load_shedding.h
+++ b/src/routing/load_shedding.h
@@ -1,5 +1,4 @@
-// Load shedding: which requests are rejected because their response would come too late, and when their
-// clients should retry.
+// Load shedding: rejects requests whose response would probably be too late, and computes Retry-After.
 #pragma once
 
 #include <vector>
@@ -14,31 +13,31 @@
  public:
   LoadShedding(DecisionContext& context, ServerTable& servers, const LatencyModel& latencies);
 
-  // Estimates when the client first asked for the request, from the time that it leaves.
-  TimePoint EstimateFirstAsked(const Request& request);
-  // The request ends without a response.
+  // Estimates when the client made its first attempt, from the time that it leaves for this one.
+  TimePoint EstimateFirstClientAttempt(const Request& request);
+  // Records that the request ended without a response.
   void RecordUnserved(const Request& request);
-  // How long the client stayed: it left by itself, or got its final answer.
-  void RecordClientStay(const Request& request, estimation::StayEnd end);
+  // Records how long the client waited until it abandoned the request or got its final answer.
+  void RecordClientWait(const Request& request, estimation::WaitEnd end);
 
-  // Until when a response is of use to the client.
+  // The latest time at which a response is of use to the client.
   TimePoint UsefulUntil(const Request& request) const;
-  // Whether not even a quick response would come in time: it would take the place of one that can.
+  // Whether even a fast response would be too late. Serving the request would only take capacity from others.
   bool IsTooLate(const Request& request) const;
-  // Whether the request waited for half of its time and no server was asked: its client does better to retry
-  // later.
+  // Whether half of the request's time has passed without an attempt that reached a server. It is then
+  // rejected so that the client has time to retry.
   bool HasWaitedTooLong(const Request& request) const;
-  // Draws whether the request is rejected rather than sent to the server, the more likely the later it would
-  // be.
+  // Draws whether to reject the request instead of sending it to the server. The probability grows with the
+  // expected lateness.
   bool DrawRejection(const Request& request, const Server& server);
-  // How readily the request is shed: the higher, the less it earns for its work against classes that want the
-  // same servers. Waiting requests are routed in ascending order.
+  // The higher, the sooner the request is shed: it compares the request's value per work with that of all
+  // classes served by the same role. Waiting requests are routed in ascending order.
   double SheddingPriority(const Request& request) const;
-  // When a retry may fare better: Retry-After. Zero where clients do not honor it.
+  // The Retry-After to send; zero if clients do not honor it.
   Duration RetryAfter(const Request& request) const;
 
  private:
-  // The part of the class's latency objective for which clients stay.
+  // The class's latency objective, shortened to the time for which at least half of the clients wait.
   Duration EffectiveObjective(const Request& request) const;
 
   DecisionContext& context_;
--- a/src/routing/outlier_ejection.cpp
+++ b/src/routing/outlier_ejection.cpp
@@ -7,16 +7,17 @@
 
 constexpr double kFailureRateGain = 0.15;
 constexpr double kEjectAboveFailureRate = 0.45;
-// What an ejected server returns with: one more failure ejects it again.
+// Failure rate with which a server returns from an ejection: two more consecutive failures eject it again.
 constexpr double kFailureRateAfterEjection = 0.3;
-// First ejections, in ticks; each further one in a row is twice as long.
-constexpr int kFailingTicks = 10;
-constexpr int kUnreachableTicks = 2;
+// Duration of the first ejection, in ticks, after failures and after lost connections. It doubles with each
+// consecutive ejection.
+constexpr int kFailureEjectionTicks = 10;
+constexpr int kUnreachableEjectionTicks = 2;
 constexpr int kMaxEjectionDoublings = 4;
-constexpr int kMaxRefusedDoublings = 6;
-constexpr int kMaxOverloadedTicks = 4;
-// How long connections are given back after one could not be had.
-constexpr int kScarceConnectionTicks = 100;
+constexpr int kMaxRefusedConnectionDoublings = 6;
+constexpr int kMaxOverloadEjectionTicks = 4;
+// How long idle connections are closed after the server has refused one.
+constexpr int kConnectionScarcityTicks = 100;
 
 }  // namespace
 
@@ -30,14 +31,14 @@
   ejection.consecutive_losses = unanswered ? ejection.consecutive_losses + 1 : 0;
   if (server.IsPrimary() && unanswered) servers_.GroupOf(server.group).searching_primary = true;
   if (outcome == Outcome::kOverloaded && context_.now() >= ejection.ejected_until) {
-    // Its queue is full or it drains: more work would be rejected too, and counts as load.
-    const int ticks = std::min(ejection.consecutive_failures, kMaxOverloadedTicks);
+    // Its queue is full or it is draining: further requests would be rejected too, and add to its load.
+    const int ticks = std::min(ejection.consecutive_failures, kMaxOverloadEjectionTicks);
     ejection.ejected_until = context_.now() + context_.Jitter(kTickInterval * ticks);
   }
   if (lost) HandleLostAttempt(server, outcome, elapsed);
   ejection.failure_rate += kFailureRateGain * (1 - ejection.failure_rate);
   if (ejection.failure_rate > kEjectAboveFailureRate && !server.IsPrimary()) {
-    Eject(server, kFailingTicks);
+    Eject(server, kFailureEjectionTicks);
     ejection.failure_rate = kFailureRateAfterEjection;
   }
 }
@@ -53,25 +54,26 @@
 void OutlierEjection::HandleLostAttempt(Server& server, Outcome outcome, Duration elapsed) {
   EjectionState& ejection = server.ejection;
   ejection.down = ejection.down || outcome == Outcome::kConnectionLost;
-  // A process that broke off and cannot be reached may be restarting, long before the endpoint list says so.
+  // A process whose connections broke and that is unreachable may be restarting, long before the endpoint
+  // list reports it.
   if (ejection.consecutive_failures > 1 && ejection.down) slow_start_.BeginSlowStart(server, context_.now());
   if (!ejection.down && elapsed < context_.settings().connect_timeout / 2) {
     BackOffFromRefusedConnection(server);
   } else {
-    Eject(server, kUnreachableTicks);
+    Eject(server, kUnreachableEjectionTicks);
   }
 }
 
-// Refused at once: the server is short of connections, or its process has ended; only a health check can
-// tell. The backoff doubles with each refusal in a row. What is short is kept idle by all instances, so idle
-// connections to this server are given back for a while.
+// An immediate refusal means that the server has no free connection slots or that its process has ended; only
+// a health check can distinguish these. The backoff doubles with each consecutive refusal. Idle connections
+// of all instances occupy the slots, so those to this server are closed for a while.
 void OutlierEjection::BackOffFromRefusedConnection(Server& server) {
   health_checks_.StartFromBudget(server);
   EjectionState& ejection = server.ejection;
-  const int doublings = std::min(ejection.consecutive_failures - 1, kMaxRefusedDoublings);
+  const int doublings = std::min(ejection.consecutive_failures - 1, kMaxRefusedConnectionDoublings);
   ejection.ejected_until =
       std::max(ejection.ejected_until, context_.now() + context_.Jitter(kTickInterval * (1 << doublings)));
-  ejection.connections_scarce_until = context_.now() + kTickInterval * kScarceConnectionTicks;
+  ejection.connections_scarce_until = context_.now() + kTickInterval * kConnectionScarcityTicks;
 }
 
 void OutlierEjection::Eject(Server& server, int ticks) {
--- a/src/routing/outlier_ejection.h
+++ b/src/routing/outlier_ejection.h
@@ -1,4 +1,4 @@
-// Ejects servers that fail, for a time that doubles with each ejection in a row.
+// Ejects failing servers for a time that doubles with each consecutive ejection.
 #pragma once
 
 #include "routing/health_checks.h"
@@ -12,9 +12,10 @@
                   SlowStartAdmission& slow_start)
       : context_(context), servers_(servers), health_checks_(health_checks), slow_start_(slow_start) {}
 
-  // An attempt at the server ended after `elapsed`.
+  // Records the outcome of an attempt that ended after `elapsed`.
   void RecordOutcome(Server& server, Outcome outcome, Duration elapsed);
-  // Gives idle connections back while the server is short of them and none is in use.
+  // Closes idle connections to the server while it has no free connection slots and nothing is in flight to
+  // it.
   void CloseIdleIfScarce(const Server& server);
 
  private:
--- a/src/routing/primary_overflow.cpp
+++ b/src/routing/primary_overflow.cpp
@@ -12,7 +12,8 @@
 bool PrimaryOverflow::HasSpareCapacity(Server& primary) {
   const std::vector<RequestClass>& classes = context_.settings().classes;
   for (std::size_t i = 0; i < classes.size(); ++i) {
-    if (!NeedsPrimary(classes[i]) || latencies_.HasSpareTime(static_cast<ClassIndex>(i), primary)) continue;
+    if (!NeedsPrimary(classes[i]) || latencies_.IsWellWithinObjective(static_cast<ClassIndex>(i), primary))
+      continue;
     primary.overflow_window.Decrease(context_.now_since_epoch());
     return false;
   }
--- a/src/routing/primary_overflow.h
+++ b/src/routing/primary_overflow.h
@@ -1,4 +1,4 @@
-// Reads that the primary of a group serves with the capacity that its own work leaves.
+// Lets a group's primary serve reads with its spare capacity.
 #pragma once
 
 #include "routing/eligibility.h"
@@ -6,18 +6,18 @@
 
 namespace lynxgrade {
 
-// A read that a replica had to refuse for its position, while no replica is expected to reach the position,
-// may go to the primary: within a window that grows with responses and is decreased once the primary's own
-// work slows down.
+// A read may overflow to the primary if a replica rejected it because of its position and no replica is
+// expected to reach that position in time. The number of overflow reads in flight is limited by a window that
+// grows with responses and is decreased when the primary's own requests slow down.
 class PrimaryOverflow {
  public:
   PrimaryOverflow(DecisionContext& context, ReplicationState& replication, const LatencyModel& latencies,
                   Eligibility& eligibility)
       : context_(context), replication_(replication), latencies_(latencies), eligibility_(eligibility) {}
 
-  // The primary, if it has capacity to spare for the read now; else null.
+  // Returns the primary if it has spare capacity for the read now, else null.
   Server* PrimaryWithSpareCapacity(const Request& request);
-  // An overflow read was sent to the primary, or ended there.
+  // Record that an overflow read was sent to the primary, or ended there.
   void RecordSent(Server& primary);
   void RecordEnd(Server& primary, Outcome outcome);
 
--- a/src/routing/primary_selection.cpp
+++ b/src/routing/primary_selection.cpp
@@ -5,9 +5,9 @@
 namespace lynxgrade {
 namespace {
 
-// In ticks: how long a server that was found to be a replica is not asked again.
+// How long a server seen as a replica is not tried as primary.
 constexpr int kReplicaEvidenceTicks = 10;
-// Attempts that are not spent on searching, so that they are left for the primary once it is found.
+// Attempts of a request that are not used to search for the primary, but kept for when it is found.
 constexpr std::size_t kReservedAttempts = 2;
 
 }  // namespace
@@ -23,28 +23,28 @@
     if (untried || role_changed) return primary;
   }
   if (!usable) group.searching_primary = true;
-  // A known primary that is only ejected for a while, or warming up, is waited for.
-  const bool is_known = primary != nullptr && !primary->ejection.SeemsLost() && !primary->draining;
+  // The request waits for a known primary that is only ejected temporarily or warming up.
+  const bool is_known = primary != nullptr && !primary->ejection.IsPresumedDown() && !primary->draining;
   if (role_changed || (is_known && request.primary_misses == 0)) return nullptr;
   return ChooseUnknownServer(request, primary);
 }
 
-// The request itself asks a server whose role was not heard of lately, those never heard of first. Such an
-// attempt costs a server nothing, while a health check has a price, and one instance of many hears of a role
-// too seldom to wait for it.
+// The request itself tries a server whose role has not been reported recently, first those of unknown role. A
+// misrouted attempt costs the server nothing, while a health check has a price, and in a large fleet one
+// instance learns of roles too rarely to wait for it.
 Server* PrimarySelection::ChooseUnknownServer(const Request& request, const Server* known_primary) {
   if (request.attempts.size() + kReservedAttempts >= context_.settings().max_attempts) return nullptr;
-  std::vector<Server*> never_heard;
-  std::vector<Server*> heard_long_ago;
+  std::vector<Server*> unknown_role;
+  std::vector<Server*> stale_role;
   for (ServerId id : servers_.GroupOf(request.event.group).servers) {
     Server& server = servers_.At(id);
     if (&server == known_primary || request.misrouted_to.contains(id)) continue;
     if (!server.IsUsable(context_.now()) || !eligibility_.MaySend(request, server)) continue;
     const std::optional<TimePoint>& as_replica = server.role.as_replica;
     if (as_replica && context_.now() - *as_replica < kTickInterval * kReplicaEvidenceTicks) continue;
-    (as_replica ? heard_long_ago : never_heard).push_back(&server);
+    (as_replica ? stale_role : unknown_role).push_back(&server);
   }
-  const std::vector<Server*>& candidates = never_heard.empty() ? heard_long_ago : never_heard;
+  const std::vector<Server*>& candidates = unknown_role.empty() ? stale_role : unknown_role;
   return candidates.empty() ? nullptr : candidates[context_.DrawIndex(candidates.size())];
 }
 
--- a/src/routing/primary_selection.h
+++ b/src/routing/primary_selection.h
@@ -11,7 +11,8 @@
                    Eligibility& eligibility)
       : context_(context), servers_(servers), replication_(replication), eligibility_(eligibility) {}
 
-  // The group's primary, or a server that may be it where none is known; null if the request has to wait.
+  // Returns the group's primary or, if it is unknown, a server that may be the primary; null if the request
+  // has to wait.
   Server* Choose(const Request& request);
 
  private:
--- a/src/routing/replication_state.cpp
+++ b/src/routing/replication_state.cpp
@@ -34,7 +34,8 @@
 void ReplicationState::RecordReport(Server& server, const LoadReport& report) {
   if (report.queued) server.load.queued = *report.queued;
   if (report.primary && report.position) {
-    // A primary is at the present and a replica not past it, so the position dates the claim.
+    // The position dates the reported role: a primary's position is the current time, and a replica's is not
+    // later.
     RecordRole(server, *report.primary ? ServerRole::kPrimary : ServerRole::kReplica, *report.position);
   }
   if (report.position) RecordPosition(server, *report.position);
--- a/src/routing/replication_state.h
+++ b/src/routing/replication_state.h
@@ -1,4 +1,4 @@
-// Who is the primary of a group, and how far its replicas have come in the log.
+// Tracks the primary of each group and the log positions of its servers.
 #pragma once
 
 #include <optional>
@@ -10,32 +10,32 @@
 
 enum class ServerRole { kPrimary, kReplica };
 
-// Keeps the role evidence and the positions of all servers. The newest evidence of a role wins, whatever its
+// Keeps the role evidence and log positions of all servers. The newest evidence of a role wins, whatever its
 // source.
 class ReplicationState {
  public:
   ReplicationState(DecisionContext& context, ServerTable& servers) : context_(context), servers_(servers) {}
 
-  // Evidence that the server had the role at the time `when`.
+  // Records evidence that the server had the role at the time `when`.
   void RecordRole(Server& server, ServerRole role, TimePoint when);
-  // A position that the server has reached, by its own report or response.
+  // Records a position that the server has reached according to its own report or response.
   void RecordPosition(Server& server, LogPosition position);
-  // The role and position that came with a response to a request of the class.
+  // Records the role and position that came with a response to a request of the class.
   void RecordResponse(Server& server, const RequestClass& request_class, const ResponseMetadata& metadata);
-  // A load report of the server itself.
+  // Records a load report of the server.
   void RecordReport(Server& server, const LoadReport& report);
 
-  // The server with the newest evidence of being the group's primary; null if there is none.
+  // Returns the server with the newest evidence of being the group's primary; null if there is none.
   Server* PrimaryOf(GroupId group);
 
-  // The position that a replica must hold to serve the request; none: any replica may.
+  // The position that a replica must have reached to serve the request; absent: any replica may.
   std::optional<LogPosition> RequiredPosition(const Request& request) const;
-  // Whether the server is proven to hold the position. True where none is required.
+  // Whether the server is proven to have reached the position. True if none is required.
   static bool IsProven(const Server& server, const std::optional<LogPosition>& required);
-  // Whether it is known if the server holds the position: see ReplicaPosition::IsKnown.
+  // Whether it is known if the server has reached the position; see ReplicaPosition::IsKnown.
   bool IsKnown(const Server& server, const std::optional<LogPosition>& required) const;
-  // Whether the server may be expected to hold it. An expectation suffices only where servers check
-  // themselves.
+  // Whether the server can be expected to have reached it. If servers do not check positions themselves, it
+  // must be proven.
   bool HasReached(const Server& server, const std::optional<LogPosition>& required) const;
   LogPosition ExpectedPosition(const Server& server) const;
 
--- a/src/routing/request.h
+++ b/src/routing/request.h
@@ -1,4 +1,4 @@
-// A request that has no final answer yet, and the attempts that were made for it.
+// A request without a final answer, and the attempts made for it.
 #pragma once
 
 #include <set>
@@ -11,30 +11,30 @@
 
 struct Attempt {
   ServerId server{};
-  ZoneIndex zone = 0;  // of the server
+  ZoneIndex zone = 0;  // the server's
   TimePoint sent{};
   bool pending = true;
   bool may_have_run = true;
-  bool reached_server = true;  // as far as is known
+  bool reached_server = true;  // false once the server is known not to have received it
 };
 
 struct Request {
   RequestEvent event;
   TimePoint arrived{};
-  // When the client first asked for this, as far as can be estimated; its latency objective counts from then
-  // on.
-  TimePoint first_asked{};
+  // Estimated start of the client's first attempt, which may precede this one. The latency objective counts
+  // from then on.
+  TimePoint first_client_attempt{};
   TimePoint deadline{};
   std::vector<Attempt> attempts;
-  TimePoint next_attempt{};  // while it waits
-  // Servers that answered that they are not the primary, or do not hold the required position.
+  TimePoint next_attempt{};  // while the request waits
+  // Servers that rejected it because they are not the primary or have not reached the required position.
   std::set<ServerId> misrouted_to;
-  int primary_misses = 0;               // in a row, since the group's primary last changed
-  std::uint64_t role_changes_seen = 0;  // of its group, at the arrival or the last such answer
+  int primary_misses = 0;               // such rejections by non-primaries since the group's last role change
+  std::uint64_t role_changes_seen = 0;  // Group::role_changes at the arrival or the last such rejection
 
   bool HasPendingAttempt() const;
   bool WasSentTo(ServerId server) const;
-  // Whether an attempt that may have run was sent to another zone.
+  // Whether an attempt to another zone may have run.
   bool MayHaveRunOutside(ZoneIndex zone) const;
   bool MayHaveRun() const;
   bool ReachedAnyServer() const;
--- a/src/routing/request_router.cpp
+++ b/src/routing/request_router.cpp
@@ -7,7 +7,8 @@
 namespace lynxgrade {
 namespace {
 
-// Another candidate replaces a drawn one that is too slow if it takes at most this part of its time.
+// Another candidate replaces a drawn server that is too slow if its expected latency is at most this fraction
+// of the drawn server's.
 constexpr double kClearlyFasterFraction = 0.7;
 constexpr Duration kOneSecond{1000000};
 
@@ -23,7 +24,8 @@
   if (event.request_class >= settings.classes.size()) {
     throw std::out_of_range("request of an unknown class");
   }
-  // A group that no list has named has no servers, and clients could fill the table with such.
+  // A group that no list has named has no servers. No state is kept for it, as clients could otherwise
+  // exhaust memory with made-up groups.
   if (!parts_.servers.HasGroup(event.group)) {
     context_.Emit(Reject{event.id, settings.clients_honor_retry_after ? kTickInterval : Duration{0}});
     return;
@@ -32,11 +34,11 @@
   request.event = event;
   request.arrived = context_.now() - event.waited;
   request.deadline = context_.now() + event.time_left;
-  request.first_asked = parts_.load_shedding.EstimateFirstAsked(request);
+  request.first_client_attempt = parts_.load_shedding.EstimateFirstClientAttempt(request);
   parts_.retry_policy.RecordRequest();
   parts_.health_checks.RecordRequest();
   request.role_changes_seen = parts_.servers.GroupOf(event.group).role_changes;
-  // The final answer has to be out before the deadline.
+  // The final answer must be sent before the deadline.
   const Duration time_to_decide = event.time_left - settings.tick * 2;
   if (time_to_decide <= Duration{0} || parts_.load_shedding.IsTooLate(request)) return Finish(request);
   context_.SetTimer(TimerKind::kRequestDeadline, time_to_decide, static_cast<std::uint64_t>(event.id));
@@ -68,21 +70,22 @@
   return route;
 }
 
-// The draw may fall on a server that is slow just now. What counts is whether any candidate is fast enough.
+// The draw may have selected a server that is slow at the moment. The request is rejected only if no other
+// candidate is fast enough either.
 Server* RequestRouter::ApplyLoadShedding(const Request& request, const Route& route) {
   if (!parts_.load_shedding.DrawRejection(request, *route.server)) return route.server;
   const auto expected_seconds = [&](const Server* server) {
     return parts_.latencies.ExpectedSeconds(request, *server);
   };
   const auto fastest = std::ranges::min_element(route.candidates, {}, expected_seconds);
-  if (fastest == route.candidates.end() || parts_.slow_start.IsAdmittedByChance(**fastest)) return nullptr;
+  if (fastest == route.candidates.end() || parts_.slow_start.UsesRandomAdmission(**fastest)) return nullptr;
   if (expected_seconds(*fastest) > kClearlyFasterFraction * expected_seconds(route.server)) return nullptr;
   return parts_.load_shedding.DrawRejection(request, **fastest) ? nullptr : *fastest;
 }
 
 void RequestRouter::WaitForServer(Request& request) {
   if (!context_.NeedsPrimary(request) && parts_.eligibility.MustProvePosition(request)) {
-    // No replica will reach the position in time: a late rejection would bring the client back too late.
+    // No replica will reach the position in time. A later rejection would leave the client no time to retry.
     if (!MayReplicaCatchUpInTime(request)) return Finish(request);
     parts_.health_checks.CheckReplicasFor(request);
   }
@@ -95,7 +98,7 @@
 }
 
 bool RequestRouter::MayReplicaCatchUpInTime(const Request& request) const {
-  const Duration half_of_usual = Scale(kOneSecond, parts_.latencies.UsualSeconds(request) / 2);
+  const Duration half_of_usual = Scale(kOneSecond, parts_.latencies.BaselineSeconds(request) / 2);
   const Duration within = parts_.load_shedding.UsefulUntil(request) - context_.now() - half_of_usual;
   return parts_.eligibility.MayReplicaCatchUp(request, within);
 }
@@ -164,7 +167,7 @@
                            event.outcome != Outcome::kMisrouted;
   }
   if (event.outcome == Outcome::kOk) {
-    parts_.load_shedding.RecordClientStay(*request, estimation::StayEnd::kAnswered);
+    parts_.load_shedding.RecordClientWait(*request, estimation::WaitEnd::kAnswered);
   }
   if (event.request_done) return Forget(event.id);
   ContinueAfterFailure(*request, server, event.outcome);
@@ -174,7 +177,7 @@
   if (request.HasPendingAttempt()) return;
   if (outcome == Outcome::kMisrouted) return ContinueAfterMisrouting(request, server);
   if (outcome == Outcome::kNotRun || !parts_.retry_policy.MayRetry(request)) return Finish(request);
-  // An unreachable server had no load from the attempt, so that its retry needs no budget.
+  // An attempt at an unreachable server caused no load, so its retry needs no budget.
   if (outcome != Outcome::kUnreachable && !parts_.retry_policy.ConsumeBudget()) return Finish(request);
   if (!context_.NeedsPrimary(request)) return RouteRequest(request);
   Wait(request, context_.Jitter(kTickInterval * static_cast<int>(request.attempts.size())));
@@ -199,9 +202,9 @@
 void RequestRouter::HandleClientDisconnected(const ClientDisconnectedEvent& event) {
   const Request* request = Find(event.id);
   if (request == nullptr) return;
-  // Close to its deadline a client gives up anyway, which says nothing of its patience.
+  // A client that disconnects close to its deadline has not abandoned its request early.
   if (context_.now() + context_.settings().tick * 2 < request->deadline) {
-    parts_.load_shedding.RecordClientStay(*request, estimation::StayEnd::kLeft);
+    parts_.load_shedding.RecordClientWait(*request, estimation::WaitEnd::kAbandoned);
   }
   CancelPendingAttempts(*request);
   Forget(event.id);
@@ -214,7 +217,7 @@
 void RequestRouter::Finish(Request& request) {
   const RequestId id = request.event.id;
   parts_.load_shedding.RecordUnserved(request);
-  parts_.load_shedding.RecordClientStay(request, estimation::StayEnd::kAnswered);
+  parts_.load_shedding.RecordClientWait(request, estimation::WaitEnd::kAnswered);
   CancelPendingAttempts(request);
   if (parts_.retry_policy.MayReject(request)) {
     context_.Emit(Reject{id, parts_.load_shedding.RetryAfter(request)});
--- a/src/routing/request_router.h
+++ b/src/routing/request_router.h
@@ -1,4 +1,4 @@
-// Routes each request until it has its final answer: to a server, back to waiting, or to a rejection.
+// Routes each request until it has its final answer: sends it to a server, lets it wait, or rejects it.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace lynxgrade {
 
-// The parts of the decision module that routing uses; they outlive the router.
+// The parts of the decision module that the router uses. They must outlive it.
 struct RoutingParts {
   DecisionContext& context;
   ServerTable& servers;
@@ -35,19 +35,19 @@
   explicit RequestRouter(const RoutingParts& parts) : parts_(parts), context_(parts.context) {}
 
   void HandleRequest(const RequestEvent& event);
-  // An attempt at the server ended. What that says of the server has been recorded before.
+  // Handles the end of an attempt. The server's state must have been updated before.
   void HandleAttemptEnd(Server& server, const AttemptEndedEvent& event);
   void HandleResponseStarted(const ResponseStartedEvent& event);
   void HandleClientDisconnected(const ClientDisconnectedEvent& event);
   void HandleDeadline(RequestId id);
 
-  // Routes the waiting requests that may go somewhere by now, the most valuable first.
+  // Routes the waiting requests that are due or have become routable, in order of their shedding priority.
   void RetryWaiting();
-  // Groups that have requests waiting for a primary that is searched for.
+  // Groups with requests that wait for a primary while the primary is being searched for.
   std::set<GroupId> GroupsSearchingPrimary() const;
 
  private:
-  // Where a request goes, and the candidates that were considered; no server: nowhere yet.
+  // The selected server and the candidates considered. Without a server the request has to wait.
   struct Route {
     Server* server = nullptr;
     bool overflow = false;
@@ -57,7 +57,7 @@
   Request* Find(RequestId id);
   void RouteRequest(Request& request);
   Route ChooseRoute(const Request& request);
-  // The server to send to after load shedding; null if the request is to be rejected.
+  // Returns the server to send to after load shedding; null if the request must be rejected.
   Server* ApplyLoadShedding(const Request& request, const Route& route);
   void WaitForServer(Request& request);
   void Wait(Request& request, Duration pause);
@@ -65,11 +65,11 @@
   bool MayRouteNow(const Request& request) const;
   bool MayReplicaCatchUpInTime(const Request& request) const;
 
-  // An attempt ended without a response: retries, waits or finishes.
+  // After an attempt without a response: retries, waits or finishes.
   void ContinueAfterFailure(Request& request, Server& server, Outcome outcome);
   void ContinueAfterMisrouting(Request& request, Server& server);
 
-  // Gives the final answer: a rejection where that is allowed, else a failure.
+  // Sends the final answer: a rejection if that is allowed, else a failure.
   void Finish(Request& request);
   void CancelPendingAttempts(const Request& request);
   void Forget(RequestId id);
--- a/src/routing/retry_policy.cpp
+++ b/src/routing/retry_policy.cpp
@@ -5,7 +5,7 @@
 namespace lynxgrade {
 namespace {
 
-constexpr double kRetriesPerRequest = 0.2;
+constexpr double kRetriesPerRequest = 0.2;  // added to the budget
 
 }  // namespace
 
--- a/src/routing/server.h
+++ b/src/routing/server.h
@@ -1,6 +1,6 @@
-// What one instance knows of one data server, and of one group of them.
+// The state that one instance keeps for a data server and for a group of them.
 //
-// Each part of the decision module has a struct of its own here and is the only one that changes it.
+// Each struct is kept by the part of the decision module that its comment names.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
 
 namespace lynxgrade {
 
-// The newest evidence for either role (kept by ReplicationState).
+// When the server was last seen in each role. Kept by ReplicationState.
 struct RoleEvidence {
   std::optional<TimePoint> as_primary;
   std::optional<TimePoint> as_replica;
@@ -29,35 +29,36 @@
 struct InFlightAttempt {
   TimePoint sent{};
   ClassIndex request_class = 0;
-  bool overflow = false;  // a read sent to the primary, counted by its overflow window
+  bool overflow = false;  // a read sent to the primary, counted in its overflow window
   std::optional<LogPosition> required_position;
-  bool position_unknown = false;       // sent without knowing how far the server has come
-  std::size_t in_flight_at_start = 0;  // attempts of this instance at the server, itself included
+  bool position_unknown = false;       // sent while the server's position was unknown
+  std::size_t in_flight_at_start = 0;  // this instance's attempts at the server, this one included
 };
 
-// What is in flight to the server, and how long that takes (kept by LatencyModel and RequestRouter).
+// Attempts in flight to the server and their latency. Kept by LatencyModel and RequestRouter.
 struct ServerLoad {
   std::map<std::pair<RequestId, AttemptNumber>, InFlightAttempt> in_flight;
   fleet::ServerLatencyEstimator latency;
-  TimePoint newest_answered{};  // when the newest attempt that it answered was sent
-  double queued = 0;            // as the server reported it
+  TimePoint newest_answered_sent{};  // when the newest attempt that it answered was sent
+  double queued = 0;                 // requests, as reported by the server
 };
 
-// Failures of the server (kept by OutlierEjection).
+// Failures of the server. Kept by OutlierEjection; health checks and slow starts reset parts of it.
 struct EjectionState {
-  double failure_rate = 0;       // exponentially weighted
-  int consecutive_failures = 0;  // all kinds
-  int consecutive_losses = 0;    // the newest of them that brought no answer at all
-  bool down = false;             // one was lost in flight, or a health check found no process
-  int ejections = 0;             // in a row; each doubles the next
+  double failure_rate = 0;       // exponentially weighted moving average
+  int consecutive_failures = 0;  // of any kind
+  int consecutive_losses = 0;    // the latest consecutive failures without a response
+  bool down = false;             // a connection broke in flight, or a health check reached no process
+  int ejections = 0;             // consecutive; each doubles the duration of the next
   TimePoint ejected_until{};
   TimePoint connections_scarce_until{};
 
-  // Whether its process seems to have ended: a single refused connection may be a shortage of connections.
-  bool SeemsLost() const { return down || consecutive_losses > 1; }
+  // Whether its process has probably ended. A single refused connection may only mean that the server has no
+  // connection slots left.
+  bool IsPresumedDown() const { return down || consecutive_losses > 1; }
 };
 
-// Kept by HealthChecks.
+// The latest health check of the server. Kept by HealthChecks.
 struct HealthCheckState {
   TimePoint started{};
   bool in_flight = false;
@@ -69,9 +70,9 @@
   ZoneIndex zone = 0;
   double weight = 1;
 
-  bool draining = false;  // listed as draining or deleted: gets no new attempts
+  bool draining = false;  // listed as draining or deleted; gets no new attempts
   std::optional<TimePoint> deleted_since;
-  std::optional<TimePoint> started;  // when its process started, where that is known
+  std::optional<TimePoint> started;  // start of its process, if known
 
   RoleEvidence role;
   estimation::ReplicaPosition position;
@@ -79,13 +80,13 @@
   EjectionState ejection;
   HealthCheckState health_check;
   fleet::WarmingTokenBucket warm_up_bucket;
-  limits::AimdWindow overflow_window;  // for reads that a primary serves beside its own work
+  limits::AimdWindow overflow_window;  // reads that the server handles as primary besides its own requests
 
   bool IsPrimary() const { return role.IsPrimary(); }
   bool IsUsable(TimePoint now) const { return !draining && now >= ejection.ejected_until; }
 };
 
-// One value for a group's replicas and one for its primary.
+// One value for replicas and one for the primary.
 template <typename Value>
 struct PerRole {
   Value replica;
@@ -98,7 +99,7 @@
 struct Group {
   std::vector<ServerId> servers;
   std::uint64_t role_changes = 0;  // how often a server became the primary
-  bool searching_primary = false;  // nobody is known to be the primary, or it seems to be lost
+  bool searching_primary = false;  // the primary is unknown, or is presumed to be down
   PerRole<fleet::DemandEstimator> demand;
   PerRole<fleet::GroupLatencyEstimator> latency;
 };
--- a/src/routing/server_table.h
+++ b/src/routing/server_table.h
@@ -1,4 +1,4 @@
-// The data servers that the endpoint list has named, by id and by group.
+// The data servers named by the endpoint list, by id and by group.
 #pragma once
 
 #include <map>
@@ -10,11 +10,11 @@
 // Owns the servers and groups. References stay valid until the server is erased.
 class ServerTable {
  public:
-  // Null if the server is unknown.
+  // Returns null if the server is unknown.
   Server* Find(ServerId id);
   Server& At(ServerId id) { return servers_.at(id); }
   const Server& At(ServerId id) const { return servers_.at(id); }
-  // Returns the server, and adds it to the group if it is new.
+  // Returns the server; adds it to the group first if it is new.
   Server& FindOrAdd(ServerId id, GroupId group, ZoneIndex zone);
 
   bool HasGroup(GroupId id) const { return groups_.contains(id); }
@@ -23,7 +23,7 @@
   std::size_t server_count() const { return servers_.size(); }
   std::size_t group_count() const { return groups_.size(); }
 
-  // Visits all servers in the order of their ids.
+  // Visits all servers in ascending order of id.
   template <typename Visitor>
   void ForEach(Visitor visitor) {
     for (auto& [id, server] : servers_) visitor(server);
--- a/src/routing/slow_start_admission.h
+++ b/src/routing/slow_start_admission.h
@@ -1,8 +1,9 @@
-// How much a server that has just started may be sent.
+// Limits the load on servers that have just started.
 //
-// All instances together must stay under what overloads a warming server, though they share nothing: each
-// takes its part of the allowed rate (fleet/slow_start.h). A part that comes to whole requests is a token
-// bucket; a smaller one is kept by chance.
+// All instances together must not overload a warming server, although they share no state: each limits itself
+// to its share of the allowed rate (fleet/slow_start.h). A share of at least one request per burst is
+// enforced by a token bucket. A smaller share is enforced by random admission, as a bucket would be empty for
+// most requests though all of them together fit.
 #pragma once
 
 #include "fleet/slow_start.h"
@@ -15,30 +16,30 @@
  public:
   SlowStartAdmission(DecisionContext& context, ServerTable& servers, const LatencyModel& latencies);
 
-  // The server's process started at `when`: forgets how it did before and begins its slow start.
+  // Begins the slow start of a server whose process started at `when`, and resets its latency and failures.
   void BeginSlowStart(Server& server, TimePoint when);
 
   bool IsWarming(const Server& server) const;
-  // The least share of its capacity that the server has by now: 1 once it is warm.
+  // Minimum fraction of its full capacity that the server has now; 1 once it is warm.
   double CapacityShare(const Server& server) const;
-  // Whether this instance's part is below one request, so that it is kept by chance.
-  bool IsAdmittedByChance(const Server& server) const;
-  // Whether the server may be sent the request, as far as the token bucket limits that.
+  // Whether this instance's share is too small for the token bucket, so that admission is random.
+  bool UsesRandomAdmission(const Server& server) const;
+  // Whether the token bucket allows the request. Always true if it does not apply.
   bool HasCapacity(const Request& request, Server& server);
-  // Takes what the request costs from the token bucket.
+  // Takes the request's work from the token bucket.
   void Consume(const Request& request, Server& server);
 
-  // Counts a routing decision as work that is wanted in the request's group, a retry's or a waiting request's
-  // too. Returns the wanted work per second.
+  // Counts a routing decision, including those for retries and waiting requests, as demand in the request's
+  // group. Returns the group's demand in work per second.
   double RecordDemand(const Request& request);
-  // The most of all draws that may fall on the server, where `demand` is wanted per second.
-  double DrawCap(const Server& server, double demand) const;
-  // Draws whether the request may go to the server, where it has nowhere else to go; null if not.
+  // The maximum probability with which a draw may select the server, given the demand in work per second.
+  double MaxDrawProbability(const Server& server, double demand) const;
+  // Random admission of a request that has no other candidate. Returns null if it is not admitted.
   Server* DrawAdmission(const Request& request, Server* server);
 
-  // One request of the class was answered.
+  // Records that a request of the class was answered.
   void RecordResponse(ClassIndex request_class);
-  // Ends a tick interval in which usable servers had so much warm capacity, in servers.
+  // Ends a tick interval in which the usable servers had the capacity of `warm_servers` warm ones.
   void EndInterval(Duration interval, double warm_servers);
 
  private:
--- a/src/routing/types.h
+++ b/src/routing/types.h
@@ -19,8 +19,8 @@
 };
 using TimePoint = ProxyClock::time_point;
 
-// A position in the log of a group, as a time on the instances' clock: everything committed by then is
-// applied.
+// A position in a group's write-ahead log, expressed as a time on the instances' clock: a server at the
+// position has applied everything that was committed by then.
 using LogPosition = TimePoint;
 
 enum class RequestId : std::uint32_t {};
--- a/tests/fleet/discovery_retry_test.cpp
+++ b/tests/fleet/discovery_retry_test.cpp
@@ -1,4 +1,4 @@
-// Backoff of many instances that call discovery at once, in virtual time.
+// Tests of the backoff of many instances that call discovery at the same time, in simulated time.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -16,87 +16,89 @@
 using fleet::Backoff;
 using fleet::DiscoveryRetryPolicy;
 
-constexpr Duration kLeastWindow{150000}, kSpacing{20000};
+constexpr Duration kMinWindow{150000}, kWindowPerInstance{20000};
 
-// Discovery that one event has cut all instances off from at second 0 and that answers nobody for `away`
-// seconds, then `capacity` calls a second; the rest of each second's are rejected. Times in microseconds.
+// Result of an outage: all instances lose discovery at second 0; it answers no calls for `outage_s` seconds,
+// and then at most `capacity` calls per second.
 struct Outage {
-  int most_in_a_second = 0;  // calls, from the second second on
-  int first_second = 0;
-  double all_back_s = 0;
+  int max_calls_per_second = 0;  // after the first second
+  int calls_in_first_second = 0;
+  double recovery_s = 0;  // when the last instance was answered
 };
 
-Outage RunOutage(std::uint32_t instances, double away, int capacity, std::uint64_t seed) {
+Outage RunOutage(std::uint32_t instances, double outage_s, int capacity, std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  std::uniform_real_distribution<double> even(0, 1);
-  std::vector<Backoff> all(instances, Backoff(instances, kLeastWindow, kSpacing));
+  std::uniform_real_distribution<double> uniform(0, 1);
+  std::vector<Backoff> all(instances, Backoff(instances, kMinWindow, kWindowPerInstance));
   std::multimap<std::int64_t, std::size_t> calls;
-  for (std::size_t i = 0; i < all.size(); ++i) calls.emplace(all[i].NextWait(even(random)).count(), i);
-  std::map<std::int64_t, int> made, served;
+  for (std::size_t i = 0; i < all.size(); ++i) calls.emplace(all[i].NextWait(uniform(random)).count(), i);
+  std::map<std::int64_t, int> calls_made, served;
   Outage outage;
   while (!calls.empty()) {
-    const auto [at, who] = *calls.begin();
+    const auto [at, instance] = *calls.begin();
     calls.erase(calls.begin());
     const std::int64_t second = at / 1000000;
-    ++made[second];
-    if (static_cast<double>(at) >= away * 1e6 && served[second] < capacity) {
+    ++calls_made[second];
+    if (static_cast<double>(at) >= outage_s * 1e6 && served[second] < capacity) {
       ++served[second];
-      outage.all_back_s = static_cast<double>(at) * 1e-6;
+      outage.recovery_s = static_cast<double>(at) * 1e-6;
       continue;
     }
-    calls.emplace(at + all[who].NextWait(even(random)).count(), who);
+    calls.emplace(at + all[instance].NextWait(uniform(random)).count(), instance);
   }
-  outage.first_second = made[0];
-  for (const auto& [second, count] : made) {
-    if (second > 0) outage.most_in_a_second = std::max(outage.most_in_a_second, count);
+  outage.calls_in_first_second = calls_made[0];
+  for (const auto& [second, count] : calls_made) {
+    if (second > 0) outage.max_calls_per_second = std::max(outage.max_calls_per_second, count);
   }
   return outage;
 }
 
-TEST_CASE("calls for the list by a fleet that one event has cut off stay under one rate, whatever its size") {
+TEST_CASE("the call rate of a fleet after an outage is limited for any fleet size") {
   for (const std::uint32_t instances : {1u, 3u, 30u, 100u, 300u}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       CAPTURE(instances);
       CAPTURE(seed);
       const Outage outage = RunOutage(instances, 20, 1000, seed);
-      // Fifty a second in the first round, with the second that overlaps it and what chance adds.
-      CHECK(outage.first_second <= 100);
-      CHECK(outage.most_in_a_second <= 100);
-      // The last is back within one window after discovery is, eight times the first.
+      // 50 calls per second in the first round, plus the overlapping second round and random variation.
+      CHECK(outage.calls_in_first_second <= 100);
+      CHECK(outage.max_calls_per_second <= 100);
+      // The last instance recovers within the maximum window, eight times the first one, after discovery
+      // does.
       const double window = 0.15 + 0.02 * (instances - 1);
-      CHECK(outage.all_back_s <= 20 + 8 * window + 0.1);
+      CHECK(outage.recovery_s <= 20 + 8 * window + 0.1);
     }
   }
 }
 
-TEST_CASE("a fleet finds its way back to discovery that can answer few calls") {
+TEST_CASE("a fleet recovers even if discovery answers few calls per second") {
   for (const std::uint32_t instances : {1u, 3u, 30u, 100u, 300u}) {
     CAPTURE(instances);
-    CHECK(RunOutage(instances, 5, 12, 7).all_back_s < 5 + 12.0 * (0.15 + 0.02 * (instances - 1)) + 1);
+    CHECK(RunOutage(instances, 5, 12, 7).recovery_s < 5 + 12.0 * (0.15 + 0.02 * (instances - 1)) + 1);
   }
 }
 
-TEST_CASE("the waits after one event are drawn over all of the window, and start again after a success") {
+TEST_CASE("waits are drawn from the whole window, which is reset by a success") {
   std::mt19937_64 random(1);
-  std::uniform_real_distribution<double> even(0, 1);
+  std::uniform_real_distribution<double> uniform(0, 1);
   std::set<std::int64_t> tenths;
   for (int i = 0; i < 200; ++i)
-    tenths.insert(Backoff(100, kLeastWindow, kSpacing).InitialWait(even(random), Duration(5000000)).count() /
-                  213000);
+    tenths.insert(
+        Backoff(100, kMinWindow, kWindowPerInstance).InitialWait(uniform(random), Duration(5000000)).count() /
+        213000);
   CHECK(tenths.size() == 10);
-  Backoff one(1, kLeastWindow, kSpacing);
-  for (int i = 0; i < 9; ++i) one.NextWait(0.5);
-  CHECK(one.NextWait(0.5) == Duration(600000));
-  one.RecordSuccess();
-  CHECK(one.NextWait(0.5) == Duration(75000));
-  CHECK(Backoff(0, kLeastWindow, kSpacing).NextWait(0.5) == Duration(75000));
+  Backoff single(1, kMinWindow, kWindowPerInstance);
+  for (int i = 0; i < 9; ++i) single.NextWait(0.5);
+  CHECK(single.NextWait(0.5) == Duration(600000));
+  single.RecordSuccess();
+  CHECK(single.NextWait(0.5) == Duration(75000));
+  CHECK(Backoff(0, kMinWindow, kWindowPerInstance).NextWait(0.5) == Duration(75000));
 }
 
-// Who fails at each point, and how late the list is known: a watch that falls silent just after a sign of
-// life, a call that is refused then, one that hangs as discovery comes back. A change counts as known 6 s
-// after discovery had it and could be reached, or at once where an agent has it; the drain grace later
-// nothing may be sent there.
-TEST_CASE("the waits of a watch add up to less than the time for which an old list may be followed") {
+// Worst-case delays until a changed list is known: a watch that becomes silent just after it sent data, a
+// call refused after that, and a call that hangs as discovery recovers. A change counts as known 6 s after
+// discovery had it and was reachable, or at once if an agent has it. After the drain grace the removed server
+// must not be used any more.
+TEST_CASE("timeouts and waits add up to less than the time for which an old list may be used") {
   const Duration known_after{6000000}, long_ago{60000000};
   for (const std::int64_t grace_ms : {1000, 2000, 4000}) {
     const Duration grace{grace_ms * 1000};
@@ -107,16 +109,16 @@
         CAPTURE(instances);
         Duration silent{0}, refused{0}, hung{0};
         std::mt19937_64 random(5);
-        std::uniform_real_distribution<double> even(0, 1);
+        std::uniform_real_distribution<double> uniform(0, 1);
         for (int run = 0; run < 2000; ++run) {
           DiscoveryRetryPolicy waits(shared, instances, grace);
-          const Duration first = waits.max_silence() + waits.NextWait(even(random), waits.max_silence());
+          const Duration first = waits.max_silence() + waits.NextWait(uniform(random), waits.max_silence());
           silent = std::max(silent, first + waits.answer_time());
-          refused = std::max(refused, first + waits.NextWait(even(random), first) + waits.answer_time());
-          // It comes back just as a call has begun that will hang, after any number of failures.
-          for (int i = 0; i < run % 12; ++i) waits.NextWait(even(random), long_ago);
+          refused = std::max(refused, first + waits.NextWait(uniform(random), first) + waits.answer_time());
+          // Discovery recovers just after a call started that will hang, after any number of failures.
+          for (int i = 0; i < run % 12; ++i) waits.NextWait(uniform(random), long_ago);
           hung = std::max(
-              hung, waits.call_timeout() + waits.NextWait(even(random), long_ago) + waits.answer_time());
+              hung, waits.call_timeout() + waits.NextWait(uniform(random), long_ago) + waits.answer_time());
         }
         CHECK(silent < known_after + grace);
         CHECK(refused < known_after + grace);
@@ -128,24 +130,23 @@
   }
 }
 
-TEST_CASE("calls for the list by a fleet that is cut off keep under one rate though none waits too long") {
+TEST_CASE("the call rate of a fleet is limited although each instance meets its deadlines") {
   for (const std::uint32_t instances : {1u, 3u, 30u, 100u, 300u}) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       CAPTURE(instances);
       std::mt19937_64 random(seed);
-      std::uniform_real_distribution<double> even(0, 1);
-      std::map<std::int64_t, int> made;
+      std::uniform_real_distribution<double> uniform(0, 1);
+      std::map<std::int64_t, int> calls_made;
       for (std::uint32_t i = 0; i < instances; ++i) {
         DiscoveryRetryPolicy waits(true, instances, Duration(2000000));
-        for (Duration at{0}; (at += waits.NextWait(even(random), at)) < Duration(60000000);)
-          ++made[at.count() / 1000000];
+        for (Duration at{0}; (at += waits.NextWait(uniform(random), at)) < Duration(60000000);)
+          ++calls_made[at.count() / 1000000];
       }
-      for (const auto& in_second : made) {
+      for (const auto& in_second : calls_made) {
         const std::int64_t second = in_second.first;
         const int count = in_second.second;
         CAPTURE(second);
-        // Two calls of each in what is left before the list binds; from then on one in 2.9 s at the most
-        // often.
+        // Each instance makes two calls before the list must be known, and after that at most one per 2.9 s.
         CHECK(count <= (second < 8 ? 180 : 120));
       }
     }
--- a/tests/fleet/routing_fleet.h
+++ b/tests/fleet/routing_fleet.h
@@ -1,4 +1,4 @@
-// Many instances of the decision module that share nothing, in front of twelve servers, in virtual time.
+// A fleet of decision modules that share no state, in front of 12 servers, in simulated time.
 #pragma once
 
 #include <algorithm>
@@ -12,13 +12,13 @@
 
 namespace lynxgrade {
 
-inline constexpr double kCores = 5;                 // of a server
-inline constexpr double kWork = 0.08;               // seconds, of a request
-inline constexpr double kHealthCheckWork = 0.0006;  // seconds; the most that a site states
-inline constexpr Duration kReplacedAt{8000000};
+inline constexpr double kCores = 5;                        // per server
+inline constexpr double kWorkSeconds = 0.08;               // seconds per request
+inline constexpr double kHealthCheckWorkSeconds = 0.0006;  // seconds; the maximum that any site states
+inline constexpr Duration kReplacedAt{8000000};            // when the first group's servers are replaced
 inline constexpr Duration kEnd{17000000};
 
-inline Settings SiteSettings(std::uint32_t instances) {
+inline Settings FleetSettings(std::uint32_t instances) {
   Settings s;
   RequestClass read, write;
   read.kind = AccessKind::kEventualRead;
@@ -30,7 +30,7 @@
   write.idempotency_window = Duration(3000000);
   write.latency_objective = Duration(700000);
   s.classes = {read, write};
-  s.tenants = {{.quota_per_s = 0.8 * 12 * kCores / kWork, .share = 1}};
+  s.tenants = {{.quota_per_s = 0.8 * 12 * kCores / kWorkSeconds, .share = 1}};
   s.fleet_size = instances;
   s.max_attempts = 8;
   s.may_cancel = s.clients_honor_retry_after = true;
@@ -42,23 +42,23 @@
   return s;
 }
 
-// Two groups of six. In the eighth second all servers of the first are replaced by new ones, and seven in ten
-// instances restart. Servers answer all they get; what counts is what they are sent.
+// Two groups of six servers. After 8 s all servers of the first group are replaced by new ones, and 70 % of
+// the instances restart. Servers answer all requests; the tests check what is sent to them.
 class RoutingFleet {
  public:
   struct Options {
     std::uint32_t instances = 1;
-    std::uint32_t configured_instances = 1;  // as the settings say; 0: unknown
+    std::uint32_t configured_instances = 1;  // fleet size in the settings; 0: unknown
     bool uneven_traffic = false;
     std::uint64_t seed = 1;
-    double health_check_price = 0;   // 0: none may be sent
-    std::uint32_t ended_server = 0;  // of the second group: listed, but its process has ended; 0: none
-    bool restarts = false;  // each instance restarts once more while the new servers warm up, one by one
+    double health_check_price = 0;   // 0: health checks are not allowed
+    std::uint32_t ended_server = 0;  // in the second group: listed, but its process has ended; 0: none
+    bool restarts = false;           // instances also restart one by one while the new servers warm up
   };
 
   // Runs the fleet to its end.
   explicit RoutingFleet(const Options& options)
-      : options_(options), settings_(SiteSettings(options.configured_instances)), random_(options.seed) {
+      : options_(options), settings_(FleetSettings(options.configured_instances)), random_(options.seed) {
     const double price = options.health_check_price;
     settings_.may_health_check = price > 0;
     settings_.health_check_price = price;
@@ -68,53 +68,53 @@
       weights.push_back(options.uneven_traffic ? 1.0 / (1 + i % 5) : 1);
       StartInstance(i, Entries(ServerSet::kInitial), options.seed * 1000 + i);
     }
-    std::discrete_distribution<std::uint32_t> which(weights.begin(), weights.end());
-    std::exponential_distribution<double> gap(0.6 * 12 * kCores / kWork);
+    std::discrete_distribution<std::uint32_t> choose_instance(weights.begin(), weights.end());
+    std::exponential_distribution<double> gap(0.6 * 12 * kCores / kWorkSeconds);
     for (double t = 0; t < 1e-6 * static_cast<double>(kEnd.count()); t += gap(random_)) {
       const TimePoint now{Duration(1000000000 + static_cast<std::int64_t>(t * 1e6))};
-      FeedDueEvents(now);
+      HandleDueEvents(now);
       ReplaceServersWhenDue(now);
       RestartInstancesWhenDue(now);
-      SendRequest(now, which);
+      SendRequest(now, choose_instance);
     }
   }
 
   std::uint32_t requests() const { return requests_; }
   int starts() const {
     int sum = 0;
-    for (const auto& [who, incarnation] : incarnations_) sum += incarnation;
+    for (const auto& [instance, incarnation] : incarnations_) sum += incarnation;
     return sum;
   }
   int health_checks() const { return health_checks_; }
-  // Connections that were opened, and that the ended server refused.
+  // Number of connections opened, and of those refused by the ended server.
   int connects() const { return connects_; }
   int refused() const { return refused_; }
 
-  // The most work sent to a new server within any three seconds, as a part of what overloads it if it
-  // warms up as slowly as the settings allow.
-  double WorstOverload() const {
-    double worst = 0;
-    for (const auto& [member, at] : sent_) {
-      if (member < 100) continue;
+  // Maximum work sent to a new server within any 3 s, relative to the work that overloads it if it warms up
+  // as slowly as the settings allow.
+  double MaxOverload() const {
+    double max_ratio = 0;
+    for (const auto& [server, at] : sent_) {
+      if (server < 100) continue;
       std::size_t from = 0;
       for (std::size_t i = 0; i < at.size(); ++i) {
         while (at[i] - at[from] > settings_.overload_duration) ++from;
         const double age = 1e-6 * static_cast<double>((at[i] - start_ - kReplacedAt).count()) - 3;
         const double share = 0.15 + 0.85 * std::max(0.0, age) / 18;
-        const double most = 3 * share * kCores * 3;
-        worst = std::max(worst, kWork * static_cast<double>(i - from + 1) / most);
+        const double overload_work = 3 * share * kCores * 3;
+        max_ratio = std::max(max_ratio, kWorkSeconds * static_cast<double>(i - from + 1) / overload_work);
       }
     }
-    return worst;
+    return max_ratio;
   }
 
-  // The most that came to a new server within any `overload_duration`, in calls of mean work, beyond those
-  // that the settings allow it in that time, N, as a part of what is put down to chance, 2 x root of N + 2.
-  // What is rejected counts as a whole call, a health check by its work.
-  double WorstExcessOverChance() const {
-    double worst = -9;
-    for (const auto& [member, at] : received_) {
-      if (member < 100) continue;
+  // Maximum number of calls of mean work that a new server received within any `overload_duration` beyond the
+  // N calls that the settings allow, relative to the tolerated random excess of 2 sqrt(N) + 2. Rejected
+  // requests count as whole calls, health checks by their work.
+  double MaxExcess() const {
+    double max_ratio = -9;
+    for (const auto& [server, at] : received_) {
+      if (server < 100) continue;
       std::size_t from = 0;
       double calls = 0;
       for (const auto& [when, call] : at) {
@@ -122,48 +122,49 @@
         while (when - at[from].first > settings_.overload_duration) calls -= at[from++].second;
         const double age = 1e-6 * static_cast<double>((when - start_ - kReplacedAt).count()) - 3;
         const double share = 0.15 + 0.85 * std::max(0.0, age) / 18;
-        const double allowed = 3 * share * kCores * 3 / kWork;
-        worst = std::max(worst, (calls - allowed) / (2 * std::sqrt(allowed) + 2));
+        const double allowed = 3 * share * kCores * 3 / kWorkSeconds;
+        max_ratio = std::max(max_ratio, (calls - allowed) / (2 * std::sqrt(allowed) + 2));
       }
     }
-    return worst;
+    return max_ratio;
   }
 
-  // The least work that a new server got in its first seconds, as a part of what it could do in them at
-  // least.
-  double LeastUtilization() const {
-    double least = 9;
-    for (std::uint32_t member = 101; member <= 106; ++member) {
-      const auto it = sent_.find(member);
+  // Minimum work that any new server got in its first 6 s, relative to its minimum capacity in that time.
+  double MinUtilization() const {
+    double min_ratio = 9;
+    for (std::uint32_t server = 101; server <= 106; ++server) {
+      const auto it = sent_.find(server);
       const auto count =
           it == sent_.end() ? 0 : std::count_if(it->second.begin(), it->second.end(), [&](TimePoint t) {
             return t - start_ - kReplacedAt < Duration(6000000);
           });
-      least = std::min(least, kWork * static_cast<double>(count) / (6 * kCores * (0.15 + 0.85 / 6)));
+      min_ratio =
+          std::min(min_ratio, kWorkSeconds * static_cast<double>(count) / (6 * kCores * (0.15 + 0.85 / 6)));
     }
-    return least;
+    return min_ratio;
   }
 
  private:
-  static constexpr int kIdleSeconds = 10;  // for which a connection is kept
-  // One instance's connections to one member.
-  struct Link {
-    int out = 0;
-    std::vector<TimePoint> idle;  // since when
+  static constexpr int kIdleSeconds = 10;  // idle connections are closed after this time
+  // One instance's connections to one server.
+  struct ServerConnections {
+    int in_use = 0;
+    std::vector<TimePoint> idle;  // when each became idle
   };
-  struct Due {
-    std::uint32_t who;
+  struct PendingEvent {
+    std::uint32_t instance;
     int incarnation;
     Event event;
   };
 
   enum class ServerSet { kInitial, kReplaced };
 
-  void FeedDueEvents(TimePoint now) {
-    while (!due_.empty() && due_.begin()->first <= now) {
-      const auto [when, what] = *due_.begin();
-      due_.erase(due_.begin());
-      if (what.incarnation == incarnations_[what.who]) Feed(what.who, when, what.event);
+  void HandleDueEvents(TimePoint now) {
+    while (!pending_.empty() && pending_.begin()->first <= now) {
+      const auto [when, pending] = *pending_.begin();
+      pending_.erase(pending_.begin());
+      if (pending.incarnation == incarnations_[pending.instance])
+        HandleEvent(pending.instance, when, pending.event);
     }
   }
 
@@ -174,7 +175,7 @@
       if (i % 10 < 7) {
         StartInstance(i, Entries(ServerSet::kReplaced), options_.seed * 1000 + 500 + i);
       } else {
-        Feed(i, now, EndpointListEvent{EndpointListKind::kComplete, Entries(ServerSet::kReplaced)});
+        HandleEvent(i, now, EndpointListEvent{EndpointListKind::kComplete, Entries(ServerSet::kReplaced)});
       }
     }
   }
@@ -188,54 +189,57 @@
     }
   }
 
-  void SendRequest(TimePoint now, std::discrete_distribution<std::uint32_t>& which) {
+  void SendRequest(TimePoint now, std::discrete_distribution<std::uint32_t>& choose_instance) {
     RequestEvent request;
     request.id = RequestId(++requests_);
     request.group = GroupId(1 + requests_ % 2);
     request.request_class = requests_ % 8 == 0 ? 1 : 0;
     request.time_left = settings_.classes[request.request_class].deadline;
-    Feed(which(random_), now, request);
+    HandleEvent(choose_instance(random_), now, request);
   }
 
   std::vector<EndpointListEntry> Entries(ServerSet set) const {
     std::vector<EndpointListEntry> entries;
     for (std::uint32_t i = 1; i <= 12; ++i) {
-      const bool fresh = set == ServerSet::kReplaced && i <= 6;
-      EndpointListEntry entry{.server = ServerId(fresh ? 100 + i : i), .group = GroupId(i <= 6 ? 1 : 2)};
-      if (fresh) entry.started = start_ + kReplacedAt;
+      const bool is_new = set == ServerSet::kReplaced && i <= 6;
+      EndpointListEntry entry{.server = ServerId(is_new ? 100 + i : i), .group = GroupId(i <= 6 ? 1 : 2)};
+      if (is_new) entry.started = start_ + kReplacedAt;
       entries.push_back(entry);
     }
     return entries;
   }
 
-  void StartInstance(std::uint32_t who, const std::vector<EndpointListEntry>& entries, std::uint64_t seed) {
-    balancers_.insert_or_assign(who, Balancer(settings_, seed));
-    ++incarnations_[who];
-    for (auto& [link, state] : links_) {
-      if (link.first == who) state.out = 0, state.idle.clear();
+  void StartInstance(std::uint32_t instance, const std::vector<EndpointListEntry>& entries,
+                     std::uint64_t seed) {
+    balancers_.insert_or_assign(instance, Balancer(settings_, seed));
+    ++incarnations_[instance];
+    for (auto& [key, state] : connections_) {
+      if (key.first == instance) state.in_use = 0, state.idle.clear();
     }
-    Feed(who, now_, EndpointListEvent{EndpointListKind::kPersisted, entries});
+    HandleEvent(instance, now_, EndpointListEvent{EndpointListKind::kPersisted, entries});
   }
 
-  void Feed(std::uint32_t who, TimePoint now, const Event& event) {
+  void HandleEvent(std::uint32_t instance, TimePoint now, const Event& event) {
     now_ = std::max(now_, now);
-    if (const auto* end = std::get_if<AttemptEndedEvent>(&event)) Disconnect(who, end->server);
+    if (const auto* end = std::get_if<AttemptEndedEvent>(&event)) Disconnect(instance, end->server);
     Actions actions;
-    balancers_.at(who).Handle(now_, event, actions);
+    balancers_.at(instance).Handle(now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        due_.emplace(now_ + timer->delay, Due{who, incarnations_[who], TimerEvent{timer->id}});
+        pending_.emplace(now_ + timer->delay,
+                         PendingEvent{instance, incarnations_[instance], TimerEvent{timer->id}});
       }
-      if (const auto* probe = std::get_if<StartHealthCheck>(&action)) {
+      if (const auto* health_check = std::get_if<StartHealthCheck>(&action)) {
         ++health_checks_;
-        received_[static_cast<std::uint32_t>(probe->server)].emplace_back(now_, kHealthCheckWork / kWork);
-        const bool found = static_cast<std::uint32_t>(probe->server) != options_.ended_server;
+        received_[static_cast<std::uint32_t>(health_check->server)].emplace_back(
+            now_, kHealthCheckWorkSeconds / kWorkSeconds);
+        const bool is_running = static_cast<std::uint32_t>(health_check->server) != options_.ended_server;
         const HealthCheckEvent end{
-            probe->server, found ? Outcome::kOk : Outcome::kUnreachable, Duration(1000), {}};
-        due_.emplace(now_ + end.elapsed, Due{who, incarnations_[who], end});
+            health_check->server, is_running ? Outcome::kOk : Outcome::kUnreachable, Duration(1000), {}};
+        pending_.emplace(now_ + end.elapsed, PendingEvent{instance, incarnations_[instance], end});
       }
       if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
-        links_[{who, static_cast<std::uint32_t>(close->server)}].idle.clear();
+        connections_[{instance, static_cast<std::uint32_t>(close->server)}].idle.clear();
       }
       const auto* send = std::get_if<StartAttempt>(&action);
       if (send == nullptr) continue;
@@ -258,48 +262,48 @@
         end.metadata = {};
         end.elapsed = Duration(300);
       } else {
-        Connect(who, server);
+        Connect(instance, server);
       }
       if (end.request_done) sent_[server].push_back(now_);
-      due_.emplace(now_ + end.elapsed, Due{who, incarnations_[who], end});
+      pending_.emplace(now_ + end.elapsed, PendingEvent{instance, incarnations_[instance], end});
     }
   }
 
-  void Connect(std::uint32_t who, std::uint32_t member) {
-    Link& link = links_[{who, member}];
-    std::erase_if(link.idle,
+  void Connect(std::uint32_t instance, std::uint32_t server) {
+    ServerConnections& connections = connections_[{instance, server}];
+    std::erase_if(connections.idle,
                   [&](TimePoint since) { return now_ - since > Duration(1000000) * kIdleSeconds; });
-    if (link.idle.empty()) {
+    if (connections.idle.empty()) {
       ++connects_;
     } else {
-      link.idle.pop_back();
+      connections.idle.pop_back();
     }
-    ++link.out;
+    ++connections.in_use;
   }
 
-  void Disconnect(std::uint32_t who, ServerId member) {
-    if (static_cast<std::uint32_t>(member) == options_.ended_server) return;
-    Link& link = links_[{who, static_cast<std::uint32_t>(member)}];
-    --link.out;
-    link.idle.push_back(now_);
+  void Disconnect(std::uint32_t instance, ServerId server) {
+    if (static_cast<std::uint32_t>(server) == options_.ended_server) return;
+    ServerConnections& connections = connections_[{instance, static_cast<std::uint32_t>(server)}];
+    --connections.in_use;
+    connections.idle.push_back(now_);
   }
 
   Options options_;
   Settings settings_;
   std::mt19937_64 random_;
   bool replaced_ = false;
-  std::uint32_t restarted_ = 0;  // instances
+  std::uint32_t restarted_ = 0;  // instances restarted one by one so far
   std::uint32_t requests_ = 0;
   int health_checks_ = 0, connects_ = 0, refused_ = 0;
-  std::map<std::pair<std::uint32_t, std::uint32_t>, Link> links_;
+  std::map<std::pair<std::uint32_t, std::uint32_t>, ServerConnections> connections_;
   const TimePoint start_{Duration(1000000000)};
   TimePoint now_ = start_;
   std::map<std::uint32_t, Balancer> balancers_;
   std::map<std::uint32_t, int> incarnations_;
-  std::multimap<TimePoint, Due> due_;
+  std::multimap<TimePoint, PendingEvent> pending_;
   std::map<RequestId, AttemptNumber> attempts_;
   std::map<std::uint32_t, std::vector<TimePoint>> sent_;
-  // What came, in calls of mean work: also probes, and what was rejected there.
+  // Received calls in units of mean work, including health checks and rejected requests.
   std::map<std::uint32_t, std::vector<std::pair<TimePoint, double>>> received_;
 };
 
--- a/tests/fleet/routing_fleet_test.cpp
+++ b/tests/fleet/routing_fleet_test.cpp
@@ -1,4 +1,4 @@
-// What must hold over a whole fleet: what all instances together send to warming and ended servers.
+// Tests of a whole fleet: the load that all instances together put on warming and ended servers.
 #include "fleet/routing_fleet.h"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 namespace lynxgrade {
 namespace {
 
-TEST_CASE("what all instances send a warming server stays under what overloads it, and uses it") {
+TEST_CASE("a fleet uses a warming server without overloading it") {
   for (const std::uint32_t instances : {1u, 3u, 30u, 100u, 300u}) {
     for (const bool uneven : {false, true}) {
       CAPTURE(instances);
@@ -23,22 +23,22 @@
                                 .configured_instances = instances,
                                 .uneven_traffic = uneven,
                                 .seed = 11 + instances});
-      CHECK(fleet.WorstOverload() < 1);
-      // At 300, some of which see a request every few seconds, less: 0.44 where traffic is uneven.
-      CHECK(fleet.LeastUtilization() > (instances > 100 ? 0.4 : 0.58));
+      CHECK(fleet.MaxOverload() < 1);
+      // Lower at 300 instances, some of which see a request only every few seconds: 0.44 if traffic is
+      // uneven.
+      CHECK(fleet.MinUtilization() > (instances > 100 ? 0.4 : 0.58));
     }
   }
 }
 
-// The operators put down to chance what is within 2 x root of N + 2 beyond N calls, however many processes
-// share a server's budget, and whatever they share nothing of.
-TEST_CASE(
-    "beyond what a warming server may be sent, all instances together stay within what chance excuses") {
+// The operators tolerate a random excess of 2 sqrt(N) + 2 calls over N allowed ones, for any number of
+// instances that share a server's allowance.
+TEST_CASE("a fleet exceeds the allowance of a warming server only within the tolerated random excess") {
   for (const std::uint32_t instances : {1u, 3u, 20u, 30u, 300u}) {
-    double worst = -9, least = 9;
-    std::mutex of_both;
+    double max_excess = -9, min_utilization = 9;
+    std::mutex mutex;  // guards both
     std::atomic<std::uint64_t> seeds{0};
-    const auto run_seeds = [&] {  // each seed runs by itself, whichever thread runs it
+    const auto run_seeds = [&] {  // the result of a seed does not depend on the thread that runs it
       for (std::uint64_t seed = ++seeds; seed <= 50; seed = ++seeds) {
         const RoutingFleet fleet({.instances = instances,
                                   .configured_instances = instances,
@@ -46,9 +46,9 @@
                                   .seed = 700 + seed,
                                   .health_check_price = 0.038,
                                   .restarts = seed % 3 == 0});
-        const std::lock_guard lock(of_both);
-        worst = std::max(worst, fleet.WorstExcessOverChance());
-        least = std::min(least, fleet.LeastUtilization());
+        const std::lock_guard lock(mutex);
+        max_excess = std::max(max_excess, fleet.MaxExcess());
+        min_utilization = std::min(min_utilization, fleet.MinUtilization());
       }
     };
     std::vector<std::thread> workers;
@@ -56,23 +56,24 @@
       workers.emplace_back(run_seeds);
     for (std::thread& worker : workers) worker.join();
     CAPTURE(instances);
-    CHECK(worst < 1);
-    MESSAGE(instances, ": worst ", worst, " of what chance excuses; least used ", least);
+    CHECK(max_excess < 1);
+    MESSAGE(instances, " instances: maximum excess ", max_excess,
+            " of the tolerated one; minimum utilization ", min_utilization);
   }
 }
 
-// Taken for the only one, each of 300 instances would send a warming server all that it may be sent.
-TEST_CASE("a fleet that is not configured with its size spares warming servers all the same") {
+// With an assumed fleet size of 1, each of 300 instances would send a warming server its whole allowance.
+TEST_CASE("a fleet of unconfigured size does not overload warming servers") {
   CHECK(RoutingFleet({.instances = 300, .configured_instances = 0, .uneven_traffic = true, .seed = 311})
-            .WorstOverload() < 1);
+            .MaxOverload() < 1);
   CHECK(fleet::EffectiveFleetSize(0) >= 300);
   CHECK(fleet::EffectiveFleetSize(7) == 7);
 }
 
-// What each instance does alone adds up: at 300 a health check each for a waiting write, or for each position
-// that has grown old, would be a load of its own.
-TEST_CASE("the health checks of a fleet stay within their part of the goal, whatever its size") {
-  constexpr double kPrice = 0.038, kPoints = 0.004, kBurst = 20;
+// If each of 300 instances checked servers for every waiting write or stale position, the checks alone would
+// be a noticeable load.
+TEST_CASE("the health checks of a fleet stay within their budget for any fleet size") {
+  constexpr double kPrice = 0.038, kBudgetFraction = 0.004, kInitialBudget = 20;
   for (const std::uint32_t instances : {1u, 3u, 30u, 100u, 300u}) {
     for (const std::uint32_t ended : {0u, 9u}) {
       CAPTURE(instances);
@@ -83,33 +84,35 @@
                                 .seed = 40 + instances,
                                 .health_check_price = kPrice,
                                 .ended_server = ended});
-      // Each start has a few in hand.
-      CHECK(fleet.health_checks() <= kPoints / kPrice * fleet.requests() + kBurst * fleet.starts());
+      // Each start of an instance begins with a full budget.
+      CHECK(fleet.health_checks() <=
+            kBudgetFraction / kPrice * fleet.requests() + kInitialBudget * fleet.starts());
       CHECK(fleet.health_checks() > 0);
     }
   }
 }
 
-TEST_CASE("a listed process that has ended is dialled ever less often, and costs no others a connection") {
+TEST_CASE("connects to a listed server whose process has ended back off, and cost no other connections") {
   for (const std::uint32_t instances : {1u, 3u, 30u, 100u, 300u}) {
     CAPTURE(instances);
-    const RoutingFleet sound({.instances = instances,
-                              .configured_instances = instances,
-                              .uneven_traffic = true,
-                              .seed = 50 + instances});
-    const RoutingFleet one({.instances = instances,
-                            .configured_instances = instances,
-                            .uneven_traffic = true,
-                            .seed = 50 + instances,
-                            .ended_server = 9});
-    // Those that would have gone to it go to other servers, some of which have no idle connection.
-    CHECK(one.connects() <= 1.15 * sound.connects());
-    CHECK(sound.connects() <= (instances > 30 ? 0.6 : 0.15) * sound.requests());
-    CHECK(one.refused() > 0);
-    // 50 ms to 3.2 s, doubling: seven in the first six seconds, then one in half of the longest at the least.
-    CHECK(one.refused() <= one.starts() * (7 + 17 / 1.6));
-    MESSAGE(instances, ": ", sound.connects(), " connects, ", one.connects(), " with one ended, ",
-            one.refused(), " refused");
+    const RoutingFleet healthy({.instances = instances,
+                                .configured_instances = instances,
+                                .uneven_traffic = true,
+                                .seed = 50 + instances});
+    const RoutingFleet with_ended_server({.instances = instances,
+                                          .configured_instances = instances,
+                                          .uneven_traffic = true,
+                                          .seed = 50 + instances,
+                                          .ended_server = 9});
+    // Its requests go to other servers, some of which have no idle connection.
+    CHECK(with_ended_server.connects() <= 1.15 * healthy.connects());
+    CHECK(healthy.connects() <= (instances > 30 ? 0.6 : 0.15) * healthy.requests());
+    CHECK(with_ended_server.refused() > 0);
+    // The backoff doubles from 50 ms to 3.2 s: 7 refusals in the first 6 s, and then at most one per 1.6 s,
+    // half of the longest backoff because of jitter.
+    CHECK(with_ended_server.refused() <= with_ended_server.starts() * (7 + 17 / 1.6));
+    MESSAGE(instances, ": ", healthy.connects(), " connects, ", with_ended_server.connects(),
+            " with one server ended, ", with_ended_server.refused(), " refused");
   }
 }
 
--- a/tests/fleet/warm_server_throughput_test.cpp
+++ b/tests/fleet/warm_server_throughput_test.cpp
@@ -1,3 +1,4 @@
+// Tests of WarmServerThroughput.
 #include "fleet/warm_server_throughput.h"
 
 #include <doctest/doctest.h>
@@ -7,7 +8,7 @@
 namespace lynxgrade {
 namespace {
 
-TEST_CASE("the throughput of warm servers is a rate, smoothed over seconds") {
+TEST_CASE("the throughput per warm server is a moving average over about 5 s") {
   fleet::WarmServerThroughput throughput;
   for (int i = 0; i < 600; ++i) {
     throughput.RecordWork(0.1);
--- a/tests/routing/balancer_long_run_test.cpp
+++ b/tests/routing/balancer_long_run_test.cpp
@@ -1,4 +1,4 @@
-// The decision module by itself over long times: what it forgets, and which requests it rejects.
+// Tests of the decision module over longer simulated times: expiry of state, rejections and retries.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -11,13 +11,13 @@
 namespace lynxgrade {
 namespace {
 
-constexpr ServerId kFirst{1}, kSecond{2};
+constexpr ServerId kServerA{1}, kServerB{2};
 
-// One decision module with a clock of its own, in front of two servers that respond after a set time.
-struct LongRun {
-  LongRun() : LongRun(DefaultSettings()) {}
-  explicit LongRun(const Settings& settings) : balancer(settings, 7) {
-    List(EndpointListKind::kPersisted, Lifecycle::kServing);
+// One Balancer with a simulated clock and two servers that respond after configured times.
+struct BalancerSimulation {
+  BalancerSimulation() : BalancerSimulation(DefaultSettings()) {}
+  explicit BalancerSimulation(const Settings& settings) : balancer(settings, 7) {
+    UpdateList(EndpointListKind::kPersisted, Lifecycle::kServing);
   }
 
   static Settings DefaultSettings() {
@@ -32,19 +32,19 @@
     return s;
   }
 
-  void List(EndpointListKind kind, Lifecycle first) {
+  void UpdateList(EndpointListKind kind, Lifecycle first) {
     EndpointListEvent event{kind, {}};
-    event.entries.push_back({.server = kFirst, .group = GroupId(1), .lifecycle = first});
-    event.entries.push_back({.server = kSecond, .group = GroupId(1)});
-    Feed(event);
+    event.entries.push_back({.server = kServerA, .group = GroupId(1), .lifecycle = first});
+    event.entries.push_back({.server = kServerB, .group = GroupId(1)});
+    HandleEvent(event);
   }
 
-  void Feed(const Event& event) {
+  void HandleEvent(const Event& event) {
     Actions actions;
     balancer.Handle(now, event, actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action))
-        due.emplace(now + timer->delay, TimerEvent{timer->id});
+        pending.emplace(now + timer->delay, TimerEvent{timer->id});
       if (const auto* reject = std::get_if<Reject>(&action)) {
         ++rejected;
         shortest_retry_after = std::min(shortest_retry_after, reject->retry_after);
@@ -52,8 +52,8 @@
       if (const auto* check = std::get_if<StartHealthCheck>(&action)) {
         ++health_checks;
         const LoadReport report{.position = now - lag, .primary = false};
-        due.emplace(now + Duration(1000),
-                    HealthCheckEvent{check->server, Outcome::kOk, Duration(1000), report});
+        pending.emplace(now + Duration(1000),
+                        HealthCheckEvent{check->server, Outcome::kOk, Duration(1000), report});
       }
       if (const auto* send = std::get_if<StartAttempt>(&action)) {
         ++sent[send->server];
@@ -62,141 +62,142 @@
         end.server = send->server;
         end.elapsed = response_time[send->server];
         end.request_done = true;
-        due.emplace(now + end.elapsed, end);
+        pending.emplace(now + end.elapsed, end);
       }
     }
   }
 
   void Run(Duration time) {
     const TimePoint until = now + time;
-    while (!due.empty() && due.begin()->first <= until) {
-      const auto [when, event] = *due.begin();
-      due.erase(due.begin());
+    while (!pending.empty() && pending.begin()->first <= until) {
+      const auto [when, event] = *pending.begin();
+      pending.erase(pending.begin());
       now = when;
-      Feed(event);
+      HandleEvent(event);
     }
     now = until;
   }
 
-  void Ask(int count, Duration every = Duration(20000)) {
+  void SendRequests(int count, Duration interval = Duration(20000)) {
     sent.clear();
     rejected = 0;
     for (int i = 0; i < count; ++i) {
-      RequestEvent ask;
-      ask.id = RequestId(++last);
-      ask.group = GroupId(1);
-      ask.time_left = Duration(1200000);
-      Feed(ask);
-      Run(every);
+      RequestEvent request;
+      request.id = RequestId(++last_id);
+      request.group = GroupId(1);
+      request.time_left = Duration(1200000);
+      HandleEvent(request);
+      Run(interval);
     }
   }
 
   TimePoint now{Duration(1000000000)};
   Balancer balancer;
-  std::multimap<TimePoint, Event> due;
-  std::map<ServerId, Duration> response_time{{kFirst, Duration(30000)}, {kSecond, Duration(30000)}};
+  std::multimap<TimePoint, Event> pending;
+  std::map<ServerId, Duration> response_time{{kServerA, Duration(30000)}, {kServerB, Duration(30000)}};
   std::map<ServerId, int> sent;
   int rejected = 0;
   int health_checks = 0;
   Duration lag{0};  // of both servers' positions
   Duration shortest_retry_after{1000000000};
-  std::uint32_t last = 0;
+  std::uint32_t last_id = 0;
 };
 
-TEST_CASE("a server that was deleted for long is forgotten, so that its id can stand for another") {
-  LongRun run;
-  run.response_time[kFirst] = Duration(250000);
-  run.Ask(300);
-  const int when_slow = run.sent[kFirst];
-  run.response_time[kFirst] = Duration(30000);
-  run.List(EndpointListKind::kPartial, Lifecycle::kDeleted);
-  run.Run(Duration(31000000));
-  run.List(EndpointListKind::kPartial, Lifecycle::kServing);
-  run.Ask(20);
-  CHECK(when_slow < 100);
-  CHECK(run.sent[kFirst] >= 5);
+TEST_CASE("the state of a deleted server expires") {
+  BalancerSimulation simulation;
+  simulation.response_time[kServerA] = Duration(250000);
+  simulation.SendRequests(300);
+  const int sent_while_slow = simulation.sent[kServerA];
+  simulation.response_time[kServerA] = Duration(30000);
+  simulation.UpdateList(EndpointListKind::kPartial, Lifecycle::kDeleted);
+  simulation.Run(Duration(31000000));
+  simulation.UpdateList(EndpointListKind::kPartial, Lifecycle::kServing);
+  simulation.SendRequests(20);
+  CHECK(sent_while_slow < 100);
+  CHECK(simulation.sent[kServerA] >= 5);
 }
 
-// One connection that falls silent must not make its server look lost.
-TEST_CASE("an attempt that is overtaken does not make its server look slow") {
-  LongRun run;
-  run.List(EndpointListKind::kPartial, Lifecycle::kDeleted);
-  run.Ask(200);
-  run.response_time[kSecond] = Duration(60000000);
-  run.Ask(1);
-  run.response_time[kSecond] = Duration(30000);
-  run.Ask(200);
-  CHECK(run.rejected < 10);
+// A single hanging connection must not make its server look slow.
+TEST_CASE("an unanswered attempt does not count as slowness once a later attempt was answered") {
+  BalancerSimulation simulation;
+  simulation.UpdateList(EndpointListKind::kPartial, Lifecycle::kDeleted);
+  simulation.SendRequests(200);
+  simulation.response_time[kServerB] = Duration(60000000);
+  simulation.SendRequests(1);
+  simulation.response_time[kServerB] = Duration(30000);
+  simulation.SendRequests(200);
+  CHECK(simulation.rejected < 10);
 }
 
-TEST_CASE("a request is not rejected for the server that was drawn while another is clearly faster") {
-  LongRun run;
-  run.Ask(200);
-  run.response_time[kFirst] = Duration(280000);
-  run.Ask(2000);
-  CHECK(run.sent[kFirst] > 0);
-  CHECK(run.rejected == 0);
+TEST_CASE("a request is not rejected while a candidate is clearly faster than the drawn server") {
+  BalancerSimulation simulation;
+  simulation.SendRequests(200);
+  simulation.response_time[kServerA] = Duration(280000);
+  simulation.SendRequests(2000);
+  CHECK(simulation.sent[kServerA] > 0);
+  CHECK(simulation.rejected == 0);
 }
 
-// One instance of hundreds sends to a group once a second, and to each of its servers every six seconds. What
-// it recorded last of any of them has to count for all.
-TEST_CASE(
-    "an instance that seldom sends to a group rejects soon after the group is overloaded, and not for long") {
-  LongRun run;
-  EndpointListEvent six{EndpointListKind::kPartial, {}};
-  for (std::uint32_t i = 3; i <= 6; ++i) six.entries.push_back({.server = ServerId(i), .group = GroupId(1)});
-  run.Feed(six);
+// In a fleet of hundreds an instance sends to a group once per second, and to each of its six servers every
+// 6 s. Responses of any server must therefore affect the estimates of all servers in the group.
+TEST_CASE("rejections follow a group's overload and recovery even at one request per second") {
+  BalancerSimulation simulation;
+  EndpointListEvent more_servers{EndpointListKind::kPartial, {}};
+  for (std::uint32_t i = 3; i <= 6; ++i)
+    more_servers.entries.push_back({.server = ServerId(i), .group = GroupId(1)});
+  simulation.HandleEvent(more_servers);
   const auto all_respond_in = [&](Duration time) {
-    for (std::uint32_t i = 1; i <= 6; ++i) run.response_time[ServerId(i)] = time;
+    for (std::uint32_t i = 1; i <= 6; ++i) simulation.response_time[ServerId(i)] = time;
   };
   all_respond_in(Duration(60000));
-  run.Ask(60, Duration(1000000));
-  CHECK(run.rejected == 0);
+  simulation.SendRequests(60, Duration(1000000));
+  CHECK(simulation.rejected == 0);
   all_respond_in(Duration(200000));
-  run.Ask(20, Duration(1000000));
-  CHECK(run.rejected >= 5);
+  simulation.SendRequests(20, Duration(1000000));
+  CHECK(simulation.rejected >= 5);
   all_respond_in(Duration(60000));
-  run.Ask(10, Duration(1000000));
-  run.Ask(20, Duration(1000000));
-  CHECK(run.rejected <= 2);
+  simulation.SendRequests(10, Duration(1000000));
+  simulation.SendRequests(20, Duration(1000000));
+  CHECK(simulation.rejected <= 2);
 }
 
-TEST_CASE("where responses are fast, Retry-After is short") {
-  LongRun run;
-  run.response_time[kFirst] = run.response_time[kSecond] = Duration(10000);
-  run.Ask(400);
-  run.response_time[kFirst] = run.response_time[kSecond] = Duration(260000);
-  run.Ask(200);
-  REQUIRE(run.rejected > 0);
-  CHECK(run.shortest_retry_after > Duration{0});
-  CHECK(run.shortest_retry_after < Duration(50000));
+TEST_CASE("Retry-After is below one tick interval if the baseline latency is") {
+  BalancerSimulation simulation;
+  simulation.response_time[kServerA] = simulation.response_time[kServerB] = Duration(10000);
+  simulation.SendRequests(400);
+  simulation.response_time[kServerA] = simulation.response_time[kServerB] = Duration(260000);
+  simulation.SendRequests(200);
+  REQUIRE(simulation.rejected > 0);
+  CHECK(simulation.shortest_retry_after > Duration{0});
+  CHECK(simulation.shortest_retry_after < Duration(50000));
 }
 
-TEST_CASE("a write that no server can take is rejected before half of its time has passed") {
-  LongRun run;
-  run.balancer = Balancer(
+TEST_CASE("a write without a usable server is rejected by half of its deadline") {
+  BalancerSimulation simulation;
+  simulation.balancer = Balancer(
       [] {
-        Settings s = LongRun::DefaultSettings();
+        Settings s = BalancerSimulation::DefaultSettings();
         s.classes[0].kind = AccessKind::kWrite;
         s.classes[0].late_response_value = 1;
         return s;
       }(),
       7);
-  run.Feed(EndpointListEvent{EndpointListKind::kPersisted,
-                             {{.server = kFirst, .group = GroupId(1), .lifecycle = Lifecycle::kDraining}}});
-  RequestEvent ask;
-  ask.id = RequestId(1);
-  ask.group = GroupId(1);
-  ask.time_left = Duration(1200000);
-  run.Feed(ask);
-  CHECK(run.rejected == 0);
-  run.Run(Duration(600000));
-  CHECK(run.rejected == 1);
+  simulation.HandleEvent(
+      EndpointListEvent{EndpointListKind::kPersisted,
+                        {{.server = kServerA, .group = GroupId(1), .lifecycle = Lifecycle::kDraining}}});
+  RequestEvent request;
+  request.id = RequestId(1);
+  request.group = GroupId(1);
+  request.time_left = Duration(1200000);
+  simulation.HandleEvent(request);
+  CHECK(simulation.rejected == 0);
+  simulation.Run(Duration(600000));
+  CHECK(simulation.rejected == 1);
 }
 
-// Servers that answer from what they have, however old, and report positions.
-Settings UncheckedSettings() {
-  Settings s = LongRun::DefaultSettings();
+// Servers that do not check positions, but report them.
+Settings SettingsWithoutPositionCheck() {
+  Settings s = BalancerSimulation::DefaultSettings();
   s.classes[0].kind = AccessKind::kBoundedRead;
   s.classes[0].staleness_bound = Duration(500000);
   s.classes[0].latency_objective = Duration(1000000);
@@ -207,72 +208,71 @@
   return s;
 }
 
-// A read that waits in vain costs health checks, and its client retries when no response is of use any more.
-TEST_CASE(
-    "a read that no replica can catch up for in time is rejected at once, without health checks for it") {
-  LongRun run(UncheckedSettings());
-  run.lag = Duration(10000000);
-  run.Run(Duration(2000000));
-  run.health_checks = 0;
-  run.Ask(10, Duration(100000));
-  CHECK(run.rejected >= 9);
-  CHECK(run.sent[kFirst] + run.sent[kSecond] == 0);
-  CHECK(run.health_checks < 10);
-  CHECK(run.shortest_retry_after > Duration{0});
+// Letting such a read wait would cost health checks and leave the client no time to retry.
+TEST_CASE("a read is rejected at once if no replica can reach its position in time") {
+  BalancerSimulation simulation(SettingsWithoutPositionCheck());
+  simulation.lag = Duration(10000000);
+  simulation.Run(Duration(2000000));
+  simulation.health_checks = 0;
+  simulation.SendRequests(10, Duration(100000));
+  CHECK(simulation.rejected >= 9);
+  CHECK(simulation.sent[kServerA] + simulation.sent[kServerB] == 0);
+  CHECK(simulation.health_checks < 10);
+  CHECK(simulation.shortest_retry_after > Duration{0});
 }
 
-TEST_CASE(
-    "a read waits for a replica that is near its required position, and goes there once that is proven") {
-  LongRun run(UncheckedSettings());
-  run.lag = Duration(600000);
-  run.Run(Duration(2000000));
-  run.Ask(1, Duration(150000));
-  CHECK(run.rejected == 0);
-  CHECK(run.sent[kFirst] + run.sent[kSecond] == 0);
-  run.lag = Duration(10000);
-  run.Run(Duration(200000));
-  CHECK(run.rejected == 0);
-  CHECK(run.sent[kFirst] + run.sent[kSecond] == 1);
+TEST_CASE("a read waits for a replica close to its required position until the position is proven") {
+  BalancerSimulation simulation(SettingsWithoutPositionCheck());
+  simulation.lag = Duration(600000);
+  simulation.Run(Duration(2000000));
+  simulation.SendRequests(1, Duration(150000));
+  CHECK(simulation.rejected == 0);
+  CHECK(simulation.sent[kServerA] + simulation.sent[kServerB] == 0);
+  simulation.lag = Duration(10000);
+  simulation.Run(Duration(200000));
+  CHECK(simulation.rejected == 0);
+  CHECK(simulation.sent[kServerA] + simulation.sent[kServerB] == 1);
 }
 
 // The latency objective counts from the client's first attempt.
-TEST_CASE("a client that retries after its latency objective does not take the place of one in time") {
-  LongRun run;
-  const auto ask = [&](Duration left, bool is_retry) {
+TEST_CASE("a retry after the latency objective has passed is rejected") {
+  BalancerSimulation simulation;
+  const auto send = [&](Duration left, bool is_retry) {
     RequestEvent event;
-    event.id = RequestId(++run.last);
+    event.id = RequestId(++simulation.last_id);
     event.group = GroupId(1);
     event.time_left = left;
     event.is_retry = is_retry;
-    run.Feed(event);
-    run.Run(Duration(50000));
+    simulation.HandleEvent(event);
+    simulation.Run(Duration(50000));
   };
-  for (int i = 0; i < 20; ++i) ask(Duration(800000), false);
-  CHECK(run.rejected == 0);
-  // 1.2 s in all: an attempt with 0.85 s left is a retry of one that began 0.35 s ago; the objective is 0.3
-  // s.
-  ask(Duration(850000), true);
-  ask(Duration(400000), true);
-  CHECK(run.rejected == 2);
-  ask(Duration(800000), false);
-  CHECK(run.rejected == 2);
+  for (int i = 0; i < 20; ++i) send(Duration(800000), false);
+  CHECK(simulation.rejected == 0);
+  // The deadline is 1.2 s, so an attempt with 0.85 s left is a retry 0.35 s after the first one. The latency
+  // objective is 0.3 s.
+  send(Duration(850000), true);
+  send(Duration(400000), true);
+  CHECK(simulation.rejected == 2);
+  send(Duration(800000), false);
+  CHECK(simulation.rejected == 2);
 }
 
-TEST_CASE("a request for an unlisted group is rejected at once, whatever time it has left") {
-  LongRun run;
-  RequestEvent ask;
-  ask.id = RequestId(1);
-  ask.group = GroupId(5);
-  ask.time_left = Duration(1200000);
-  run.Feed(ask);
-  CHECK(run.rejected == 1);
+TEST_CASE("a request for an unlisted group is rejected at once") {
+  BalancerSimulation simulation;
+  RequestEvent request;
+  request.id = RequestId(1);
+  request.group = GroupId(5);
+  request.time_left = Duration(1200000);
+  simulation.HandleEvent(request);
+  CHECK(simulation.rejected == 1);
 }
 
-// The key is known in the zone of the server that may have run it, or in its group.
-TEST_CASE("a write that may have run is retried within its window, where its key's scope allows") {
+// Servers know the idempotency key either in the zone or in the group of the server that may have run the
+// write.
+TEST_CASE("a write that may have run is retried only within its idempotency window and the key's scope") {
   struct Scope {
     bool in_zone;
-    ZoneIndex other;  // of the server that is primary by then
+    ZoneIndex other;  // zone of the server that has become primary
     Duration window;
     bool sent;
   };
@@ -282,7 +282,7 @@
     CAPTURE(scope.in_zone);
     CAPTURE(scope.other);
     CAPTURE(scope.window.count());
-    Settings s = LongRun::DefaultSettings();
+    Settings s = BalancerSimulation::DefaultSettings();
     s.classes[0].kind = AccessKind::kWrite;
     s.classes[0].idempotency = Idempotency::kIdempotencyKey;
     s.classes[0].deduplicated_everywhere = false;
@@ -291,46 +291,50 @@
     s.classes[0].latency_objective = Duration(1200000);
     Balancer balancer(s, 3);
     TimePoint now{Duration(1000000000)};
-    std::multimap<TimePoint, TimerId> due;
+    std::multimap<TimePoint, TimerId> pending;
     std::vector<StartAttempt> sends;
-    const auto feed = [&](const Event& event) {
+    const auto handle = [&](const Event& event) {
       Actions actions;
       balancer.Handle(now, event, actions);
       for (const Action& action : actions) {
-        if (const auto* timer = std::get_if<SetTimer>(&action)) due.emplace(now + timer->delay, timer->id);
+        if (const auto* timer = std::get_if<SetTimer>(&action))
+          pending.emplace(now + timer->delay, timer->id);
         if (const auto* send = std::get_if<StartAttempt>(&action)) sends.push_back(*send);
       }
     };
-    feed(EndpointListEvent{EndpointListKind::kPersisted,
-                           {{.server = kFirst, .group = GroupId(1), .zone = 0},
-                            {.server = kSecond, .group = GroupId(1), .zone = scope.other}}});
-    RequestEvent ask;
-    ask.id = RequestId(1);
-    ask.group = GroupId(1);
-    ask.time_left = Duration(1200000);
-    feed(ask);
+    handle(EndpointListEvent{EndpointListKind::kPersisted,
+                             {{.server = kServerA, .group = GroupId(1), .zone = 0},
+                              {.server = kServerB, .group = GroupId(1), .zone = scope.other}}});
+    RequestEvent request;
+    request.id = RequestId(1);
+    request.group = GroupId(1);
+    request.time_left = Duration(1200000);
+    handle(request);
     REQUIRE(sends.size() == 1);
-    const ServerId ran = sends[0].server, other = ran == kFirst ? kSecond : kFirst;
+    const ServerId first_server = sends[0].server, other = first_server == kServerA ? kServerB : kServerA;
     const TimePoint sent = now;
     now += Duration(300000);
-    feed(AttemptEndedEvent{
-        .id = RequestId(1), .server = ran, .outcome = Outcome::kConnectionLost, .elapsed = now - sent});
-    // The other server is found to be the primary now.
-    feed(HealthCheckEvent{other, Outcome::kOk, Duration(1000), LoadReport{.position = now, .primary = true}});
-    while (!due.empty() && due.begin()->first < sent + Duration(1150000)) {
-      const auto [when, id] = *due.begin();
-      due.erase(due.begin());
+    handle(AttemptEndedEvent{.id = RequestId(1),
+                             .server = first_server,
+                             .outcome = Outcome::kConnectionLost,
+                             .elapsed = now - sent});
+    // A health check reports the other server as the primary.
+    handle(
+        HealthCheckEvent{other, Outcome::kOk, Duration(1000), LoadReport{.position = now, .primary = true}});
+    while (!pending.empty() && pending.begin()->first < sent + Duration(1150000)) {
+      const auto [when, id] = *pending.begin();
+      pending.erase(pending.begin());
       now = std::max(now, when);
-      feed(TimerEvent{id});
+      handle(TimerEvent{id});
     }
-    std::size_t there = 0;
+    std::size_t retries_at_other = 0;
     for (std::size_t i = 1; i < sends.size(); ++i) {
-      there += sends[i].server == other;
-      // The retry may be written within the window of the first attempt.
+      retries_at_other += sends[i].server == other;
+      // The retry must be written within the idempotency window, which began with the first attempt.
       CHECK(sends[i].write_timeout <= scope.window - Duration(300000));
       CHECK(sends[i].write_timeout > Duration(0));
     }
-    CHECK((there > 0) == scope.sent);
+    CHECK((retries_at_other > 0) == scope.sent);
     CHECK(sends[0].write_timeout == Duration::max());
   }
 }
--- a/tests/routing/balancer_overload_test.cpp
+++ b/tests/routing/balancer_overload_test.cpp
@@ -1,4 +1,4 @@
-// Load shedding, polling of the endpoint list, and odd input.
+// Tests of load shedding, polling of the endpoint list, unexpected input and determinism.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -8,13 +8,13 @@
 namespace lynxgrade {
 namespace {
 
-TEST(Overload, ClientsThatLeaveEarlyShortenHowLongRequestsWait) {
+TEST(LoadShedding, RequestsWaitShorterIfClientsAbandonThemEarly) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   const auto waits = [&] {
     const RequestId id = instance.SendRequest(kNotIdempotentWrite);
     instance.EndAttempt(id, Outcome::kMisrouted,
-                        ResponseMetadata{std::nullopt, false});  // the primary is gone: it waits
+                        ResponseMetadata{std::nullopt, false});  // no primary is known: the request waits
     instance.EndAttempt(id, Outcome::kMisrouted, ResponseMetadata{std::nullopt, false});
     const TimePoint from = instance.now();
     while (instance.FinalAnswersTo(id) == 0 && instance.now() - from < 2000_ms) instance.Advance(10_ms);
@@ -30,13 +30,13 @@
   EXPECT_LT(waits(), 300_ms);
 }
 
-TEST(Overload, AReadExpectedTooLateIsRejectedEarlyTheLeastValuableFirst) {
+TEST(LoadShedding, LateReadsOfLowPriorityAreRejectedFirst) {
   Settings settings = DefaultSettings();
   settings.classes[kBoundedRead].priority_weight = 9;
   SimulatedInstance instance(settings);
   instance.UpdateList(ThreeServers());
-  instance.ReportReplicaAt(kA, instance.now());
-  instance.ReportReplicaAt(kB, instance.now());
+  instance.ReportReplicaAt(kReplicaA, instance.now());
+  instance.ReportReplicaAt(kReplicaB, instance.now());
   int rejected[2] = {0, 0};
   for (int i = 0; i < 300; ++i) {
     const ClassIndex request_class = i % 2 == 0 ? kSessionRead : kBoundedRead;
@@ -53,7 +53,7 @@
   EXPECT_GT(rejected[0], rejected[1]);
 }
 
-TEST(Overload, ARejectionTellsWhenToRetryWithinTheLimit) {
+TEST(LoadShedding, RetryAfterGrowsWithTheQueueUpToItsLimit) {
   Settings settings = DefaultSettings();
   settings.clients_honor_retry_after = true;
   settings.max_retry_after = 400_ms;
@@ -61,13 +61,13 @@
   unlisted.SendRequest(kWriteWithKey);
   unlisted.Advance(2000_ms);
   ASSERT_EQ(unlisted.rejected.size(), 1u);
-  EXPECT_EQ(unlisted.retry_after, 50_ms);  // waited until a server is known: one tick
+  EXPECT_EQ(unlisted.retry_after, 50_ms);  // one tick interval, as no server is known
 
-  const auto retry_after_at = [&](Duration taken) {  // of servers that respond so slowly
+  const auto retry_after_at = [&](Duration taken) {  // at servers that respond after `taken`
     SimulatedInstance instance(settings);
     instance.UpdateList(ThreeServers());
-    instance.ReportReplicaAt(kA, instance.now());
-    instance.ReportReplicaAt(kB, instance.now());
+    instance.ReportReplicaAt(kReplicaA, instance.now());
+    instance.ReportReplicaAt(kReplicaB, instance.now());
     for (int i = 0; i < 300; ++i) {
       const RequestId id = instance.SendRequest(kSessionRead);
       if (instance.AttemptsOf(id) == 0) continue;
@@ -78,13 +78,13 @@
     return instance.retry_after;
   };
   EXPECT_GE(retry_after_at(230_ms), 50_ms);
-  EXPECT_LT(retry_after_at(230_ms), retry_after_at(350_ms));  // the longer the queue, the later
+  EXPECT_LT(retry_after_at(230_ms), retry_after_at(350_ms));  // grows with the queue
   EXPECT_LE(retry_after_at(350_ms), 400_ms);
   settings.clients_honor_retry_after = false;
   EXPECT_EQ(retry_after_at(350_ms), 0_ms);
 }
 
-TEST(Discovery, TheListIsPolledAgainAfterAnErrorLaterEachTime) {
+TEST(EndpointList, IsPolledAgainAfterEachError) {
   Settings settings = DefaultSettings();
   settings.poll_endpoint_list = true;
   SimulatedInstance instance(settings);
@@ -98,20 +98,20 @@
   }
 }
 
-TEST(Discovery, ANewInstanceChecksServersOfUnknownPosition) {
+TEST(HealthChecks, ANewInstanceChecksServersOfUnknownPosition) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   instance.Advance(100_ms);
   EXPECT_EQ(instance.health_checks.size(), 3u);
 }
 
-TEST(OddInput, DoesNoHarm) {
+TEST(UnexpectedInput, UnknownIdsAndRepeatedEventsAreIgnored) {
   SimulatedInstance instance;
   instance.UpdateList({});
-  const RequestId lonely = instance.SendRequest(kEventualRead);
+  const RequestId without_servers = instance.SendRequest(kEventualRead);
   instance.Advance(2500_ms);
-  EXPECT_EQ(instance.FinalAnswersTo(lonely), 1u);
-  instance.UpdateList({{.server = kA, .group = kGroup}}, EndpointListKind::kComplete);
+  EXPECT_EQ(instance.FinalAnswersTo(without_servers), 1u);
+  instance.UpdateList({{.server = kReplicaA, .group = kGroup}}, EndpointListKind::kComplete);
   EXPECT_EQ(instance.AttemptsOf(instance.SendRequest(kEventualRead)), 1u);
   const RequestId id = instance.SendRequest(kEventualRead);
   instance.Handle(ClientDisconnectedEvent{id});
@@ -124,7 +124,7 @@
   EXPECT_EQ(instance.FinalAnswersTo(id), 0u);
 }
 
-TEST(OddInput, AWriteForAGroupWithoutServersWaitsAndIsRejected) {
+TEST(UnexpectedInput, AWriteForAGroupWithoutServersIsRejected) {
   SimulatedInstance instance;
   instance.UpdateList({});
   const RequestId id = instance.SendRequest(kNotIdempotentWrite);
@@ -132,7 +132,7 @@
   EXPECT_EQ(instance.FinalAnswersTo(id), 1u);
 }
 
-TEST(Determinism, TheSameEventsGiveTheSameSends) {
+TEST(Determinism, TheSameEventsResultInTheSameAttempts) {
   std::vector<ServerId> first, second;
   for (auto* out : {&first, &second}) {
     SimulatedInstance instance(DefaultSettings(), 77);
--- a/tests/routing/balancer_reads_and_roles_test.cpp
+++ b/tests/routing/balancer_reads_and_roles_test.cpp
@@ -1,4 +1,4 @@
-// Where reads and writes go: positions, roles, and the overflow to the primary.
+// Tests of routing by role and log position, and of reads that overflow to the primary.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -8,14 +8,14 @@
 namespace lynxgrade {
 namespace {
 
-TEST(OrdinaryPath, WritesAndStrongReadsGoToThePrimary) {
+TEST(Routing, WritesAndStrongReadsGoToThePrimary) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kNotIdempotentWrite)), kPrimary);
   EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kStrongRead)), kPrimary);
 }
 
-TEST(OrdinaryPath, OtherReadsGoToReplicas) {
+TEST(Routing, OtherReadsGoToReplicas) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   std::set<ServerId> used;
@@ -23,57 +23,57 @@
     for (ClassIndex request_class : {kEventualRead, kBoundedRead, kSessionRead})
       used.insert(instance.LastServerOf(instance.SendRequest(request_class)));
   }
-  EXPECT_EQ(used, (std::set<ServerId>{kA, kB}));
+  EXPECT_EQ(used, (std::set<ServerId>{kReplicaA, kReplicaB}));
 }
 
-TEST(OrdinaryPath, ReadsGoToAReplicaThatHoldsTheirRequiredPosition) {
+TEST(Routing, ReadsGoToAReplicaThatHasReachedTheRequiredPosition) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
-  instance.ReportReplicaAt(kA, instance.now() - 50_ms);
-  instance.ReportReplicaAt(kB, instance.now() - 5000_ms);
+  instance.ReportReplicaAt(kReplicaA, instance.now() - 50_ms);
+  instance.ReportReplicaAt(kReplicaB, instance.now() - 5000_ms);
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kBoundedRead)), kA);
-    EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kSessionRead, 200_ms)), kA);
+    EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kBoundedRead)), kReplicaA);
+    EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kSessionRead, 200_ms)), kReplicaA);
   }
 }
 
-TEST(OrdinaryPath, WhereServersDoNotCheckAReadWaitsForItsPosition) {
+TEST(Routing, AReadWaitsForItsPositionIfServersDoNotCheckPositions) {
   Settings settings = DefaultSettings();
   settings.position_check = PositionCheck::kNone;
   SimulatedInstance instance(settings);
   instance.UpdateList(ThreeServers());
-  instance.ReportReplicaAt(kA, instance.now() - 5000_ms);
-  instance.ReportReplicaAt(kB, instance.now() - 5000_ms);
+  instance.ReportReplicaAt(kReplicaA, instance.now() - 5000_ms);
+  instance.ReportReplicaAt(kReplicaB, instance.now() - 5000_ms);
   const RequestId id = instance.SendRequest(kSessionRead, 1000_ms);
   EXPECT_EQ(instance.AttemptsOf(id), 0u);
   instance.Advance(100_ms);
   EXPECT_FALSE(instance.health_checks.empty());
-  instance.ReportReplicaAt(kB, instance.now() - 500_ms);
+  instance.ReportReplicaAt(kReplicaB, instance.now() - 500_ms);
   ASSERT_EQ(instance.AttemptsOf(id), 1u);
-  EXPECT_EQ(instance.LastServerOf(id), kB);
+  EXPECT_EQ(instance.LastServerOf(id), kReplicaB);
 }
 
-TEST(OrdinaryPath, AMisroutedWriteAsksEachOtherServerOnceAndThenWaitsForARoleChange) {
+TEST(Routing, AMisroutedWriteTriesEachServerOnceAndThenWaitsForARoleChange) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   const RequestId id = instance.SendRequest(kNotIdempotentWrite);
-  std::set<ServerId> asked;
+  std::set<ServerId> tried;
   for (int i = 0; i < 3; ++i) {
     ASSERT_EQ(instance.AttemptsOf(id), i + 1u);
-    asked.insert(instance.LastServerOf(id));
+    tried.insert(instance.LastServerOf(id));
     instance.EndAttempt(id, Outcome::kMisrouted, {std::nullopt, false});
   }
-  EXPECT_EQ(asked.size(), 3u);
+  EXPECT_EQ(tried.size(), 3u);
   const std::size_t before = instance.health_checks.size();
   instance.Advance(100_ms);
   EXPECT_EQ(instance.AttemptsOf(id), 3u);
   EXPECT_GT(instance.health_checks.size(), before);
-  instance.ReportPrimaryAt(kB, instance.now());
+  instance.ReportPrimaryAt(kReplicaB, instance.now());
   ASSERT_EQ(instance.AttemptsOf(id), 4u);
-  EXPECT_EQ(instance.LastServerOf(id), kB);
+  EXPECT_EQ(instance.LastServerOf(id), kReplicaB);
 }
 
-TEST(Roles, AWriteFindsAPrimaryThatIsUnknown) {
+TEST(Roles, AWriteFindsAnUnknownPrimary) {
   Settings settings = DefaultSettings();
   settings.may_health_check = false;
   settings.listed_role = ListedRole::kNone;
@@ -89,10 +89,10 @@
     instance.EndAttempt(id, Outcome::kOk, {std::nullopt, true});
     EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kWriteWithKey)), kPrimary);
   }
-  EXPECT_EQ(first.size(), 3u) << "instances that start together do not all ask the same server";
+  EXPECT_EQ(first.size(), 3u) << "instances that start together try different servers";
 }
 
-TEST(Roles, AWriteKeepsAttemptsForThePrimaryThatIsFound) {
+TEST(Roles, ASearchForThePrimaryLeavesAttemptsForIt) {
   Settings settings = DefaultSettings();
   settings.max_attempts = 4;
   settings.listed_role = ListedRole::kNone;
@@ -106,40 +106,40 @@
   EXPECT_EQ(instance.AttemptsOf(id), 3u);
 }
 
-TEST(Roles, NewestEvidenceWinsWhateverItsSource) {
+TEST(Roles, TheNewestEvidenceWinsWhateverItsSource) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
-  instance.ReportPrimaryAt(kA, instance.now());
-  EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kNotIdempotentWrite)), kA);
-  instance.ReportPrimaryAt(kB, instance.now() - 3000_ms);  // older evidence arrives later
-  EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kNotIdempotentWrite)), kA);
+  instance.ReportPrimaryAt(kReplicaA, instance.now());
+  EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kNotIdempotentWrite)), kReplicaA);
+  instance.ReportPrimaryAt(kReplicaB, instance.now() - 3000_ms);  // older evidence that arrives later
+  EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kNotIdempotentWrite)), kReplicaA);
 }
 
-TEST(Overflow, AMisroutedReadUsesThePrimaryOnlyWhenNoReplicaWillReachItsPosition) {
+TEST(Overflow, AMisroutedReadUsesThePrimaryOnlyIfNoReplicaWillReachItsPosition) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
-  instance.ReportReplicaAt(kA, instance.now() - 5000_ms);
-  instance.ReportReplicaAt(kB, instance.now() - 5000_ms);
+  instance.ReportReplicaAt(kReplicaA, instance.now() - 5000_ms);
+  instance.ReportReplicaAt(kReplicaB, instance.now() - 5000_ms);
   const RequestId id = instance.SendRequest(kBoundedRead);
   ASSERT_NE(instance.LastServerOf(id), kPrimary);  // the first attempt never goes to the primary
   instance.EndAttempt(id, Outcome::kMisrouted, {instance.now() - 5000_ms, false});
   ASSERT_EQ(instance.AttemptsOf(id), 2u);
   EXPECT_EQ(instance.LastServerOf(id), kPrimary);
 
-  const RequestId other = instance.SendRequest(kBoundedRead);  // the window is one to begin with
+  const RequestId other = instance.SendRequest(kBoundedRead);  // the overflow window starts at one
   instance.EndAttempt(other, Outcome::kMisrouted, {instance.now() - 5000_ms, false});
   EXPECT_EQ(instance.AttemptsOf(other), 1u);
 
-  instance.ReportReplicaAt(kB, instance.now());
+  instance.ReportReplicaAt(kReplicaB, instance.now());
   ASSERT_EQ(instance.AttemptsOf(other), 2u);
-  EXPECT_EQ(instance.LastServerOf(other), kB);
+  EXPECT_EQ(instance.LastServerOf(other), kReplicaB);
 }
 
-TEST(Overflow, WhereNoPositionIsKnownTheRequestsOwnMisroutingsCount) {
+TEST(Overflow, WithoutKnownPositionsAReadIsNotSentAgainToAReplicaThatRejectedIt) {
   Settings settings = DefaultSettings();
   settings.responses_report_position = false;
   SimulatedInstance instance(settings);
-  instance.UpdateList(ThreeServers());  // no position is ever heard
+  instance.UpdateList(ThreeServers());  // no position is ever reported
   const RequestId id = instance.SendRequest(kBoundedRead);
   const ServerId first = instance.LastServerOf(id);
   instance.EndAttempt(id, Outcome::kMisrouted, {std::nullopt, false});
--- a/tests/routing/balancer_rules_test.cpp
+++ b/tests/routing/balancer_rules_test.cpp
@@ -1,4 +1,5 @@
-// The rules that no decision may break: retries, drains, warming servers, attempt limits.
+// Tests of the rules that every decision must satisfy: final answers, retries, draining, slow start and
+// attempt limits.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 namespace lynxgrade {
 namespace {
 
-TEST(Rules, EachRequestIsAnsweredOnceAndInTime) {
+TEST(Rules, EachRequestGetsOneFinalAnswerWithinItsDeadline) {
   for (ClassIndex request_class :
        {kEventualRead, kBoundedRead, kSessionRead, kNotIdempotentWrite, kWriteWithKey, kStrongRead}) {
     SimulatedInstance instance;
@@ -24,7 +25,7 @@
   }
 }
 
-TEST(Rules, AWriteThatIsNotIdempotentAndMayHaveRunIsNeitherRetriedNorRejected) {
+TEST(Rules, ANonIdempotentWriteThatMayHaveRunIsNeitherRetriedNorRejected) {
   for (Outcome outcome :
        {Outcome::kError, Outcome::kTimeout, Outcome::kConnectionLost, Outcome::kCancelled}) {
     SimulatedInstance instance;
@@ -38,7 +39,7 @@
   }
 }
 
-TEST(Rules, AWriteThatIsNotIdempotentAndNeverRanIsRetriedAndMayBeRejected) {
+TEST(Rules, ANonIdempotentWriteThatNeverRanIsRetriedAndMayBeRejected) {
   for (Outcome outcome : {Outcome::kOverloaded, Outcome::kUnreachable}) {
     SimulatedInstance instance;
     instance.UpdateList(ThreeServers());
@@ -64,36 +65,39 @@
   instance.Advance(1000_ms);
   EXPECT_EQ(instance.AttemptsOf(id), 2u);
   EXPECT_TRUE(
-      instance.rejected.empty());  // an earlier attempt may have run, and only the group discards duplicates
+      instance.rejected.empty());  // an earlier attempt may have run, and only its group discards duplicates
   EXPECT_EQ(instance.failed.size(), 1u);
 }
 
-TEST(Rules, NothingIsSentToAServerThatDrainsOrIsUnlisted) {
+TEST(Rules, NothingIsSentToADrainingOrUnlistedServer) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
-  instance.UpdateList({Entry(kA, Lifecycle::kDraining)}, EndpointListKind::kPartial);
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kEventualRead)), kB);
-  instance.UpdateList({Entry(kPrimary, Lifecycle::kServing), Entry(kA, Lifecycle::kServing)},
+  instance.UpdateList({Entry(kReplicaA, Lifecycle::kDraining)}, EndpointListKind::kPartial);
+  for (int i = 0; i < 20; ++i)
+    EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kEventualRead)), kReplicaB);
+  instance.UpdateList({Entry(kPrimary, Lifecycle::kServing), Entry(kReplicaA, Lifecycle::kServing)},
                       EndpointListKind::kComplete);
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kEventualRead)), kA);
+  for (int i = 0; i < 20; ++i)
+    EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kEventualRead)), kReplicaA);
 }
 
-TEST(Rules, WhereUnlistedServersStayUsableADrainedOneStaysDrainedAfterItIsDeleted) {
+TEST(Rules, ADrainingServerThatIsDeletedIsNotUsedEvenIfUnlistedServersStayUsable) {
   Settings settings = DefaultSettings();
   settings.unlisted_stay_usable = true;
   SimulatedInstance instance(settings);
   instance.UpdateList(ThreeServers());
-  instance.UpdateList({Entry(kA, Lifecycle::kDraining)}, EndpointListKind::kPartial);
-  instance.UpdateList({Entry(kA, Lifecycle::kDeleted), Entry(kB, Lifecycle::kDeleted)},
+  instance.UpdateList({Entry(kReplicaA, Lifecycle::kDraining)}, EndpointListKind::kPartial);
+  instance.UpdateList({Entry(kReplicaA, Lifecycle::kDeleted), Entry(kReplicaB, Lifecycle::kDeleted)},
                       EndpointListKind::kPartial);
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kEventualRead)), kB);
-  instance.UpdateList({Entry(kA, Lifecycle::kServing)}, EndpointListKind::kPartial);
+  for (int i = 0; i < 20; ++i)
+    EXPECT_EQ(instance.LastServerOf(instance.SendRequest(kEventualRead)), kReplicaB);
+  instance.UpdateList({Entry(kReplicaA, Lifecycle::kServing)}, EndpointListKind::kPartial);
   std::set<ServerId> used;
   for (int i = 0; i < 20; ++i) used.insert(instance.LastServerOf(instance.SendRequest(kEventualRead)));
-  EXPECT_TRUE(used.contains(kA));
+  EXPECT_TRUE(used.contains(kReplicaA));
 }
 
-TEST(Rules, AWarmingServerGetsOnlyItsBudgetAlsoAsPrimary) {
+TEST(Rules, AWarmingPrimaryIsLimitedToItsSlowStartRate) {
   SimulatedInstance instance;
   auto entries = ThreeServers();
   entries[0].started = instance.now();
@@ -105,19 +109,19 @@
   EXPECT_LT(instance.sends.size(), 40u);
 }
 
-TEST(Rules, WhereServersDoNotCheckNoReadIsSentBelowItsRequiredPosition) {
+TEST(Rules, IfServersDoNotCheckPositionsNoReadIsSentBelowItsRequiredPosition) {
   Settings settings = DefaultSettings();
   settings.position_check = PositionCheck::kNone;
   SimulatedInstance instance(settings);
   instance.UpdateList(ThreeServers());
-  instance.ReportReplicaAt(kA, instance.now() - 5000_ms);
+  instance.ReportReplicaAt(kReplicaA, instance.now() - 5000_ms);
   const RequestId id = instance.SendRequest(kBoundedRead);
   instance.Advance(2000_ms);
   EXPECT_EQ(instance.AttemptsOf(id), 0u);
   EXPECT_EQ(instance.FinalAnswersTo(id), 1u);
 }
 
-TEST(Rules, NoTwoAttemptsAtOnceWhereHedgingIsForbidden) {
+TEST(Rules, NoHedgedRequestsIfHedgingIsNotAllowed) {
   Settings settings = DefaultSettings();
   settings.may_hedge = false;
   SimulatedInstance instance(settings);
@@ -127,7 +131,7 @@
   EXPECT_EQ(instance.AttemptsOf(id), 1u);
 }
 
-TEST(Rules, AttemptsStayUnderTheirLimit) {
+TEST(Rules, AttemptsAreLimited) {
   Settings settings = DefaultSettings();
   settings.max_attempts = 2;
   SimulatedInstance instance(settings);
@@ -150,7 +154,7 @@
   EXPECT_GT(instance.sends.size(), before);
 }
 
-TEST(Rules, BelowOneRequestTheWarmingBudgetsOfManyInstancesStillAddUp) {
+TEST(Rules, SlowStartSharesBelowOneRequestAddUpOverTheFleet) {
   int sent = 0;
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     Settings settings = DefaultSettings();
@@ -165,13 +169,12 @@
     }
     sent += static_cast<int>(instance.sends.size());
   }
-  // Four seconds at 0.24 to 0.5 of a core, writes of an eighth of a second each, and one full bucket of a
-  // second.
+  // 4 s at 0.24 to 0.5 of a core, and one full bucket of 1 s, with writes of 1/8 s of work each.
   EXPECT_GE(sent, 6);
   EXPECT_LE(sent, 30);
 }
 
-TEST(Rules, QueueingDoesNotInflateTheWarmingBudget) {
+TEST(Rules, QueueingDoesNotRaiseTheSlowStartRate) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   for (int i = 0; i < 200; ++i) {
--- a/tests/routing/balancer_server_health_test.cpp
+++ b/tests/routing/balancer_server_health_test.cpp
@@ -1,4 +1,4 @@
-// How failures, refused connections and latency change the share of a server.
+// Tests of how failures, refused connections and latency change the share of requests that a server gets.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,9 +9,9 @@
 namespace lynxgrade {
 namespace {
 
-// A pooler among a hundred sees a write of a group every few seconds and can pay for few health_checks.
-
-TEST(Connections, OneRefusedAtOnceIsAShortageNotAServerThatIsDownOrRestarted) {
+// In a fleet of 100 an instance sees a write of a given group every few seconds, and its health check budget
+// is small.
+TEST(Connections, AnImmediateRefusalDoesNotMarkTheServerAsDownOrRestarted) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   int closed = 0;
@@ -20,14 +20,14 @@
     instance.EndAttempt(id, Outcome::kUnreachable, {}, 0_ms);
     instance.Advance(300_ms);
     ASSERT_EQ(instance.AttemptsOf(id), 2u)
-        << "the primary is neither ejected for long nor taken to be warming";
+        << "the primary must be neither ejected for long nor treated as warming";
     AttemptEndedEvent end{.id = id, .attempt = 1, .server = kPrimary, .elapsed = 10_ms, .request_done = true};
     for (const Action& a : instance.Handle(end)) closed += std::holds_alternative<CloseIdleConnections>(a);
   }
-  EXPECT_EQ(closed, 5) << "connections are given back after use";
+  EXPECT_EQ(closed, 5) << "idle connections must be closed after use";
 }
 
-TEST(Connections, OneRefusedWhereHealthChecksFailTooIsAServerThatIsDown) {
+TEST(Connections, ARefusalWithFailingHealthChecksMarksTheServerAsDown) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   for (int i = 0; i < 4; ++i) {
@@ -37,14 +37,12 @@
   }
   instance.sends.clear();
   for (int i = 0; i < 100; ++i) instance.SendRequest(kNotIdempotentWrite);
-  EXPECT_LE(instance.sends.size(), 10u) << "it counts as restarted";
+  EXPECT_LE(instance.sends.size(), 10u) << "the primary must be treated as restarted";
 }
 
-// One that ended without leaving the list refuses for ever: its ejection grows, and no other server's
-
-// connections are given back for it.
-
-TEST(Connections, AServerThatGoesOnRefusingIsDialledEverLessOftenAndCostsNoOtherItsConnections) {
+// A server whose process has ended but that is still listed refuses all connections. Its backoff grows, and
+// no idle connections to other servers are closed.
+TEST(Connections, ContinuedRefusalsBackOffAndCloseNoConnectionsToOtherServers) {
   Settings settings = DefaultSettings();
   settings.may_health_check = false;
   SimulatedInstance instance(settings);
@@ -52,27 +50,26 @@
   int rejected = 0, late = 0, closed = 0;
   for (int i = 0; i < 1000; ++i) {
     const RequestId id = instance.SendRequest(kEventualRead);
-    for (int again = 0; again < 5 && instance.AttemptsOf(id) > 0 && instance.LastServerOf(id) == kA;
+    for (int again = 0; again < 5 && instance.AttemptsOf(id) > 0 && instance.LastServerOf(id) == kReplicaA;
          ++again) {
       (i < 500 ? rejected : late) += 1;
       instance.EndAttempt(id, Outcome::kUnreachable, {}, 0_ms);
     }
-    if (instance.AttemptsOf(id) == 0 || instance.LastServerOf(id) == kA) continue;
+    if (instance.AttemptsOf(id) == 0 || instance.LastServerOf(id) == kReplicaA) continue;
     AttemptEndedEvent end{
         .id = id, .server = instance.LastServerOf(id), .elapsed = 10_ms, .request_done = true};
     end.attempt = static_cast<AttemptNumber>(instance.AttemptsOf(id) - 1);
     for (const Action& a : instance.Handle(end)) closed += std::holds_alternative<CloseIdleConnections>(a);
     instance.Advance(10_ms);
   }
-  EXPECT_LE(rejected, 12) << "in five seconds: the ejection doubles from 50 ms";
-  EXPECT_GE(late, 1) << "it is tried again, for it may be back";
+  EXPECT_LE(rejected, 12) << "within 5 s the backoff doubles from 50 ms";
+  EXPECT_GE(late, 1) << "it must be tried again, as it may have recovered";
   EXPECT_LE(late, 4);
   EXPECT_EQ(closed, 0);
 }
 
-// How many of a hundred reads go to a server at which all attempts are cancelled unanswered.
-
-int ChosenThoughCancelled(LoadReporting reports) {
+// Number of reads, out of 100, that go to a server at which all attempts are cancelled without a response.
+int CountReadsToServerWithCancelledAttempts(LoadReporting reports) {
   Settings settings = DefaultSettings();
   settings.load_reporting = reports;
   SimulatedInstance instance(settings);
@@ -80,7 +77,7 @@
   const auto round = [&] {
     const RequestId id = instance.SendRequest(kEventualRead);
     if (instance.AttemptsOf(id) == 0) return false;
-    const bool hit = instance.LastServerOf(id) == kA;
+    const bool hit = instance.LastServerOf(id) == kReplicaA;
     if (hit) {
       instance.Advance(400_ms);
       instance.Handle(ClientDisconnectedEvent{id});
@@ -97,16 +94,14 @@
   return count;
 }
 
-TEST(Health, CancelledAttemptsCountAgainstTheirServer) {
-  EXPECT_LT(ChosenThoughCancelled(LoadReporting::kOnHealthCheck), 25);
+TEST(Health, CancelledAttemptsLowerAServersShare) {
+  EXPECT_LT(CountReadsToServerWithCancelledAttempts(LoadReporting::kOnHealthCheck), 25);
 }
 
-TEST(Health, WhereResponsesReportNoQueueACancelledAttemptDoesNotCount) {
-  EXPECT_GT(ChosenThoughCancelled(LoadReporting::kWithResponses), 35);
+TEST(Health, CancelledAttemptsDoNotCountIfResponsesReportNoQueue) {
+  EXPECT_GT(CountReadsToServerWithCancelledAttempts(LoadReporting::kWithResponses), 35);
 }
 
-// Without such advice clients would retry by themselves, at the worst moment.
-
 TEST(Health, LongEventualReadsPreferOneReplica) {
   Settings settings = DefaultSettings();
   settings.classes[kEventualRead].latency_objective = 1600_ms;
@@ -116,7 +111,7 @@
   for (int i = 0; i < 100; ++i) {
     const RequestId id = instance.SendRequest(kEventualRead);
     if (instance.AttemptsOf(id) == 0) continue;
-    to_a += instance.LastServerOf(id) == kA;
+    to_a += instance.LastServerOf(id) == kReplicaA;
     instance.Advance(450_ms);
     instance.EndAttempt(id, Outcome::kOk, {}, 450_ms);
   }
@@ -128,7 +123,7 @@
   instance.UpdateList(ThreeServers());
   for (int i = 0; i < 60; ++i) {
     const RequestId id = instance.SendRequest(kEventualRead);
-    const bool bad = instance.LastServerOf(id) == kA;
+    const bool bad = instance.LastServerOf(id) == kReplicaA;
     instance.EndAttempt(id, bad ? Outcome::kError : Outcome::kOk, {}, bad ? 1_ms : 100_ms);
     if (bad && instance.AttemptsOf(id) > 1) instance.EndAttempt(id, Outcome::kOk, {}, 100_ms);
     instance.Advance(5_ms);
@@ -136,7 +131,7 @@
   int to_a = 0;
   for (int i = 0; i < 40; ++i) {
     const RequestId id = instance.SendRequest(kEventualRead);
-    to_a += instance.LastServerOf(id) == kA;
+    to_a += instance.LastServerOf(id) == kReplicaA;
     instance.EndAttempt(id, Outcome::kOk, {}, 100_ms);
   }
   EXPECT_LT(to_a, 8);
@@ -148,8 +143,8 @@
   for (int i = 0; i < 6; ++i) instance.SendRequest(kEventualRead);
   std::map<RequestId, ServerId> held;
   for (const StartAttempt& send : instance.sends) {
-    if (send.server == kA)
-      held[send.id] = kA;
+    if (send.server == kReplicaA)
+      held[send.id] = kReplicaA;
     else
       instance.EndAttempt(send.id, Outcome::kOk, {}, 50_ms);
   }
@@ -158,15 +153,15 @@
   int to_a = 0;
   for (int i = 0; i < 40; ++i) {
     const RequestId id = instance.SendRequest(kEventualRead);
-    to_a += instance.LastServerOf(id) == kA;
+    to_a += instance.LastServerOf(id) == kReplicaA;
     instance.EndAttempt(id, Outcome::kOk, {}, 50_ms);
   }
   EXPECT_LT(to_a, 8);
 }
 
-// One instance of a hundred hears of a server every few seconds, so that what it heard last counts for more.
-
-TEST(Health, AServerHeardOfSeldomLosesItsShareAfterFewSlowResponses) {
+// In a fleet of 100 an instance gets a response of a given server every few seconds, so that each response
+// must have a high weight.
+TEST(Health, AServerWithRareResponsesLosesItsShareAfterAFewSlowOnes) {
   int slow = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedInstance instance(DefaultSettings(), seed);
@@ -174,8 +169,8 @@
     for (int i = 0; i < 40; ++i) {
       const RequestId id = instance.SendRequest(kEventualRead);
       if (instance.AttemptsOf(id) == 0) continue;
-      slow += i >= 10 && instance.LastServerOf(id) == kA;
-      const Duration taken = instance.LastServerOf(id) == kA ? 400_ms : 60_ms;
+      slow += i >= 10 && instance.LastServerOf(id) == kReplicaA;
+      const Duration taken = instance.LastServerOf(id) == kReplicaA ? 400_ms : 60_ms;
       instance.Advance(taken);
       instance.EndAttempt(id, Outcome::kOk, {}, taken);
       instance.Advance(4000_ms);
@@ -184,7 +179,7 @@
   EXPECT_LT(slow, 50);
 }
 
-TEST(Health, AStallOfTheInstanceItselfIsNotTakenForSlowServers) {
+TEST(Health, AStallOfTheInstanceDoesNotMakeServersLookSlow) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   for (int i = 0; i < 60; ++i)
@@ -204,7 +199,7 @@
   EXPECT_EQ(instance.rejected.size(), before);
 }
 
-TEST(Health, AGroupIsNeverEjectedCompletely) {
+TEST(Health, AGroupWithAllServersEjectedStillGetsRequests) {
   SimulatedInstance instance;
   instance.UpdateList(ThreeServers());
   for (int i = 0; i < 60; ++i) {
--- a/tests/routing/decision_parts.h
+++ b/tests/routing/decision_parts.h
@@ -1,4 +1,4 @@
-// The parts of the decision module by themselves, with a group of one primary and two replicas.
+// The parts of the decision module without the Balancer, with a group of one primary and two replicas.
 #pragma once
 
 #include <algorithm>
@@ -24,7 +24,7 @@
 
 inline constexpr Duration Milliseconds(std::int64_t count) { return Duration(count * 1000); }
 
-// One request class with the given access and idempotency, and servers that check positions.
+// Settings with one request class, and servers that check positions.
 inline Settings SettingsFor(AccessKind kind, Idempotency idempotency = Idempotency::kIdempotent) {
   Settings settings;
   settings.classes = {{.kind = kind,
@@ -47,20 +47,20 @@
 
 struct DecisionParts {
   explicit DecisionParts(Settings settings) : context(std::move(settings), 7) {
-    At(TimePoint{Milliseconds(1'000'000)});
+    BeginEvent(TimePoint{Milliseconds(1'000'000)});
     for (ServerId id : {kPrimary, kReplica, kOtherReplica}) servers.FindOrAdd(id, kGroup, 0);
   }
 
-  // Begins an event at that time.
-  void At(TimePoint now) { context.BeginEvent(now, actions); }
-  void Advance(Duration time) { At(context.now() + time); }
+  // Begins an event at the given time.
+  void BeginEvent(TimePoint now) { context.BeginEvent(now, actions); }
+  void Advance(Duration time) { BeginEvent(context.now() + time); }
 
-  // A request that arrives now and has a second left.
-  Request Arrive() {
+  // A request that arrives now and has 1 s left.
+  Request MakeRequest() {
     Request request;
-    request.event.id = RequestId(++last_request);
+    request.event.id = RequestId(++last_request_id);
     request.event.group = kGroup;
-    request.arrived = request.first_asked = context.now();
+    request.arrived = request.first_client_attempt = context.now();
     request.deadline = context.now() + Milliseconds(1000);
     return request;
   }
@@ -86,7 +86,7 @@
   CandidateSelection candidate_selection{context, servers, replication, latencies, slow_start};
   PrimarySelection primary_selection{context, servers, replication, eligibility};
   PrimaryOverflow primary_overflow{context, replication, latencies, eligibility};
-  std::uint32_t last_request = 0;
+  std::uint32_t last_request_id = 0;
 };
 
 }  // namespace lynxgrade
--- a/tests/routing/embed_example.cpp
+++ b/tests/routing/embed_example.cpp
@@ -1,4 +1,4 @@
-// The example of the README: one request through an embedded Balancer.
+// The README's example: routes one request through an embedded Balancer.
 #include <cstdio>
 #include <variant>
 
@@ -7,7 +7,7 @@
 namespace lynxgrade {
 namespace {
 
-// Sends one request, and returns whether it went to a server.
+// Returns whether the request was sent to a server.
 bool SendOneRequest() {
   Settings settings;
   settings.classes.push_back({.kind = AccessKind::kEventualRead,
