--- a/tests/routing/server_parts_test.cpp
+++ b/tests/routing/server_parts_test.cpp
@@ -1,5 +1,5 @@
-// The parts that keep the state of servers: endpoint list, roles and positions, slow start, ejection, health
-// checks.
+// Tests of the parts that keep the state of servers: endpoint list, roles and positions, slow start, ejection
+// and health checks.
 #include <doctest/doctest.h>
 
 #include "routing/decision_parts.h"
@@ -7,7 +7,7 @@
 namespace lynxgrade {
 namespace {
 
-TEST_CASE("a server that leaves the endpoint list drains at once and expires after it was gone for long") {
+TEST_CASE("a server that is no longer listed drains at once and expires after the retention time") {
   DecisionParts parts(SettingsFor(AccessKind::kEventualRead));
   parts.endpoint_list.Apply(
       EndpointListEvent{EndpointListKind::kComplete, {{.server = kPrimary, .group = kGroup}}});
@@ -22,7 +22,7 @@
   CHECK(parts.servers.GroupOf(kGroup).servers == std::vector<ServerId>{kPrimary});
 }
 
-TEST_CASE("the newest evidence of a role wins, and a change of the primary is counted once") {
+TEST_CASE("the newest evidence of a role wins, and a role change is counted once") {
   DecisionParts parts(SettingsFor(AccessKind::kWrite));
   Server& first = parts.servers.At(kPrimary);
   Server& second = parts.servers.At(kReplica);
@@ -39,24 +39,24 @@
   CHECK(parts.replication.PrimaryOf(kGroup) == &second);
 }
 
-TEST_CASE("a server that restarts is sent less than a warm one, and is warm after its slow start") {
+TEST_CASE("a restarted server is sent less than a warm one until its slow start ends") {
   DecisionParts parts(SettingsFor(AccessKind::kEventualRead));
   Server& server = parts.servers.At(kReplica);
   CHECK(parts.slow_start.CapacityShare(server) == 1);
   parts.slow_start.BeginSlowStart(server, parts.context.now());
   CHECK(parts.slow_start.CapacityShare(server) == doctest::Approx(0.2));
   int admitted = 0;
-  for (; admitted < 1000 && parts.slow_start.HasCapacity(parts.Arrive(), server); ++admitted) {
-    parts.slow_start.Consume(parts.Arrive(), server);
+  for (; admitted < 1000 && parts.slow_start.HasCapacity(parts.MakeRequest(), server); ++admitted) {
+    parts.slow_start.Consume(parts.MakeRequest(), server);
   }
   CHECK(admitted >= 1);
   CHECK(admitted < 20);
   parts.Advance(Milliseconds(10'000));
   CHECK(parts.slow_start.CapacityShare(server) == 1);
-  CHECK(parts.slow_start.HasCapacity(parts.Arrive(), server));
+  CHECK(parts.slow_start.HasCapacity(parts.MakeRequest(), server));
 }
 
-TEST_CASE("a replica that fails again and again is ejected, a primary is not") {
+TEST_CASE("repeated failures eject a replica but not a primary") {
   DecisionParts parts(SettingsFor(AccessKind::kEventualRead));
   Server& replica = parts.servers.At(kReplica);
   Server& primary = parts.servers.At(kPrimary);
@@ -69,7 +69,7 @@
   CHECK(primary.IsUsable(parts.context.now()));
 }
 
-TEST_CASE("attempts that were cancelled, misrouted or never run do not count as failures") {
+TEST_CASE("cancelled, misrouted and unsent attempts do not count as failures") {
   DecisionParts parts(SettingsFor(AccessKind::kEventualRead));
   Server& server = parts.servers.At(kReplica);
   for (Outcome outcome : {Outcome::kCancelled, Outcome::kMisrouted, Outcome::kNotRun}) {
@@ -79,7 +79,7 @@
   }
 }
 
-TEST_CASE("health checks are paid from a budget, and one server is not checked twice at once") {
+TEST_CASE("health checks use a budget, and a server is not checked twice at the same time") {
   DecisionParts parts(SettingsFor(AccessKind::kEventualRead));
   Server& server = parts.servers.At(kReplica);
   parts.health_checks.StartFromBudget(server);
@@ -90,7 +90,7 @@
     parts.health_checks.HandleResult(server, HealthCheckEvent{.server = kReplica, .outcome = Outcome::kOk});
     parts.health_checks.StartFromBudget(server);
   }
-  CHECK(parts.Count<StartHealthCheck>() == 19);  // 20 in the budget, one of which started nothing
+  CHECK(parts.Count<StartHealthCheck>() == 19);  // of a budget of 20, one call started no check
 }
 
 }  // namespace
--- a/tests/routing/simulated_instance.h
+++ b/tests/routing/simulated_instance.h
@@ -1,4 +1,4 @@
-// One decision module in simulated time, with the fixture that its tests share.
+// A decision module in simulated time: the fixture of the balancer tests.
 #pragma once
 
 #include <algorithm>
@@ -27,7 +27,8 @@
 
 inline constexpr GroupId kGroup{1};
 
-// Servers check positions and report load with their responses; all that is optional is allowed.
+// Servers check positions and report load with their responses. Cancelling, hedging and health checks are
+// allowed.
 inline Settings DefaultSettings() {
   Settings settings;
   const auto class_of = [](AccessKind kind, Idempotency idempotency) {
@@ -62,13 +63,13 @@
   return settings;
 }
 
-// Runs one decision module in simulated time: fires its timers and records its actions.
+// Runs one Balancer in simulated time: fires its timers and records its actions.
 class SimulatedInstance {
  public:
   explicit SimulatedInstance(Settings settings = DefaultSettings(), std::uint64_t seed = 1)
       : consistency_guard_(settings, {}), balancer_(std::move(settings), seed) {}
 
-  // Feeds an event and returns the actions that resulted.
+  // Handles an event and returns the resulting actions.
   Actions Handle(Event event) {
     Actions actions;
     consistency_guard_.PrepareEvent(now_, event);
@@ -78,7 +79,7 @@
     return actions;
   }
 
-  // Lets time pass, with the timers that are due in it.
+  // Advances the time and fires the timers that become due.
   void Advance(Duration time) {
     const TimePoint end = now_ + time;
     while (!timers_.empty() && timers_.begin()->first <= end) {
@@ -90,7 +91,7 @@
     now_ = end;
   }
 
-  // Lets time pass in which nothing reaches the module: its timers are late.
+  // Advances the time without firing timers, as if the instance were stalled.
   void Stall(Duration time) { now_ += time; }
 
   void UpdateList(std::vector<EndpointListEntry> entries,
@@ -99,7 +100,7 @@
   }
 
   RequestId SendRequest(ClassIndex request_class, std::optional<Duration> time_since_write = std::nullopt) {
-    const RequestId id{++last_};
+    const RequestId id{++last_request_id_};
     Handle(RequestEvent{.id = id,
                         .group = kGroup,
                         .request_class = request_class,
@@ -109,14 +110,14 @@
     return id;
   }
 
-  // Ends the newest attempt of a request.
+  // Ends the latest attempt of a request.
   void EndAttempt(RequestId id, Outcome outcome, ResponseMetadata metadata = {}, Duration taken = 10_ms) {
     if (AttemptsOf(id) == 0) return;
-    const auto& made = attempts_[id];
+    const auto& servers = attempts_[id];
     AttemptEndedEvent event;
     event.id = id;
-    event.attempt = static_cast<AttemptNumber>(made.size() - 1);
-    event.server = made.back();
+    event.attempt = static_cast<AttemptNumber>(servers.size() - 1);
+    event.server = servers.back();
     event.outcome = outcome;
     event.elapsed = taken;
     event.request_done = outcome == Outcome::kOk;
@@ -124,7 +125,7 @@
     Handle(event);
   }
 
-  // A health check finds the server in the role, at the position.
+  // Report the role and position of a server with a health check.
   void ReportPrimaryAt(ServerId server, LogPosition position) {
     Handle(HealthCheckEvent{server, Outcome::kOk, 1_ms, LoadReport{.position = position, .primary = true}});
   }
@@ -147,7 +148,7 @@
   std::vector<StartHealthCheck> health_checks;
   std::vector<RequestId> rejected;
   std::vector<RequestId> failed;
-  Duration retry_after{0};  // of the newest rejection
+  Duration retry_after{0};  // of the latest rejection
   int watches = 0;
 
  private:
@@ -166,23 +167,23 @@
     if (const auto* fail = std::get_if<Fail>(&action)) failed.push_back(fail->id);
   }
 
-  consistency::SessionConsistencyGuard consistency_guard_;  // hosts the module as the programs do
+  consistency::SessionConsistencyGuard consistency_guard_;  // prepares events as in the pooler
   Balancer balancer_;
   TimePoint now_{Duration(100000000)};
   std::multimap<TimePoint, TimerId> timers_;
   std::map<RequestId, std::vector<ServerId>> attempts_;
-  std::uint32_t last_ = 0;
+  std::uint32_t last_request_id_ = 0;
 };
 
 inline constexpr ServerId kPrimary{1};
-inline constexpr ServerId kA{2};
-inline constexpr ServerId kB{3};
+inline constexpr ServerId kReplicaA{2};
+inline constexpr ServerId kReplicaB{3};
 
 // A primary and two replicas.
 inline std::vector<EndpointListEntry> ThreeServers() {
   return {{.server = kPrimary, .group = kGroup, .primary = true},
-          {.server = kA, .group = kGroup},
-          {.server = kB, .group = kGroup}};
+          {.server = kReplicaA, .group = kGroup},
+          {.server = kReplicaB, .group = kGroup}};
 }
 
 inline EndpointListEntry Entry(ServerId id, Lifecycle lifecycle) {
