--- a/src/consistency/primary_timeline.cpp
+++ b/src/consistency/primary_timeline.cpp
@@ -10,7 +10,7 @@
     confirmed_ = std::max(confirmed_, position);
     return false;
   }
-  // A report from before the present timeline, received late.
+  // A delayed report from before the present timeline.
   if (primary_ && position < since_) return false;
   StartTimeline(server, position);
   return true;
@@ -20,8 +20,8 @@
   const auto replica_position = replica_positions_.extract(server);
   replicated_through_ = replica_position.empty() ? LogPosition{} : replica_position.mapped();
   if (primary_ == server) {
-    // It was a replica in between, of a primary that was never seen: the positions that it reported then
-    // prove nothing of its own earlier writes.
+    // In between it was a replica of a primary that was never seen. The positions that it reported as a
+    // replica do not prove that it kept its own earlier writes.
     replicated_through_ = LogPosition{};
     AddLoss({std::nullopt, replicated_through_, position});
   } else {
@@ -46,9 +46,9 @@
     if (position < confirmed_) return;  // older than its last report as primary
     stepped_down_ = true;
   }
-  // A later position may belong to a timeline that is not known yet. Cutting it down to what is trusted would
-  // claim that the server has replayed writes which it may lack, so it is not recorded at all.
-  const auto trusted = TrustedThrough();
+  // A later position may belong to a timeline that is not known yet. Lowering it to the trusted position
+  // would claim that the server has replayed writes which it may lack, so it is not recorded at all.
+  const auto trusted = MaxTrustedPosition();
   if (trusted && position > *trusted) return;
   RaiseReplicaPosition(server, position);
 }
@@ -58,7 +58,7 @@
   newest = std::max(newest, position);
 }
 
-std::optional<LogPosition> PrimaryTimeline::TrustedThrough() const {
+std::optional<LogPosition> PrimaryTimeline::MaxTrustedPosition() const {
   if (!primary_) return std::nullopt;
   return confirmed_ + min_failover_time_;
 }
@@ -68,8 +68,8 @@
     if (watermark.position <= loss->after || (loss->successor && watermark.server == loss->successor))
       continue;
     if (watermark.position <= loss->through) return true;
-    // A write answered by a replaced primary after its successor was seen is on no timeline that continues,
-    // unless that server became primary again later.
+    // A write that a replaced primary answered after its successor was seen is lost, unless the replaced
+    // primary became primary again later.
     const bool primary_again = std::any_of(loss + 1, losses_.end(), [&](const PossibleWriteLoss& next) {
       return next.successor == watermark.server && watermark.position > next.after;
     });
@@ -94,7 +94,7 @@
   }
   for (PossibleWriteLoss& loss : losses_) {
     if (loss.successor != primary || since > loss.through) continue;
-    // The same timeline, seen earlier: its predecessor can have answered fewer writes after it began.
+    // The peer saw the same timeline begin earlier, so fewer writes of the predecessor can be lost.
     if (replicated_through > loss.through) continue;
     loss.through = std::min(loss.through, since);
     loss.after = std::max(loss.after, std::min(replicated_through, loss.through));
--- a/src/consistency/primary_timeline.h
+++ b/src/consistency/primary_timeline.h
@@ -1,4 +1,4 @@
-// The succession of primaries of one group, and which answered writes a change of primary may have lost.
+// Tracks the primaries of one group over time, and which answered writes a change of primary may have lost.
 #pragma once
 
 #include <cstddef>
@@ -10,66 +10,70 @@
 
 namespace lynxgrade::consistency {
 
-// Writes in (after, through] that were answered by other servers than `successor` may be lost.
+// Writes in (after, through] that a server other than `successor` answered may be lost.
 struct PossibleWriteLoss {
-  // The primary that took over. Absent if it was never seen: then writes answered by any server may be lost.
+  // The primary that took over. Absent if it was never seen: then writes of every server may be lost.
   std::optional<ServerId> successor{};
-  // The successor is known to have replayed the log up to here before it took over.
+  // Position up to which the successor is known to have replayed the log before it took over.
   LogPosition after{};
-  // Where the successor was first seen as primary.
+  // Position at which the successor was first seen as primary.
   LogPosition through{};
   bool operator==(const PossibleWriteLoss&) const = default;
 };
 
 // Follows which data server of a group is primary, from the roles and positions that servers report.
 //
-// Replication between data servers is asynchronous, so a primary that fails may take answered writes with it.
-// Positions are commit times: those of its successor soon exceed theirs without containing them. A position
-// therefore proves that a write is present only on the timeline on which the write was answered.
+// Replication between data servers is asynchronous, so answered writes may be lost when a primary fails.
+// Positions are commit times: the positions of the successor soon exceed those of the lost writes, although
+// the successor does not contain them. A position therefore proves that a write is present only on the
+// timeline on which the write was answered.
 //
 // Not thread-safe; reads no clock and does no I/O.
 class PrimaryTimeline {
  public:
-  // `min_failover_time`: no server takes over sooner than this after its predecessor's last answer as
-  // primary.
+  // `min_failover_time`: the shortest time between a primary's last response as primary and the moment at
+  // which its successor takes over.
   explicit PrimaryTimeline(Duration min_failover_time) : min_failover_time_(min_failover_time) {}
 
-  // A server reported `position` as primary. Returns whether that starts a timeline, on which earlier writes
-  // may have been lost.
+  // Handles a report of `server` that it is primary at `position`. Returns whether the report starts a new
+  // timeline, on which earlier writes may be missing.
   bool HandlePrimaryPosition(ServerId server, LogPosition position);
-  // A server reported as a replica that it has replayed the log up to `position`.
+  // Handles a report of `server` that it is a replica and has replayed the log up to `position`.
   void HandleReplicaPosition(ServerId server, LogPosition position);
 
-  // A replica's position up to here belongs to the present timeline; a later one may be of a successor that
-  // is not known yet. Absent until a primary has been seen.
-  std::optional<LogPosition> TrustedThrough() const;
+  // The newest replica position that is certain to belong to the present timeline. A later one may belong to
+  // the timeline of a successor that has not been seen yet. Absent until a primary has been seen.
+  std::optional<LogPosition> MaxTrustedPosition() const;
 
-  // The server has left the group: its positions as a replica prove nothing any more.
+  // Discards the replica position of a server that has left the group.
   void RemoveServer(ServerId server) { replica_positions_.erase(server); }
 
+  // Whether the write may have been lost in a change of primary.
   bool MayBeLost(const WriteWatermark& watermark) const;
-  // Whether a write that any server answered in `interval` may be lost.
+  // Whether any write that was answered in `interval`, by whichever server, may have been lost.
   bool MayBeLost(const WriteInterval& interval) const;
 
-  // What a peer observed, or what was recovered: `primary` was primary at `since` already, had replayed the
-  // log up to `replicated_through` before, and was last seen as primary at `confirmed`. Narrows the losses of
-  // a change that is known here. Returns whether it starts a timeline that was not seen here.
+  // Merges a timeline that a peer observed or that was recovered from disk: `primary` was first seen as
+  // primary at `since`, had replayed the log up to `replicated_through` before that, and was last seen as
+  // primary at `confirmed`. If this instance has seen the same change of primary, narrows its possible
+  // losses. Returns whether the timeline is a new one for this instance.
   bool Merge(ServerId primary, LogPosition since, LogPosition replicated_through, LogPosition confirmed);
 
-  // Drops the losses of writes that were all answered before `position`. Returns how many.
+  // Removes the losses whose writes were all answered before `position`. Returns the number removed.
   std::size_t ForgetLossesBefore(LogPosition position);
 
   std::optional<ServerId> primary() const { return primary_; }
   // First position seen on the present timeline.
   LogPosition since() const { return since_; }
-  // How far its primary had replayed the log before that.
+  // Position up to which its primary had replayed the log before that.
   LogPosition replicated_through() const { return replicated_through_; }
   // Newest position seen on the present timeline.
   LogPosition confirmed() const { return confirmed_; }
   const std::vector<PossibleWriteLoss>& losses() const { return losses_; }
 
  private:
-  // Beyond this the oldest losses are merged into one, which rejects more reads than needed.
+  // Above this the oldest losses are merged into one, which rejects more reads than necessary. A group that
+  // changes its primary more often than this within the write retention has more serious problems.
   static constexpr std::size_t kMaxLosses = 32;
 
   void StartTimeline(ServerId server, LogPosition position);
@@ -79,11 +83,11 @@
 
   Duration min_failover_time_;
   std::optional<ServerId> primary_;
-  bool stepped_down_ = false;  // the primary has reported as a replica, and no successor was seen yet
+  bool stepped_down_ = false;  // the primary has since reported as a replica; no successor was seen yet
   LogPosition since_{};
   LogPosition replicated_through_{};
   LogPosition confirmed_{};
-  std::map<ServerId, LogPosition> replica_positions_;  // newest of each server since it was last primary
+  std::map<ServerId, LogPosition> replica_positions_;  // newest of each server since it last was primary
   std::vector<PossibleWriteLoss> losses_;
 };
 
--- a/src/consistency/session_consistency_guard.cpp
+++ b/src/consistency/session_consistency_guard.cpp
@@ -7,14 +7,15 @@
 namespace lynxgrade::consistency {
 namespace {
 
-// A peer that was last heard longer ago than this many read delays will hardly be heard within one. A peer
-// without writes is heard at intervals of up to two of its own pauses.
+// A read is not delayed for a peer that has been silent for longer than this many read delays, as it is
+// unlikely to report within one. The limit must exceed the silence of an idle peer, which is up to twice
+// ReplicationEngine::Options::idle_interval.
 constexpr int kMaxPeerSilenceInReadDelays = 8;
 constexpr Duration kPositionUnit{1000};  // data servers report positions in whole milliseconds, rounded down
 
 std::int64_t Milliseconds(LogPosition position) { return position.time_since_epoch().count() / 1000; }
 
-// Raises a required position, where there is one already, to at least `position`.
+// Sets a required position, or raises an existing one, to at least `position`.
 void RaiseTo(std::optional<LogPosition>& required, LogPosition position) {
   required = std::max(required.value_or(position), position);
 }
@@ -41,13 +42,13 @@
 void SessionConsistencyGuard::PrepareEvent(TimePoint now, Event& event) {
   now_ = now;
   if (const auto* list = std::get_if<ListEvent>(&event)) {
-    if (CoversAllInstances()) Handle(*list);
+    if (CoversAllInstances()) HandleList(*list);
   } else if (auto* request = std::get_if<RequestEvent>(&event)) {
-    Handle(now, *request);
-  } else if (auto* outcome = std::get_if<AttemptEndedEvent>(&event)) {
-    Handle(now, *outcome);
+    HandleRequest(now, *request);
+  } else if (auto* attempt_end = std::get_if<AttemptEndedEvent>(&event)) {
+    HandleAttemptEnd(now, *attempt_end);
   } else if (auto* health_check = std::get_if<HealthCheckEvent>(&event)) {
-    if (CoversAllInstances()) Handle(now, *health_check);
+    if (CoversAllInstances()) HandleHealthCheck(now, *health_check);
   } else if (const auto* disconnected = std::get_if<ClientDisconnectedEvent>(&event)) {
     FinishRequest(disconnected->id);
   }
@@ -62,7 +63,7 @@
 
 // ---- Data servers -------------------------------------------------------------------------------------
 
-void SessionConsistencyGuard::Handle(const ListEvent& event) {
+void SessionConsistencyGuard::HandleList(const ListEvent& event) {
   if (event.kind == ListKind::kError) return;
   std::unordered_map<ServerId, GroupId> listed;
   for (const ListEntry& entry : event.entries) {
@@ -90,7 +91,7 @@
   groups_.erase(group);
 }
 
-void SessionConsistencyGuard::Handle(TimePoint now, HealthCheckEvent& event) {
+void SessionConsistencyGuard::HandleHealthCheck(TimePoint now, HealthCheckEvent& event) {
   const auto group = groups_.find(event.server);
   if (group == groups_.end() || !event.report) return;
   event.report->position =
@@ -105,7 +106,7 @@
                                                                std::optional<bool> primary,
                                                                std::optional<LogPosition> position) {
   PrimaryTimeline& timeline = TimelineOf(group);
-  // Positions are commit times: no log can have reached one so far in the future.
+  // Positions are commit times: no log can have reached one that is a whole retention in the future.
   if (!position || *position > now + options_.write_retention) return std::nullopt;
   if (!primary) return std::nullopt;
   if (*primary) {
@@ -113,7 +114,7 @@
     return position;
   }
   timeline.HandleReplicaPosition(server, *position);
-  const auto trusted = timeline.TrustedThrough();
+  const auto trusted = timeline.MaxTrustedPosition();
   if (!trusted || *position > *trusted) return std::nullopt;
   return position;
 }
@@ -139,18 +140,18 @@
 
 void SessionConsistencyGuard::LogNewPrimary(GroupId group, const PrimaryTimeline& timeline) const {
   if (!log_sink_ || !timeline.primary() || !options_.reject_uncertain_reads) return;
-  log_sink_("group " + std::to_string(static_cast<std::int64_t>(group)) + ": data server " +
-            std::to_string(static_cast<std::uint32_t>(*timeline.primary())) + " is primary since " +
-            std::to_string(Milliseconds(timeline.since())) +
-            " at the latest and had replayed the log up to " +
-            std::to_string(Milliseconds(timeline.replicated_through())) +
-            " before; read-your-writes reads of sessions that wrote in between are rejected until they write "
-            "again");
+  log_sink_(
+      "new primary: group=" + std::to_string(static_cast<std::int64_t>(group)) +
+      " server=" + std::to_string(static_cast<std::uint32_t>(*timeline.primary())) +
+      " first_seen_ms=" + std::to_string(Milliseconds(timeline.since())) +
+      " replicated_through_ms=" + std::to_string(Milliseconds(timeline.replicated_through())) +
+      "; read-your-writes reads of sessions that wrote in between are rejected until the session writes "
+      "again");
 }
 
 // ---- Reads and writes ---------------------------------------------------------------------------------
 
-void SessionConsistencyGuard::Handle(TimePoint now, RequestEvent& event) {
+void SessionConsistencyGuard::HandleRequest(TimePoint now, RequestEvent& event) {
   if (event.request_class >= classes_.size()) return;
   const AccessKind kind = classes_[event.request_class].kind;
   if (kind == AccessKind::kWrite) HandleWrite(now, event);
@@ -175,7 +176,7 @@
   read.group = event.group;
   read.key = SessionKeyOf(event.group, event.session);
   read.arrived = event.arrived.value_or(now);
-  const SessionWatermarkTable::Known known = watermark_table_.Find(read.key);
+  const SessionWatermarkTable::LookupResult known = watermark_table_.Find(read.key);
   const LogPosition oldest = now - options_.write_retention;
   std::optional<LogPosition> conservative_position;
   if (known.watermark && known.watermark->position >= oldest) {
@@ -187,8 +188,8 @@
     RaiseTo(event.required_position, *known.conservative_position);
   }
   if (!CoversAllInstances()) return;
-  if (UsesLeases()) read.complete_through = leases_->CompleteThrough(read.key);
-  if (read.complete_through) ++counts_.complete;
+  if (UsesLeases()) read.all_writes_known_after = leases_->AllWritesKnownAfter(read.key);
+  if (read.all_writes_known_after) ++counts_.complete;
   for (const WriteInterval& unknown : UnknownIntervalsOf(read))
     RaiseTo(conservative_position, unknown.through);
   if (conservative_position) {
@@ -207,7 +208,7 @@
     event.required_position =
         std::max(event.required_position.value_or(TimePoint{}), now - *event.time_since_write);
   } else if (!CoversAllInstances()) {
-    event.required_position.reset();  // no session of this platform carries a position, so it means nothing
+    event.required_position.reset();  // clients of this platform are not configured to carry positions
   }
 }
 
@@ -216,8 +217,8 @@
   ++(reason == RejectionReason::kLostWrite ? counts_.rejected_lost_write : counts_.rejected_unknown_write);
 }
 
-// A read may not be served if a write of its session may have been lost, whether it is known here or not:
-// serving it would present the loss as the session's own state.
+// A read must not be served if a write of its session may have been lost, whether the write is known to this
+// instance or not: the client would read a state that lacks its own write.
 std::optional<RejectionReason> SessionConsistencyGuard::FindRejectionReason(const PendingRequest& read,
                                                                             TimePoint now) const {
   if (!options_.reject_uncertain_reads) return std::nullopt;
@@ -230,7 +231,7 @@
     const WriteInterval retained{std::max(unknown.after, oldest), unknown.through};
     if (timeline.MayBeLost(retained)) return RejectionReason::kUnknownWrite;
   }
-  // Evicted watermarks may be of any write up to the conservative position.
+  // An evicted watermark may belong to any write up to the conservative position.
   const auto evicted = read.watermark ? std::nullopt : watermark_table_.Find(read.key).conservative_position;
   if (evicted && timeline.MayBeLost(WriteInterval{oldest, *evicted})) return RejectionReason::kUnknownWrite;
   return std::nullopt;
@@ -241,7 +242,7 @@
   const bool pending = request != pending_requests_.end();
   const auto listed = groups_.find(event.server);
   if (pending || listed != groups_.end()) {
-    // The response to a write reports its commit position, which only the primary has.
+    // The response to a write reports the write's commit position, which only the primary has.
     const GroupId group = pending ? request->second.group : listed->second;
     event.metadata.position =
         HandleRole(now, group, event.server, event.metadata.primary, event.metadata.position);
@@ -252,9 +253,9 @@
   }
 }
 
-void SessionConsistencyGuard::Handle(TimePoint now, AttemptEndedEvent& event) {
+void SessionConsistencyGuard::HandleAttemptEnd(TimePoint now, AttemptEndedEvent& event) {
   if (CoversAllInstances()) HandleReportedRoles(now, event);
-  // If the role has shown that this very response cannot be trusted, its read was rejected just now.
+  // If the reported role revealed a new primary, HandleReportedRoles may have rejected this read.
   const auto it = pending_requests_.find(event.id);
   if (it == pending_requests_.end()) return;
   const PendingRequest& request = it->second;
@@ -264,12 +265,12 @@
     watermark_table_.Record(request.key, watermark);
     if (on_write_) on_write_(request.group, request.key, watermark);
   }
-  // A primary's data is the newest there is, and its position is rounded down: only one that reports an older
-  // position than the rounding explains has been replaced.
+  // A primary has the newest data, but its position is rounded down. Only a difference larger than the
+  // rounding shows that the primary has been replaced.
   const Duration rounding = event.metadata.primary.value_or(false) ? kPositionUnit : Duration{0};
   if (served && !request.write && CoversAllInstances() && request.required_position &&
       event.metadata.position && *event.metadata.position + rounding < *request.required_position) {
-    // The server was chosen for having the required position, so it has lost part of its log.
+    // The server was selected because it had reported the required position: it has lost part of its log.
     ++counts_.stale_answers;
     event.outcome = Outcome::kMisrouted;
   }
@@ -279,12 +280,12 @@
 // ---- Unknown writes -----------------------------------------------------------------------------------
 
 std::vector<WriteInterval> SessionConsistencyGuard::UnknownIntervalsOf(const PendingRequest& read) const {
-  // Writes before the session's newest known one do not matter to it.
+  // Unknown writes before the session's newest known write are irrelevant.
   const LogPosition oldest = std::max(read.arrived - options_.write_retention,
                                       read.watermark ? read.watermark->position : LogPosition{});
   if (!UsesLeases()) return unknown_writes_.Intervals(oldest, read.arrived);
   // With leases, peers answer writes without replicating them here.
-  const LogPosition through = std::min(read.complete_through.value_or(read.arrived), read.arrived);
+  const LogPosition through = std::min(read.all_writes_known_after.value_or(read.arrived), read.arrived);
   if (oldest < through) return {{oldest, through}};
   return {};
 }
@@ -294,9 +295,9 @@
   if (classes_[event.request_class].kind != AccessKind::kSessionRead) return false;
   if (UsesLeases()) {
     const SessionKey key = SessionKeyOf(event.group, event.session);
-    // Also renews a lease that is held already.
+    // Also renews a lease that is already held.
     const bool expected = leases_->AcquireLease(event.group, key, LeaseUse::kRead);
-    return expected && !leases_->CompleteThrough(key);
+    return expected && !leases_->AllWritesKnownAfter(key);
   }
   const auto replicated = ReplicatedThrough();
   return replicated && *replicated < arrived &&
@@ -304,7 +305,7 @@
 }
 
 bool SessionConsistencyGuard::IsDelayOver(const RequestEvent& event) const {
-  if (UsesLeases()) return leases_->CompleteThrough(SessionKeyOf(event.group, event.session)).has_value();
+  if (UsesLeases()) return leases_->AllWritesKnownAfter(SessionKeyOf(event.group, event.session)).has_value();
   const auto replicated = ReplicatedThrough();
   return !replicated || *replicated >= *event.arrived;
 }
@@ -314,7 +315,7 @@
 void SessionConsistencyGuard::LearnWatermark(std::optional<GroupId> group, SessionKey key,
                                              const WriteWatermark& watermark) {
   watermark_table_.Record(key, watermark);
-  // The server that answered the write did so as primary.
+  // The server that answered the write was primary at that position.
   if (!CoversAllInstances() || !group || !watermark.server) return;
   if (TimelineOf(*group).HandlePrimaryPosition(*watermark.server, watermark.position)) {
     HandleNewPrimary(*group, now_);
--- a/src/consistency/session_leases.h
+++ b/src/consistency/session_leases.h
@@ -1,4 +1,4 @@
-// What the consistency guard needs to know of session leases (see src/lease).
+// The interface through which the consistency guard uses session leases (see src/lease).
 #pragma once
 
 #include <optional>
@@ -7,19 +7,19 @@
 
 namespace lynxgrade::consistency {
 
-// What a session's lease is needed for.
+// The kind of request for which a session's lease is needed.
 enum class LeaseUse { kRead, kWrite };
 
-// Knows whether this instance holds the lease of a session. Where sessions have leases, only the lease holder
-// answers a session's writes; without leases every instance does, and peers replicate their watermarks.
+// The leases that this instance holds. Where sessions have leases, only the lease holder answers a session's
+// writes; without leases every instance does, and instances replicate watermarks to each other.
 class SessionLeases {
  public:
   virtual ~SessionLeases() = default;
-  // If this instance knows every write of the session answered so far by any instance, except possibly those
-  // up to a position: that position. Absent if it may lack later writes too.
-  virtual std::optional<LogPosition> CompleteThrough(SessionKey key) = 0;
-  // Requests the session's lease, as a request that needs it has arrived. Returns whether a response is
-  // expected that may make this instance's knowledge of the session complete.
+  // The position after which this instance knows every write of the session that any instance has answered so
+  // far; writes up to it may be unknown. Absent if there is no such position.
+  virtual std::optional<LogPosition> AllWritesKnownAfter(SessionKey key) = 0;
+  // Requests the session's lease when a client request that needs it has arrived. Returns whether a grant is
+  // expected that may make AllWritesKnownAfter return a position.
   virtual bool AcquireLease(GroupId group, SessionKey key, LeaseUse use) = 0;
 };
 
--- a/src/consistency/session_watermark_table.cpp
+++ b/src/consistency/session_watermark_table.cpp
@@ -12,10 +12,10 @@
 __extension__ using Uint128 = unsigned __int128;
 
 constexpr Duration kPositionUnit{1000};  // data servers report positions in milliseconds
-// The first position is encoded this far from zero, so that older ones, from peers or a disk, keep their
-// order.
+// Encoded value of the first position. Room below it keeps the order of older positions, which peers or a
+// recovery from disk may deliver later.
 constexpr std::uint32_t kUnitsBeforeFirst = 86'400'000;  // a day
-// The base moves some 46 days after the first position, and then every 24 days.
+// The base moves about 46 days after the first position and then about every 24 days.
 constexpr std::uint32_t kRebaseAt = 0xF0000000;
 constexpr std::uint32_t kRebaseBy = 0x80000000;
 constexpr std::size_t kMaxServers = std::numeric_limits<std::uint16_t>::max();
@@ -26,7 +26,7 @@
 
 SessionWatermarkTable::SessionWatermarkTable(std::size_t sessions)
     : bucket_count_(std::max<std::size_t>(1, sessions * 2 / kSlots)) {
-  // calloc hands out zero pages of the kernel, which cost memory only once they are written.
+  // calloc returns zero pages of the kernel, which use memory only once they are written.
   block_.reset(std::calloc(bucket_count_ + 1, sizeof(Bucket)));
   if (block_ == nullptr) throw std::bad_alloc();
   void* aligned = block_.get();
@@ -59,7 +59,7 @@
   const std::int64_t units = ((position - *base_) + kPositionUnit - Duration(1)) / kPositionUnit;
   if (units < 1) return 1;
   if (units >= std::int64_t{kRebaseAt}) {
-    // A position this far ahead is not a time, and rebasing to it would end the order of all others.
+    // A position this far ahead is not a real commit time; rebasing to it would lose the order of all others.
     if (units >= std::int64_t{kRebaseAt} + kRebaseBy) return kRebaseAt;
     Rebase(kRebaseBy);
     return EncodePosition(position);
@@ -102,7 +102,7 @@
     }
     if (bucket.positions[slot] < bucket.positions[oldest]) oldest = slot;
   }
-  // The conservative position stands for this write already; so every watermark in a slot lies above it.
+  // The conservative position covers this write already. All watermarks in slots are therefore above it.
   if (position <= bucket.conservative_position) return;
   if (!Evict(bucket, oldest, position)) return;
   bucket.keys[oldest] = raw_key;
@@ -134,8 +134,8 @@
   return position != evicted;
 }
 
-SessionWatermarkTable::Known SessionWatermarkTable::Find(SessionKey key) const {
-  Known known;
+SessionWatermarkTable::LookupResult SessionWatermarkTable::Find(SessionKey key) const {
+  LookupResult known;
   if (base_) {
     const Bucket& bucket = BucketOf(key);
     for (std::size_t slot = 0; slot < kSlots; ++slot) {
--- a/src/consistency/session_watermark_table.h
+++ b/src/consistency/session_watermark_table.h
@@ -1,4 +1,4 @@
-// A table of the newest answered write of each session, in bounded memory.
+// A bounded table of the newest answered write of each session.
 #pragma once
 
 #include <array>
@@ -14,14 +14,15 @@
 
 namespace lynxgrade::consistency {
 
-// Maps session keys to watermarks in a flat table of buckets of a fixed size. A watermark that no longer fits
-// is evicted, which raises its bucket's conservative position: a session that is not found may have written
-// up to there. Eviction can therefore make a read wait for a newer replica, but never lets it see old data.
+// Maps session keys to watermarks in a flat table of fixed-size buckets. A watermark that no longer fits is
+// evicted, which raises the conservative position of its bucket: a session that is not found may have written
+// up to that position. Eviction can therefore make a read wait for a newer replica, but never lets it see old
+// data.
 //
 // Owns its memory. Not thread-safe; reads no clock.
 class SessionWatermarkTable {
  public:
-  // Holds about `sessions` watermarks at half load, and takes 16 bytes each at full load. Memory pages are
+  // Holds about `sessions` watermarks at half load and uses 16 bytes for each at full load. Memory pages are
   // touched only as the table fills. Throws std::bad_alloc.
   explicit SessionWatermarkTable(std::size_t sessions);
   ~SessionWatermarkTable();
@@ -30,24 +31,25 @@
   SessionWatermarkTable(SessionWatermarkTable&& other) noexcept;
   SessionWatermarkTable& operator=(SessionWatermarkTable&& other) noexcept;
 
-  // Keeps the newer of `watermark` and the known one. Positions are rounded up to whole milliseconds, counted
-  // from the first one noted. Amortised O(1); touches at most one bucket.
+  // Keeps the newer of `watermark` and the recorded one. Positions are stored relative to the first recorded
+  // one and rounded up to whole milliseconds. Amortised O(1); touches at most one bucket.
   void Record(SessionKey key, const WriteWatermark& watermark);
 
-  struct Known {
+  struct LookupResult {
     // The session's newest write, if it is known.
     std::optional<WriteWatermark> watermark;
-    // If `watermark` is absent, the session wrote no later than this, or not at all if this is absent too.
+    // If `watermark` is absent: the latest position at which the session may have written. If this is absent
+    // too, the session has not written.
     std::optional<LogPosition> conservative_position;
   };
-  Known Find(SessionKey key) const;
+  LookupResult Find(SessionKey key) const;
 
   // Calls `call(SessionKey, const WriteWatermark&)` for each watermark, in the table's order.
   template <typename Call>
   void ForEach(Call call) const {
     for (std::size_t bucket = 0; bucket < bucket_count_; ++bucket) ForEachInBucket(bucket, call);
   }
-  // The same for the bucket `index` alone, so that a caller can copy the table a part at a time.
+  // The same for one bucket, so that a caller can copy the table in parts.
   template <typename Call>
   void ForEachInBucket(std::size_t index, Call call) const {
     const Bucket& bucket = table_[index];
@@ -56,15 +58,16 @@
     }
   }
 
-  // The newest position evicted so far. Absent if none was.
+  // The newest position evicted so far. Absent if nothing was evicted.
   std::optional<LogPosition> newest_evicted() const { return newest_evicted_; }
-  // Any session whose own watermark is not known may have written up to `position`.
+  // Raises the conservative position of all buckets: any session without a watermark in the table may have
+  // written up to `position`.
   void RaiseConservativePosition(LogPosition position);
 
   std::size_t bucket_count() const { return bucket_count_; }
-  // Watermarks held.
+  // Number of watermarks in the table.
   std::size_t size() const { return size_; }
-  // Watermarks evicted so far.
+  // Number of watermarks evicted so far.
   std::uint64_t evicted() const { return evicted_; }
   std::size_t bytes() const { return bucket_count_ * sizeof(Bucket); }
 
@@ -86,15 +89,15 @@
   Bucket& BucketOf(SessionKey key) const;
   WriteWatermark WatermarkOf(const Bucket& bucket, std::size_t slot) const;
   LogPosition DecodePosition(std::uint32_t encoded) const;
-  // Rounds up. A position before the base becomes the first after it, which is later and so conservative.
+  // Rounds up. A position before the base is encoded as the first one after it: later, and so conservative.
   std::uint32_t EncodePosition(LogPosition position);
   std::uint16_t ServerIndexOf(const std::optional<ServerId>& server);
   // Moves the base forward by `units`.
   void Rebase(std::uint32_t units);
   // Replaces the slot's watermark if the given one is newer.
   static void RaiseSlot(Bucket& bucket, std::size_t slot, std::uint32_t position, std::uint16_t server_index);
-  // Evicts the older of the slot's watermark and one of `position`. Returns whether the slot is free for
-  // that.
+  // Evicts the older of the slot's watermark and a new one of `position`. Returns whether the slot is free
+  // for the new one.
   bool Evict(Bucket& bucket, std::size_t slot, std::uint32_t position);
 
   std::size_t bucket_count_;
--- a/src/consistency/unknown_writes.cpp
+++ b/src/consistency/unknown_writes.cpp
@@ -15,9 +15,11 @@
 }
 
 std::optional<TimePoint> UnknownWrites::ReplicatedThrough() const {
-  std::optional<TimePoint> least;
-  for (const auto& [peer, through] : replicated_through_) least = std::min(least.value_or(through), through);
-  return least;
+  std::optional<TimePoint> earliest;
+  for (const auto& [peer, through] : replicated_through_) {
+    earliest = std::min(earliest.value_or(through), through);
+  }
+  return earliest;
 }
 
 void UnknownWrites::AddInterval(std::uint64_t peer, const WriteInterval& interval) {
--- a/src/consistency/unknown_writes.h
+++ b/src/consistency/unknown_writes.h
@@ -1,4 +1,4 @@
-// Intervals of log positions in which writes may have been answered that this instance does not know.
+// Intervals of log positions in which writes unknown to this instance may have been answered.
 #pragma once
 
 #include <cstdint>
@@ -10,31 +10,34 @@
 
 namespace lynxgrade::consistency {
 
-// Tracks what this instance may have missed: writes before its own start, writes that peers have not
-// replicated to it yet, and writes that were lost on the way. Not thread-safe; reads no clock and does no
-// I/O.
+// Tracks the writes that this instance may not know: those before its own start, those that peers have not
+// replicated to it yet, and those whose watermarks were lost in transit. Not thread-safe; reads no clock and
+// does no I/O.
 class UnknownWrites {
  public:
-  // `write_retention`: how long after its answer a write is guarded; older intervals are dropped.
+  // `write_retention`: how long after its answer a write is guaranteed to be visible; older intervals are
+  // dropped.
   explicit UnknownWrites(Duration write_retention) : write_retention_(write_retention) {}
 
   // This instance started at `now` and recovered every write answered before `recovered_through` (absent:
   // none).
   void SetStart(TimePoint now, std::optional<TimePoint> recovered_through);
 
-  // `peer` answers writes, and all that it answered up to `through` are known here. Never moves backwards.
+  // Records that `peer` answers writes and that this instance knows those answered up to `through`. An
+  // earlier time than the recorded one has no effect.
   void SetReplicatedThrough(std::uint64_t peer, TimePoint through);
-  // `peer` has stopped answering writes.
+  // Records that `peer` has stopped answering writes.
   void RemovePeer(std::uint64_t peer) { replicated_through_.erase(peer); }
-  // Up to when the writes of all peers are known. Absent if there are no peers.
+  // The time up to which the writes of all peers are known. Absent if there are no peers.
   std::optional<TimePoint> ReplicatedThrough() const;
 
-  // Writes that `peer` answered in `interval` may stay unknown for good.
+  // Records that writes which `peer` answered in `interval` may never become known.
   void AddInterval(std::uint64_t peer, const WriteInterval& interval);
-  // All writes of `peer` in its intervals have become known.
+  // Removes the intervals of `peer`, whose writes have all become known.
   void RemoveIntervals(std::uint64_t peer);
 
-  // The intervals that matter to a read which arrived at `arrived`, each cut to what lies after `oldest`.
+  // The intervals that are relevant to a read which arrived at `arrived`, restricted to positions after
+  // `oldest`.
   std::vector<WriteInterval> Intervals(TimePoint oldest, TimePoint arrived) const;
 
  private:
--- a/src/consistency/write_watermark.h
+++ b/src/consistency/write_watermark.h
@@ -1,4 +1,4 @@
-// The newest answered write of a session, and how sessions are named between instances.
+// The newest answered write of a session, and the key that identifies a session between instances.
 #pragma once
 
 #include <cstdint>
@@ -21,8 +21,8 @@
 struct WriteWatermark {
   // Position of the write's commit in the primary's log.
   LogPosition position{};
-  // The data server that answered as primary. Absent if unknown; it is then treated as the server that would
-  // be least favourable to the session.
+  // The data server that answered the write as primary. Absent if unknown: a possible loss then applies
+  // whichever server it was.
   std::optional<ServerId> server{};
   bool operator==(const WriteWatermark&) const = default;
 };
--- a/src/lease/acknowledged_view.h
+++ b/src/lease/acknowledged_view.h
@@ -1,4 +1,4 @@
-// The membership view that this instance has acknowledged, and since when its knowledge of it is complete.
+// The membership view that this instance has acknowledged, and since when that view has been complete.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,33 @@
 
 namespace lynxgrade::lease {
 
-// What membership::QuorumTracker knows at one time.
-struct ViewAgreement {
+// A snapshot of what membership::QuorumTracker knows about the view.
+struct ViewStatus {
   // The view that this instance acknowledges to others. Zero: none.
   std::uint64_t view = 0;
-  // Whether it has a valid acknowledgement of that view from every instance that may answer writes, and the
-  // view contains all of them. Absent: not determined, so that nothing changes.
+  // Whether the view contains every instance that may answer writes, and this instance has a valid
+  // acknowledgement of the view from each of them. Absent: not evaluated; the last value stays.
   std::optional<bool> complete{};
   // The instances of the view that manage leases; may include this one.
   std::span<const IncarnationId> managers{};
 };
 
-// Keeps the last acknowledged view and the times that lease rules depend on. Not thread-safe; reads no clock.
+// Keeps the last acknowledged view and the times on which the lease rules depend. Not thread-safe; reads no
+// clock.
 class AcknowledgedView {
  public:
-  // Returns whether the acknowledged view is another one now.
-  bool Update(TimePoint now, const ViewAgreement& agreement);
+  // Returns whether the acknowledged view has changed.
+  bool Update(TimePoint now, const ViewStatus& status);
 
-  // Zero: this incarnation has acknowledged none.
+  // Zero: this incarnation has not acknowledged any view.
   std::uint64_t view() const { return view_; }
   bool exists() const { return view_ != 0; }
   TimePoint acknowledged_at() const { return acknowledged_at_; }
   const std::vector<IncarnationId>& managers() const { return managers_; }
   bool complete() const { return complete_; }
-  // Since when it has been complete without a break. Meaningful while it is complete.
+  // Since when the view has been complete without interruption. Valid only while it is complete.
   TimePoint complete_since() const { return complete_since_; }
-  // When it was first complete. Meaningful while it is complete.
+  // When the view was first complete. Valid only while it is complete.
   TimePoint first_complete() const { return first_complete_; }
 
  private:
--- a/src/lease/bandwidth_budget.h
+++ b/src/lease/bandwidth_budget.h
@@ -1,4 +1,4 @@
-// A token bucket over the bytes that this instance sends and receives for control.
+// A token bucket for the bytes of control traffic that this instance sends and receives.
 #pragma once
 
 #include <algorithm>
@@ -8,15 +8,15 @@
 
 namespace lynxgrade::lease {
 
-// Decides whether traffic that can be deferred is within the budget. Traffic that cannot be deferred is
-// recorded too and may overdraw it. Not thread-safe; reads no clock.
+// Decides whether deferrable traffic is within the budget. Traffic that cannot be deferred is recorded as
+// well and may overdraw the budget. Not thread-safe; reads no clock.
 class BandwidthBudget {
  public:
-  // `bytes_per_s` of zero: there is no budget, and everything is allowed.
+  // A `bytes_per_s` of zero disables the budget: everything is allowed.
   BandwidthBudget(double bytes_per_s, TimePoint now)
       : bytes_per_s_(bytes_per_s), available_bytes_(bytes_per_s * kBurstSeconds), refilled_at_(now) {}
 
-  // Records bytes that were sent or received, whether they could have been deferred or not.
+  // Records bytes that were sent or received, deferrable or not.
   void Spend(TimePoint now, std::size_t bytes) {
     Refill(now);
     available_bytes_ =
@@ -27,17 +27,17 @@
     Refill(now);
     return bytes_per_s_ <= 0 || available_bytes_ >= static_cast<double>(bytes);
   }
-  // Whether less than half of the burst is left, so that messages should be batched.
+  // Whether less than half of the burst is left. Messages should then be batched.
   bool IsLow(TimePoint now) {
     Refill(now);
     return bytes_per_s_ > 0 && available_bytes_ < bytes_per_s_ * kBurstSeconds / 2;
   }
 
  private:
-  // Longer than a period of membership, which sends in bursts; short enough that no second exceeds its budget
-  // by much.
+  // Longer than the probe interval of membership, which sends in bursts; short enough that no second exceeds
+  // the budget by much.
   static constexpr double kBurstSeconds = 0.5;
-  // A burst that could not be deferred does not hold back reads for longer than this.
+  // Bounds how long traffic that could not be deferred suppresses lease requests for reads.
   static constexpr double kMaxOverdraftSeconds = 2;
 
   void Refill(TimePoint now) {
--- a/src/lease/lease_message.h
+++ b/src/lease/lease_message.h
@@ -1,4 +1,4 @@
-// Messages that instances exchange about session leases. Plain data; src/replication encodes it.
+// The messages about session leases that instances exchange. Plain data; src/replication encodes them.
 #pragma once
 
 #include <cstdint>
@@ -12,37 +12,38 @@
 namespace lynxgrade::lease {
 
 struct LeaseMessage {
-  // The numbers are those of the wire.
+  // The values are those of proto::LeaseBatch::Kind on the wire.
   enum class Kind {
     kAcquire,  // to the lease manager: requests the lease
-    kGrant,    // to the requester: it holds the lease
-    kRevoke,   // to the lease holder: it must release the lease
-    kRelease,  // to the lease manager: the lease is not held, with the newest known write
+    kGrant,    // to the requester: grants the lease
+    kRevoke,   // to the lease holder: requests the release of the lease
+    kRelease,  // to the lease manager: the sender does not hold the lease; carries the newest known write
   };
   Kind kind = Kind::kAcquire;
-  // The membership view under which the receiver or sender manages the key.
+  // The membership view under which the receiver or the sender is the manager of the key.
   std::uint64_t view = 0;
   consistency::SessionKey key{};
   GroupId group{};
-  // kAcquire, kGrant: identifies the request; assigned by the requester and never reused.
+  // kAcquire, kGrant: id of the request; assigned by the requester and never reused.
   std::uint64_t request_id = 0;
-  // kGrant, kRevoke, kRelease: identifies the grant; assigned by the manager in ascending order.
+  // kGrant, kRevoke, kRelease: id of the grant; assigned by the manager in ascending order.
   std::uint64_t grant_number = 0;
-  // kGrant: the manager's view is complete, and it may not know writes that were answered longer than this
-  // before it sent the grant. Absent: the lease allows answering writes only.
+  // kGrant: age of the conservative position when the grant was sent. The manager knows all writes that were
+  // answered after that position. Absent if the manager's view is not complete: the lease then allows
+  // answering writes, but does not prove that all writes are known.
   std::optional<Duration> conservative_age{};
   // kGrant, kRelease: the newest known write of the session.
   std::optional<consistency::WriteWatermark> watermark{};
-  // kGrant, kRelease: watermarks up to here may have been evicted by the sender.
+  // kGrant, kRelease: the sender may have evicted watermarks up to this position.
   std::optional<LogPosition> evicted_through{};
 };
 
 struct OutgoingLeaseMessage {
   IncarnationId receiver = 0;
   LeaseMessage message;
-  // How often it has been sent without a response, this time included.
+  // Number of times it has been sent without a response, including this time.
   int attempts = 1;
-  // Bandwidth is low: the message may be delayed to share a packet with others.
+  // Bandwidth is low: the message may be delayed so that it shares a packet with others.
   bool may_batch = false;
 };
 using LeaseOutbox = std::vector<OutgoingLeaseMessage>;
--- a/src/lease/lease_message_relay.cpp
+++ b/src/lease/lease_message_relay.cpp
@@ -22,7 +22,8 @@
 
 void LeaseMessageRelay::SendToManager(TimePoint now, const OutgoingLeaseMessage& outgoing, Hops& out) {
   Hop hop{outgoing.receiver, outgoing.message, outgoing.attempts};
-  // The release of a lease of another view goes to the key's manager in that view, which is not known here.
+  // A release under another view goes directly to its receiver: whether that manages the key in the other
+  // view cannot be checked here.
   const bool manages_key = outgoing.message.view == view_ &&
                            outgoing.receiver == SelectLeaseManager(outgoing.message.key, managers_);
   if (!outgoing.may_batch || relay_ == 0 || !manages_key) return out.push_back(hop);
@@ -34,8 +35,8 @@
 void LeaseMessageRelay::SendToHolder(TimePoint now, const OutgoingLeaseMessage& outgoing, Hops& out) {
   Hop hop{outgoing.receiver, outgoing.message, outgoing.attempts};
   const auto route = routes_.find(outgoing.receiver);
-  // A retry goes directly: the relay may be gone.
-  if (route == routes_.end() || now > route->second.until || outgoing.attempts > 1 ||
+  // A retry is sent directly, as the relay may have failed.
+  if (route == routes_.end() || now > route->second.expires || outgoing.attempts > 1 ||
       outgoing.message.view != view_) {
     return out.push_back(hop);
   }
@@ -50,7 +51,7 @@
 IncarnationId LeaseMessageRelay::Receive(TimePoint now, IncarnationId sender, const Hop& hop, Hops& out) {
   const LeaseMessage& message = hop.message;
   if (hop.via_relay || hop.relay_to != 0) {
-    // An instance of another view selects other managers. What is dropped is retried, and then directly.
+    // An instance of another view selects other managers. A dropped message is retried, then directly.
     const IncarnationId manager = message.view == view_ ? SelectLeaseManager(message.key, managers_) : 0;
     if (manager == 0) return Drop();
     if (hop.via_relay) return ReceiveViaRelay(now, sender, message, manager, out);
@@ -81,7 +82,7 @@
 
 IncarnationId LeaseMessageRelay::ReceiveToRelay(TimePoint now, IncarnationId sender, const Hop& hop,
                                                 IncarnationId manager) {
-  // The receiver will take it for a message of the key's manager.
+  // The receiver attributes a relayed message to the key's manager, so only that manager may send one.
   if (manager != sender || IsForManager(hop.message)) return Drop();
   ++counts_.relayed;
   Hop next{hop.relay_to, hop.message};
@@ -108,9 +109,9 @@
     std::ranges::move(item.second.hops, std::back_inserter(out));
     return true;
   });
-  if (now - routes_expired_at_ < kRouteLifetime) return;
-  routes_expired_at_ = now;
-  std::erase_if(routes_, [now](const auto& item) { return now > item.second.until; });
+  if (now - last_route_expiry_ < kRouteLifetime) return;
+  last_route_expiry_ = now;
+  std::erase_if(routes_, [now](const auto& item) { return now > item.second.expires; });
 }
 
 }  // namespace lynxgrade::lease
--- a/src/lease/read_request_limiter.cpp
+++ b/src/lease/read_request_limiter.cpp
@@ -5,7 +5,7 @@
 namespace lynxgrade::lease {
 
 ReadRequestLimiter::Decision ReadRequestLimiter::Admit(TimePoint now, std::size_t pending_requests) {
-  // Pending requests will have a response, whose bytes are not recorded yet.
+  // The responses to pending requests are not recorded yet, so their bytes are added here.
   if (!budget_.Allows(now, kBytesPerRequest * (pending_requests + 1))) return Decision::kOverBudget;
   return ConsumeToken(now) ? Decision::kAdmitted : Decision::kOverRate;
 }
--- a/src/lease/rendezvous_hash.h
+++ b/src/lease/rendezvous_hash.h
@@ -1,4 +1,4 @@
-// Rendezvous hashing: which instance of a view manages the lease of a session key.
+// Rendezvous hashing, which selects the instance of a view that manages the lease of a session key.
 // Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace lynxgrade::lease {
 
-// One run of an instance's process: a random number, never zero.
+// Identifies one run of an instance's process: a random number, never zero.
 using IncarnationId = std::uint64_t;
 
 // Returns the candidate with the highest weight for `key`, or zero if there are no candidates. The order of
--- a/src/lease/session_lease_client.cpp
+++ b/src/lease/session_lease_client.cpp
@@ -14,13 +14,13 @@
 
 // ---- The acknowledged view ----------------------------------------------------------------------------
 
-void SessionLeaseClient::UpdateView(TimePoint now, const ViewAgreement& agreement) {
-  if (!view_.Update(now, agreement)) return;
+void SessionLeaseClient::UpdateView(TimePoint now, const ViewStatus& status) {
+  if (!view_.Update(now, status)) return;
   leases_.clear();
   requests_.clear();
 }
 
-std::optional<TimePoint> SessionLeaseClient::CompleteSince(std::uint64_t view) const {
+std::optional<TimePoint> SessionLeaseClient::ViewCompleteSince(std::uint64_t view) const {
   if (!view_.complete() || view != view_.view()) return std::nullopt;
   return options_.manager_requires_unbroken_view ? view_.complete_since() : view_.first_complete();
 }
@@ -30,7 +30,7 @@
   return options_.wait_after_start && !options_.single_instance && now - started_ <= BindingDuration();
 }
 
-// ---- The leases held ----------------------------------------------------------------------------------
+// ---- Held leases --------------------------------------------------------------------------------------
 
 const SessionLeaseClient::Lease* SessionLeaseClient::FindLease(TimePoint now,
                                                                consistency::SessionKey key) const {
@@ -46,23 +46,24 @@
   return !IsBoundByView(now) || FindLease(now, key) != nullptr;
 }
 
-std::optional<LogPosition> SessionLeaseClient::CompleteThrough(TimePoint now,
-                                                               consistency::SessionKey key) const {
+std::optional<LogPosition> SessionLeaseClient::AllWritesKnownAfter(TimePoint now,
+                                                                   consistency::SessionKey key) const {
   if (!view_.complete()) return std::nullopt;
   const Lease* lease = FindLease(now, key);
-  if (lease == nullptr || !lease->completeness) return std::nullopt;
-  if (options_.require_unbroken_view && lease->completeness->requested_at < view_.complete_since()) {
+  if (lease == nullptr || !lease->proof) return std::nullopt;
+  if (options_.require_unbroken_view && lease->proof->requested_at < view_.complete_since()) {
     return std::nullopt;
   }
-  return lease->completeness->conservative_position;
+  return lease->proof->conservative_position;
 }
 
 bool SessionLeaseClient::IsLeaseSufficient(TimePoint now, consistency::SessionKey key, Use use) const {
   const Lease* lease = FindLease(now, key);
   if (lease == nullptr) return false;
   const bool recent = now - lease->requested_at < options_.manager.lease_duration * 2 / 3;
-  // A lease that is good for writes alone is requested again once a grant could tell more.
-  return recent && (use == Use::kWrite || CompleteThrough(now, key) || !view_.complete());
+  // A lease without a proof of completeness is requested again once the view is complete, when a grant can
+  // contain one.
+  return recent && (use == Use::kWrite || AllWritesKnownAfter(now, key) || !view_.complete());
 }
 
 // ---- Requests -----------------------------------------------------------------------------------------
@@ -70,23 +71,23 @@
 bool SessionLeaseClient::AcquireLease(TimePoint now, GroupId group, consistency::SessionKey key, Use use,
                                       LeaseOutbox& out) {
   if (!IsBoundByView(now) || !view_.exists()) return false;  // without a view there is no manager
-  const TimePoint until = now + (use == Use::kWrite ? kWriteRequestLifetime : kReadRequestLifetime);
+  const TimePoint expires = now + (use == Use::kWrite ? kWriteRequestLifetime : kReadRequestLifetime);
   if (const auto pending = requests_.find(key); pending != requests_.end()) {
-    pending->second.until = std::max(pending->second.until, until);
+    pending->second.expires = std::max(pending->second.expires, expires);
     return true;
   }
   if (IsLeaseSufficient(now, key, use)) return false;
   if (use == Use::kRead && !AdmitReadRequest(now, key)) return false;
   PendingRequest& request = requests_[key];
-  request = {++last_request_id_, group, now, now, kInitialBackoff, 0, until};
-  // Over a third instance there are two round trips, and each message may be delayed.
-  if (MayBatch(now)) request.backoff = kInitialBackoff * 2 + options_.batching_delay * kMessagesPerMove;
+  request = {++last_request_id_, group, now, now, kInitialBackoff, 0, expires};
+  // A transfer from another holder takes two round trips, and each message may be delayed by batching.
+  if (MayBatch(now)) request.backoff = kInitialBackoff * 2 + options_.batching_delay * kMessagesPerTransfer;
   SendRequest(now, key, request, out);
   return true;
 }
 
 bool SessionLeaseClient::AdmitReadRequest(TimePoint now, consistency::SessionKey key) {
-  // While this instance's own view is incomplete, no grant helps a read.
+  // While this instance's own view is not complete, a grant is of no use to a read.
   if (!view_.complete()) return false;
   if (SelectLeaseManager(key, view_.managers()) == options_.self) return true;
   const ReadRequestLimiter::Decision decision = read_limiter_.Admit(now, requests_.size());
@@ -109,8 +110,9 @@
 }
 
 void SessionLeaseClient::Tick(TimePoint now, LeaseOutbox& out) {
-  std::erase_if(requests_, [&](const auto& item) { return item.second.until < now; });
-  // Collected first: a request to this instance itself may be granted at once, which removes it.
+  std::erase_if(requests_, [&](const auto& item) { return item.second.expires < now; });
+  // Collected before sending: if this instance is the manager, the request may be granted and removed at
+  // once.
   std::vector<consistency::SessionKey> due;
   for (const auto& [key, request] : requests_) {
     if (now >= request.next_attempt) due.push_back(key);
@@ -119,8 +121,8 @@
     const auto it = requests_.find(key);
     if (it != requests_.end()) SendRequest(now, key, it->second, out);
   }
-  if (now - expired_at_ < kExpiryInterval) return;
-  expired_at_ = now;
+  if (now - last_expiry_ < kExpiryInterval) return;
+  last_expiry_ = now;
   manager_.RemoveExpired(now);
   std::erase_if(leases_, [&](const auto& item) {
     return now - item.second.requested_at >= options_.manager.lease_duration;
@@ -139,7 +141,7 @@
   LeaseOutbox responses;
   switch (message.kind) {
     case LeaseMessage::Kind::kAcquire:
-      manager_.HandleAcquire(now, sender, message, CompleteSince(message.view), responses);
+      manager_.HandleAcquire(now, sender, message, ViewCompleteSince(message.view), responses);
       break;
     case LeaseMessage::Kind::kGrant:
       HandleGrant(now, sender, message);
@@ -148,43 +150,44 @@
       HandleRevoke(now, sender, message, responses);
       break;
     case LeaseMessage::Kind::kRelease:
-      manager_.HandleRelease(now, sender, message, CompleteSince(message.view), responses);
+      manager_.HandleRelease(now, sender, message, ViewCompleteSince(message.view), responses);
       break;
   }
   for (const OutgoingLeaseMessage& response : responses) Send(now, response, out);
 }
 
 void SessionLeaseClient::HandleGrant(TimePoint now, IncarnationId sender, const LeaseMessage& grant) {
-  if (grant.watermark) watermarks_.Learn(grant.key, *grant.watermark);
+  if (grant.watermark) watermarks_.RecordWatermark(grant.key, *grant.watermark);
   if (grant.view != view_.view()) return;
   const auto pending = requests_.find(grant.key);
   const bool requested = pending != requests_.end() && pending->second.request_id == grant.request_id;
-  // Otherwise the request was given up, cancelled by a revocation, or has been granted.
+  // Otherwise the request has expired, was cancelled by a revocation, or has been granted before.
   if (!requested && options_.revocation_cancels_request) return;
   if (sender != SelectLeaseManager(grant.key, view_.managers())) return;
   const TimePoint requested_at = pending != requests_.end() ? pending->second.requested_at : now;
   if (pending != requests_.end()) requests_.erase(pending);
   ++counts_.grants;
   if (grant.conservative_age) ++counts_.complete_grants;
-  // Any lease may be dropped at any time; an instance that lacks one requests it.
+  // Any lease may be dropped at any time: it is requested again when it is needed.
   if (leases_.size() >= options_.lease_capacity && !leases_.contains(grant.key))
     leases_.erase(leases_.begin());
-  const Lease lease{grant.grant_number, requested_at, CompletenessOf(now, grant, requested_at)};
+  const Lease lease{grant.grant_number, requested_at, ProofFrom(now, grant, requested_at)};
   leases_[grant.key] = lease;
 }
 
-std::optional<SessionLeaseClient::Completeness> SessionLeaseClient::CompletenessOf(
+std::optional<SessionLeaseClient::CompletenessProof> SessionLeaseClient::ProofFrom(
     TimePoint now, const LeaseMessage& grant, TimePoint requested_at) const {
   if (grant.conservative_age) {
-    // The grant was sent before now, so its conservative position lies further back, by a clock that runs
-    // within a tenth of this one.
+    // The age was measured when the grant was sent, by a clock that runs within a tenth of this one. Counting
+    // nine tenths of it back from now yields the manager's position or a later one, which is conservative.
     LogPosition position = now - *grant.conservative_age + *grant.conservative_age / 10;
     if (grant.evicted_through) position = std::max(position, *grant.evicted_through);
-    return Completeness{requested_at, position};
+    return CompletenessProof{requested_at, position};
   }
-  // If the former lease still runs, nobody else has answered writes since the grant that proved it.
+  // If the former lease has not expired, no other instance has answered writes since the grant that proved
+  // it.
   const Lease* former = FindLease(now, grant.key);
-  return former != nullptr ? former->completeness : std::nullopt;
+  return former != nullptr ? former->proof : std::nullopt;
 }
 
 void SessionLeaseClient::HandleRevoke(TimePoint now, IncarnationId sender, const LeaseMessage& revoke,
@@ -192,10 +195,10 @@
   if (revoke.view == view_.view()) {
     const auto lease = leases_.find(revoke.key);
     if (lease != leases_.end()) {
-      if (lease->second.grant_number > revoke.grant_number) return;  // of an earlier grant, received late
+      if (lease->second.grant_number > revoke.grant_number) return;  // delayed, for an earlier grant
       leases_.erase(lease);
     }
-    // The revoked grant may still be on its way; it must not match the pending request.
+    // The revoked grant may still be in transit; it must not match the pending request.
     const auto pending = requests_.find(revoke.key);
     if (pending != requests_.end() && options_.revocation_cancels_request) {
       pending->second.request_id = ++last_request_id_;
@@ -203,7 +206,7 @@
     }
   }
   ++counts_.revocations;
-  const consistency::SessionWatermarkTable::Known known = watermarks_.Newest(revoke.key);
+  const consistency::SessionWatermarkTable::LookupResult known = watermarks_.FindWatermark(revoke.key);
   LeaseMessage release{LeaseMessage::Kind::kRelease, revoke.view, revoke.key, revoke.group};
   release.grant_number = revoke.grant_number;
   release.watermark = known.watermark;
--- a/src/lease/session_lease_manager.cpp
+++ b/src/lease/session_lease_manager.cpp
@@ -5,7 +5,7 @@
 namespace lynxgrade::lease {
 namespace {
 
-constexpr Duration kMakeRoomInterval{100000};  // a full table is not scanned for every request
+constexpr Duration kEvictionInterval{100000};  // avoids a scan of a full table for every request
 
 }  // namespace
 
@@ -23,7 +23,7 @@
   }
   if (entry->holder != 0 && entry->holder != requester) {
     if (now < entry->expires && options_.revoke_before_grant) return Revoke(request, *entry, out);
-    // The holder may have answered writes until its lease expired, and never released it.
+    // The holder has not released the lease and may have answered writes until it expired.
     ++counts_.expired;
     if (options_.expiry_is_conservative) {
       entry->conservative_position =
@@ -36,7 +36,7 @@
 SessionLeaseManager::Entry* SessionLeaseManager::FindOrAddEntry(TimePoint now, const EntryKey& entry_key) {
   const auto found = table_.find(entry_key);
   if (found != table_.end()) return &found->second;
-  if (table_.size() >= options_.entry_capacity && !MakeRoom(now)) return nullptr;
+  if (table_.size() >= options_.entry_capacity && !EvictExpired(now)) return nullptr;
   Entry& entry = table_[entry_key];
   entry.conservative_position = evicted_conservative_position_;
   return &entry;
@@ -91,7 +91,7 @@
   const auto it = table_.find(entry_key);
   if (it == table_.end()) return;
   Entry& entry = it->second;
-  MergeRelease(entry, release);  // knowing more writes does no harm, whichever grant is released
+  MergeRelease(entry, release);  // a known write is valid whichever grant is released
   if (entry.holder != holder || entry.grant_number != release.grant_number) return;
   entry.holder = 0;
   entry.expires = now;
@@ -105,14 +105,14 @@
                 [&](const auto& item) { return item.second.expires + options_.write_retention < now; });
 }
 
-bool SessionLeaseManager::MakeRoom(TimePoint now) {
-  if (now - made_room_at_ < kMakeRoomInterval) return false;
-  made_room_at_ = now;
+bool SessionLeaseManager::EvictExpired(TimePoint now) {
+  if (now - last_eviction_ < kEvictionInterval) return false;
+  last_eviction_ = now;
   std::erase_if(table_, [&](const auto& item) {
     const Entry& entry = item.second;
     if (now < entry.expires) return false;
-    // The next request for this key takes the end of the evicted lease as its conservative position, and so
-    // does that for any other key without an entry.
+    // New entries, for this key and any other, start with the end of the evicted lease as their conservative
+    // position.
     const TimePoint through = std::max(entry.expires, entry.conservative_position.value_or(entry.expires));
     evicted_conservative_position_ = std::max(evicted_conservative_position_.value_or(through), through);
     ++counts_.evicted;
--- a/src/replication/datagram_authenticator.cpp
+++ b/src/replication/datagram_authenticator.cpp
@@ -10,14 +10,14 @@
 namespace lynxgrade::replication {
 namespace {
 
-// A datagram: format, number of the key, authentication code, packet.
+// Layout of a datagram: format (1 byte), key number (1 byte), authentication code, packet.
 constexpr char kFormat = 1;
 constexpr std::size_t kCodeOffset = 2;
 constexpr std::size_t kCodeSize = 16;
 constexpr std::size_t kHeaderSize = kCodeOffset + kCodeSize;
 constexpr std::uint32_t kProtocolVersion = 1;
 
-// Over the format, the number of the key and the packet.
+// The authentication code covers the format, the key number and the packet.
 std::array<char, kCodeSize> AuthenticationCode(const SharedKey& key, std::string_view packet) {
   std::string text{kFormat, static_cast<char>(key.number)};
   text += packet;
@@ -32,7 +32,7 @@
 
 bool HasRequiredFields(const proto::Packet& packet) {
   if (packet.sender().incarnation_id() == 0 || packet.counter() == 0) return false;
-  // A packet of lease messages alone does not name its sender.
+  // A packet that only carries lease messages does not name its sender.
   return !packet.sender().name().empty() || packet.has_lease_batch();
 }
 
@@ -94,7 +94,7 @@
 
 bool DatagramAuthenticator::AcceptCounter(const proto::Packet& packet) {
   const std::uint64_t sender = packet.sender().incarnation_id();
-  // Only holders of a key get here; the bound is for an instance that restarts again and again.
+  // Only holders of a key reach this point. The limit bounds memory if an instance restarts continually.
   if (windows_.size() >= kMaxSenders && !windows_.contains(sender)) windows_.clear();
   ReplayWindow& window = windows_[sender];
   const std::uint64_t counter = packet.counter();
--- a/src/replication/engine_options.cpp
+++ b/src/replication/engine_options.cpp
@@ -7,12 +7,12 @@
 namespace lynxgrade::replication {
 namespace {
 
-// Leases that an instance manages and holds at least, whatever the capacity of the watermark table: 15 MB
-// when full, 150 bytes a managed lease and 72 a held one.
+// Minimum capacity for managed and for held leases, whatever the capacity of the watermark table: 15 MB when
+// full, at 150 bytes per managed and 72 bytes per held lease.
 constexpr std::size_t kMinLeases = 65536;
-// A dedicated manager's: of 410 poolers that each meet 17 sessions a second for the first time, leases being
-// kept for some 63 s, seven managers have 63,000 each, half as many more in the busiest second, and each of
-// three that are left 146,000. 39 MB when full.
+// The same for a dedicated manager: 39 MB when full. Sized for 410 poolers that each see 17 new sessions per
+// second, with leases kept for about 63 s: each of seven managers then has 63,000 leases, 1.5 times as many
+// in the busiest second, and 146,000 if only three managers remain.
 constexpr std::size_t kMinLeasesOfDedicatedManager = 262144;
 
 lease::SessionLeaseClient::Options LeaseOptionsFrom(
@@ -55,13 +55,15 @@
   return options;
 }
 
-void WarnOfUnsafeSettings(const ReplicationSettings& settings) {
+void WarnAboutUnsafeSettings(const ReplicationSettings& settings) {
   const bool uses_leases = settings.mode != ReplicationMode::kBroadcast;
   if (uses_leases && settings.mode != ReplicationMode::kLeases) {
-    spdlog::warn("peers: writes do not wait for session leases: reads may miss writes");
+    spdlog::warn("peers: writes do not wait for session leases; read-your-writes reads may miss writes");
   }
   if (settings.quorum_evidence == QuorumEvidence::kMembershipAlone) {
-    spdlog::warn("peers: quorum is not proven: two parts of the fleet may both claim the majority");
+    spdlog::warn(
+        "peers: quorum is not proven by acknowledgements; two partitions of the fleet may both assume a "
+        "majority");
   }
 }
 
--- a/src/replication/engine_options.h
+++ b/src/replication/engine_options.h
@@ -1,4 +1,4 @@
-// The options of the replication engine that follow from the program's settings.
+// Derives the options of the replication engine from the program's settings.
 #pragma once
 
 #include "consistency/session_consistency_guard.h"
@@ -7,15 +7,15 @@
 
 namespace lynxgrade::replication {
 
-// Which subjects an engine replicates; kMembershipOnly serves measurements.
+// What an engine replicates. kMembershipOnly is for measurements.
 enum class ReplicationScope { kAll, kMembershipOnly };
 
 ReplicationEngine::Options EngineOptionsFrom(const ReplicationSettings& settings,
                                              const consistency::SessionConsistencyGuard& consistency_guard,
                                              ReplicationScope scope);
-// The number of instances of the fleet by the settings, which name all others.
+// The number of instances in the fleet: the settings list all others as seeds.
 inline std::size_t FleetSize(const ReplicationSettings& settings) { return 1 + settings.seeds.size(); }
-// Warns of settings that give up a guarantee.
-void WarnOfUnsafeSettings(const ReplicationSettings& settings);
+// Logs a warning for each setting that gives up a guarantee.
+void WarnAboutUnsafeSettings(const ReplicationSettings& settings);
 
 }  // namespace lynxgrade::replication
--- a/src/replication/incarnation_table.cpp
+++ b/src/replication/incarnation_table.cpp
@@ -5,8 +5,9 @@
 
 namespace lynxgrade::replication {
 
-void IncarnationTable::Update(const std::string& name, const proto::Member& member, LeaseUse lease_use) {
-  if (lease_use == LeaseUse::kLeases) lease_users_.insert(member.incarnation_id());
+void IncarnationTable::Update(const std::string& name, const proto::Member& member,
+                              LeaseSupport lease_support) {
+  if (lease_support == LeaseSupport::kLeases) lease_users_.insert(member.incarnation_id());
   const lease::IncarnationId former = std::exchange(incarnation_ids_[name], member.incarnation_id());
   if (former != member.incarnation_id()) addresses_.erase(former);
   addresses_[member.incarnation_id()] = member.address();
@@ -19,7 +20,7 @@
   incarnation_ids_.erase(found);
 }
 
-void IncarnationTable::Prune(const std::vector<lease::IncarnationId>& view) {
+void IncarnationTable::PruneLeaseUsers(const std::vector<lease::IncarnationId>& view) {
   if (lease_users_.size() <= kMaxLeaseUsers) return;
   std::erase_if(lease_users_, [&view](lease::IncarnationId incarnation_id) {
     return !std::ranges::binary_search(view, incarnation_id);
--- a/src/replication/incarnation_table.h
+++ b/src/replication/incarnation_table.h
@@ -1,7 +1,7 @@
-// Where each incarnation is reached, and which of them take part in session leases, also after they were
-// replaced.
+// Maps incarnations to addresses, and records which incarnations use session leases, including those that
+// have been replaced.
 //
-// Owns the two tables; PeerLinks keeps them as membership changes. No clock, no I/O.
+// Owns both tables; PeerLinks updates them when membership changes. No clock, no I/O.
 #pragma once
 
 #include <cstdint>
@@ -17,23 +17,24 @@
 
 class IncarnationTable {
  public:
-  // Takes over a member as it is known now.
-  enum class LeaseUse { kNone, kLeases };
-  void Update(const std::string& name, const proto::Member& member, LeaseUse lease_use);
-  // The member is forgotten.
+  enum class LeaseSupport { kNone, kLeases };
+  // Applies the current entry of a member.
+  void Update(const std::string& name, const proto::Member& member, LeaseSupport lease_support);
+  // Removes the address of a member that membership has dropped.
   void Remove(const std::string& name);
-  // Bounds the incarnations that use leases: above the bound only those in `view`, ascending, are kept.
-  void Prune(const std::vector<lease::IncarnationId>& view);
+  // Bounds the set of incarnations that use leases: above the limit only those in `view`, which must be
+  // sorted in ascending order, are kept.
+  void PruneLeaseUsers(const std::vector<lease::IncarnationId>& view);
 
-  // Null where no member has this incarnation now.
+  // Null if no member has this incarnation now.
   const std::string* AddressOf(lease::IncarnationId incarnation_id) const;
-  // A view may still name an incarnation that has been replaced.
+  // Also true for a replaced incarnation, which a view may still contain.
   bool UsesLeases(lease::IncarnationId incarnation_id) const { return lease_users_.contains(incarnation_id); }
 
  private:
   static constexpr std::size_t kMaxLeaseUsers = 8192;
 
-  std::unordered_map<std::string, lease::IncarnationId> incarnation_ids_;  // by name of the member
+  std::unordered_map<std::string, lease::IncarnationId> incarnation_ids_;  // by member name
   std::unordered_map<lease::IncarnationId, std::string> addresses_;
   std::set<lease::IncarnationId> lease_users_;
 };
--- a/src/replication/lease_transport.cpp
+++ b/src/replication/lease_transport.cpp
@@ -10,10 +10,9 @@
 namespace lynxgrade::replication {
 namespace {
 
-// A message that was sent so often without an answer is sent through another peer as well: the link may be
-// cut.
-constexpr int kDirectAttempts = 3;
-// An incarnation whose packet came through another peer is answered through it for so long.
+// From this attempt on a message is also sent through another peer, as the direct link may be down.
+constexpr int kFirstDetourAttempt = 3;
+// How long an incarnation whose packet came through another peer is also answered through that peer.
 constexpr Duration kDetourLifetime{2000000};
 
 lease::SessionLeaseClient::Options ClientOptions(lease::SessionLeaseClient::Options options,
@@ -38,13 +37,13 @@
 
 }  // namespace
 
-consistency::SessionWatermarkTable::Known LeaseTransport::GuardWatermarks::Newest(
+consistency::SessionWatermarkTable::LookupResult LeaseTransport::GuardWatermarks::FindWatermark(
     consistency::SessionKey key) const {
   return consistency_guard_.watermark_table().Find(key);
 }
 
-void LeaseTransport::GuardWatermarks::Learn(consistency::SessionKey key,
-                                            const consistency::WriteWatermark& watermark) {
+void LeaseTransport::GuardWatermarks::RecordWatermark(consistency::SessionKey key,
+                                                      const consistency::WriteWatermark& watermark) {
   consistency_guard_.LearnWatermark(std::nullopt, key, watermark);
 }
 
@@ -63,7 +62,7 @@
       bootstrap_(links, consistency_guard) {}
 
 void LeaseTransport::Tick(TimePoint now, Outbox& outbox) {
-  view_.Update(now, LeaseView::Completeness::kSkip);
+  view_.Update(now, LeaseView::CompletenessCheck::kSkip);
   lease::LeaseOutbox messages;
   client_.Tick(now, messages);
   SendMessages(now, messages, outbox);
@@ -73,31 +72,31 @@
   bootstrap_.Tick(now, outbox);
 }
 
-std::optional<LogPosition> LeaseTransport::CompleteThrough(TimePoint now, consistency::SessionKey key) {
-  view_.Update(now, LeaseView::Completeness::kCheck);
-  return client_.CompleteThrough(now, key);
+std::optional<LogPosition> LeaseTransport::AllWritesKnownAfter(TimePoint now, consistency::SessionKey key) {
+  view_.Update(now, LeaseView::CompletenessCheck::kRun);
+  return client_.AllWritesKnownAfter(now, key);
 }
 
 bool LeaseTransport::MayAnswerWrite(TimePoint now, consistency::SessionKey key) {
-  view_.Update(now, LeaseView::Completeness::kSkip);
+  view_.Update(now, LeaseView::CompletenessCheck::kSkip);
   return client_.MayAnswerWrite(now, key);
 }
 
-bool LeaseTransport::MayServe(TimePoint now) {
-  view_.Update(now, LeaseView::Completeness::kSkip);
+bool LeaseTransport::MayServeRequests(TimePoint now) {
+  view_.Update(now, LeaseView::CompletenessCheck::kSkip);
   return client_.HasAcknowledgedView() || !client_.IsBoundByView(now);
 }
 
-bool LeaseTransport::Acquire(TimePoint now, GroupId group, consistency::SessionKey key,
-                             lease::SessionLeaseClient::Use use, Outbox& outbox) {
-  view_.Update(now, LeaseView::Completeness::kCheck);
+bool LeaseTransport::AcquireLease(TimePoint now, GroupId group, consistency::SessionKey key,
+                                  lease::SessionLeaseClient::Use use, Outbox& outbox) {
+  view_.Update(now, LeaseView::CompletenessCheck::kRun);
   lease::LeaseOutbox messages;
   const bool expected = client_.AcquireLease(now, group, key, use, messages);
   SendMessages(now, messages, outbox);
   return expected;
 }
 
-void LeaseTransport::Forward(const proto::Packet& packet, Outbox& outbox) const {
+void LeaseTransport::ForwardPacket(const proto::Packet& packet, Outbox& outbox) const {
   const proto::LeaseBatch& batch = packet.lease_batch();
   membership::OutgoingPacket forwarded = LeasePacketTo(batch.relay_to(), links_.self_incarnation_id());
   proto::LeaseBatch& forwarded_batch = *forwarded.packet.mutable_lease_batch();
@@ -111,14 +110,14 @@
 void LeaseTransport::HandlePacket(TimePoint now, const std::string& sender_address,
                                   const proto::Packet& packet, Outbox& outbox) {
   const proto::LeaseBatch& batch = packet.lease_batch();
-  if (!batch.relay_to().empty()) return Forward(packet, outbox);
+  if (!batch.relay_to().empty()) return ForwardPacket(packet, outbox);
   lease::IncarnationId origin = packet.sender().incarnation_id();
   if (batch.origin_incarnation_id() != 0) {
     origin = batch.origin_incarnation_id();
-    std::erase_if(detours_, [now](const auto& detour) { return detour.second.until < now; });
+    std::erase_if(detours_, [now](const auto& detour) { return detour.second.expires < now; });
     detours_[origin] = {sender_address, now + kDetourLifetime};
   }
-  view_.Update(now, LeaseView::Completeness::kCheck);
+  view_.Update(now, LeaseView::CompletenessCheck::kRun);
   LearnTimelines(packet, consistency_guard_);
   const std::uint64_t view = BindViewTo(links_.self_incarnation_id(), batch.view_for_incarnation_id());
   lease::LeaseOutbox responses;
@@ -135,7 +134,7 @@
   }
   SendHops(now, hops, outbox);
   SendMessages(now, responses, outbox);
-  if (batch.timelines_requested()) bootstrap_.SendAll(sender_address, outbox);
+  if (batch.timelines_requested()) bootstrap_.SendAllTimelines(sender_address, outbox);
 }
 
 void LeaseTransport::SendMessages(TimePoint now, const lease::LeaseOutbox& messages, Outbox& outbox) {
@@ -145,29 +144,29 @@
 }
 
 void LeaseTransport::SendHops(TimePoint now, const Hops& hops, Outbox& outbox) {
-  using Destination =
-      std::tuple<lease::IncarnationId, std::uint64_t, bool>;  // receiver, view, whether relayed
+  // Receiver, view, and whether the message is relayed.
+  using Destination = std::tuple<lease::IncarnationId, std::uint64_t, bool>;
   std::map<Destination, std::vector<const Hop*>> batches;
   std::set<lease::IncarnationId> unanswered;
   for (const Hop& hop : hops) {
     batches[{hop.receiver, hop.message.view, hop.via_relay}].push_back(&hop);
-    if (hop.attempts >= kDirectAttempts) unanswered.insert(hop.receiver);
+    if (hop.attempts >= kFirstDetourAttempt) unanswered.insert(hop.receiver);
   }
   for (const auto& [destination, batch] : batches) {
     const lease::IncarnationId receiver = std::get<0>(destination);
     const std::string* address = links_.incarnations().AddressOf(receiver);
-    if (address == nullptr) continue;  // the client repeats its request, or the lease expires
+    if (address == nullptr) continue;  // the client retries its request, or the lease expires
     for (std::size_t next = 0; next < batch.size();) {
-      membership::OutgoingPacket packet = Pack(now, *address, batch, next);
-      Send(now, receiver, unanswered.contains(receiver), std::move(packet), outbox);
+      membership::OutgoingPacket packet = BuildPacket(now, *address, batch, next);
+      SendPacket(now, receiver, unanswered.contains(receiver), std::move(packet), outbox);
     }
   }
 }
 
-// One packet for the receiver of `hops`, from number `next` on, which it moves forward.
-membership::OutgoingPacket LeaseTransport::Pack(TimePoint now, const std::string& address,
-                                                const std::vector<const Hop*>& hops,
-                                                std::size_t& next) const {
+// Builds one packet from the hops that begin at index `next`, and advances `next` past those that fit.
+membership::OutgoingPacket LeaseTransport::BuildPacket(TimePoint now, const std::string& address,
+                                                       const std::vector<const Hop*>& hops,
+                                                       std::size_t& next) const {
   const Hop& first = *hops[next];
   membership::OutgoingPacket packed = LeasePacketTo(address, links_.self_incarnation_id());
   proto::LeaseBatch& batch = *packed.packet.mutable_lease_batch();
@@ -185,11 +184,11 @@
   return packed;
 }
 
-void LeaseTransport::Send(TimePoint now, lease::IncarnationId receiver, bool unanswered,
-                          membership::OutgoingPacket packet, Outbox& outbox) {
+void LeaseTransport::SendPacket(TimePoint now, lease::IncarnationId receiver, bool unanswered,
+                                membership::OutgoingPacket packet, Outbox& outbox) {
   ++counts_.packets_sent;
   ++counts_.lease_packets_sent;
-  if (const std::string detour = DetourTo(now, receiver, unanswered); !detour.empty()) {
+  if (const std::string detour = FindDetour(now, receiver, unanswered); !detour.empty()) {
     membership::OutgoingPacket relayed = packet;
     relayed.packet.mutable_lease_batch()->set_relay_to(std::exchange(relayed.address, detour));
     outbox.push_back(std::move(relayed));
@@ -197,10 +196,10 @@
   outbox.push_back(std::move(packet));
 }
 
-// The address of a peer that is to forward a copy; empty: none is needed, or there is none.
-std::string LeaseTransport::DetourTo(TimePoint now, lease::IncarnationId receiver, bool unanswered) {
+// The address of a peer that is to forward a copy. Empty if none is needed or available.
+std::string LeaseTransport::FindDetour(TimePoint now, lease::IncarnationId receiver, bool unanswered) {
   const auto known = detours_.find(receiver);
-  if (known != detours_.end() && now <= known->second.until) return known->second.address;
+  if (known != detours_.end() && now <= known->second.expires) return known->second.address;
   return unanswered ? links_.NextLeasePeer(receiver) : std::string();
 }
 
--- a/src/replication/lease_transport.h
+++ b/src/replication/lease_transport.h
@@ -1,9 +1,7 @@
-// Carries the messages of session leases between the lease client and relay of this instance and those of its
-// peers.
+// Carries lease messages between the lease client and relay of this instance and those of its peers.
 //
-// Owns the client and the relay, and the detours to incarnations that cannot be reached directly. Free of
-// sockets and clocks. Messages may be lost, duplicated and late; the lease protocol repeats what is not
-// answered.
+// Owns the client, the relay and the detours to incarnations that cannot be reached directly. Free of sockets
+// and clocks. Messages may be lost, duplicated and delayed; the lease protocol retries unanswered ones.
 #pragma once
 
 #include <cstddef>
@@ -27,59 +25,62 @@
 
 class LeaseTransport {
  public:
-  // `options.self`, `.proof` and `.alone` are filled in here. All references must outlive the transport.
+  // The constructor sets `self`, `view_validity` and `single_instance` of `options`. All references must
+  // outlive the transport.
   LeaseTransport(lease::SessionLeaseClient::Options options, const LeaseView::Options& view_options,
                  const membership::Swim& swim, PeerLinks& links,
                  consistency::SessionConsistencyGuard& consistency_guard, ReplicationCounts& counts);
 
-  // Retries what is due. To be called every few milliseconds.
+  // Sends retries and delayed messages that are due. Call every few milliseconds.
   void Tick(TimePoint now, Outbox& outbox);
-  // A packet with lease messages, or one that is to be forwarded to another peer.
+  // Handles a packet with lease messages, which may have to be forwarded to another peer.
   void HandlePacket(TimePoint now, const std::string& sender_address, const proto::Packet& packet,
                     Outbox& outbox);
 
-  // See SessionLeaseClient for these.
-  std::optional<LogPosition> CompleteThrough(TimePoint now, consistency::SessionKey key);
+  // See SessionLeaseClient for the following calls.
+  std::optional<LogPosition> AllWritesKnownAfter(TimePoint now, consistency::SessionKey key);
   bool MayAnswerWrite(TimePoint now, consistency::SessionKey key);
-  bool MayServe(TimePoint now);
-  bool Acquire(TimePoint now, GroupId group, consistency::SessionKey key, lease::SessionLeaseClient::Use use,
-               Outbox& outbox);
-  // `bytes` were sent or received, including the headers of IP and UDP.
-  void ChargeBandwidth(TimePoint now, std::size_t bytes) { client_.RecordTraffic(now, bytes); }
+  // Whether the leases that an earlier incarnation of this instance may hold have expired.
+  bool MayServeRequests(TimePoint now);
+  bool AcquireLease(TimePoint now, GroupId group, consistency::SessionKey key,
+                    lease::SessionLeaseClient::Use use, Outbox& outbox);
+  // Records bytes that were sent or received, including the headers of IP and UDP.
+  void RecordTraffic(TimePoint now, std::size_t bytes) { client_.RecordTraffic(now, bytes); }
 
   LeaseView& view() { return view_; }
   const lease::SessionLeaseClient& client() const { return client_; }
   const lease::LeaseMessageRelay& relay() const { return relay_; }
 
  private:
-  // The watermarks that the consistency guard knows, for the lease client.
+  // Gives the lease client access to the watermarks of the consistency guard.
   class GuardWatermarks final : public lease::KnownWatermarks {
    public:
     explicit GuardWatermarks(consistency::SessionConsistencyGuard& consistency_guard)
         : consistency_guard_(consistency_guard) {}
-    consistency::SessionWatermarkTable::Known Newest(consistency::SessionKey key) const override;
-    void Learn(consistency::SessionKey key, const consistency::WriteWatermark& watermark) override;
+    consistency::SessionWatermarkTable::LookupResult FindWatermark(
+        consistency::SessionKey key) const override;
+    void RecordWatermark(consistency::SessionKey key, const consistency::WriteWatermark& watermark) override;
 
    private:
     consistency::SessionConsistencyGuard& consistency_guard_;
   };
-  // The peer that forwards to an incarnation which is not reached directly.
+  // A peer that forwards messages to an incarnation that cannot be reached directly.
   struct Detour {
     std::string address;
-    TimePoint until{};
+    TimePoint expires{};
   };
   using Hop = lease::LeaseMessageRelay::Hop;
   using Hops = lease::LeaseMessageRelay::Hops;
 
-  void Forward(const proto::Packet& packet, Outbox& outbox) const;
+  void ForwardPacket(const proto::Packet& packet, Outbox& outbox) const;
   void SendMessages(TimePoint now, const lease::LeaseOutbox& messages, Outbox& outbox);
-  // Packs messages into packets, one or more for each receiver, view and way.
+  // Sends messages in one or more packets for each combination of receiver, view and relaying.
   void SendHops(TimePoint now, const Hops& hops, Outbox& outbox);
-  membership::OutgoingPacket Pack(TimePoint now, const std::string& address,
-                                  const std::vector<const Hop*>& hops, std::size_t& next) const;
-  void Send(TimePoint now, lease::IncarnationId receiver, bool unanswered, membership::OutgoingPacket packet,
-            Outbox& outbox);
-  std::string DetourTo(TimePoint now, lease::IncarnationId receiver, bool unanswered);
+  membership::OutgoingPacket BuildPacket(TimePoint now, const std::string& address,
+                                         const std::vector<const Hop*>& hops, std::size_t& next) const;
+  void SendPacket(TimePoint now, lease::IncarnationId receiver, bool unanswered,
+                  membership::OutgoingPacket packet, Outbox& outbox);
+  std::string FindDetour(TimePoint now, lease::IncarnationId receiver, bool unanswered);
 
   PeerLinks& links_;
   consistency::SessionConsistencyGuard& consistency_guard_;
--- a/src/replication/lease_view.cpp
+++ b/src/replication/lease_view.cpp
@@ -6,17 +6,17 @@
 
 namespace lynxgrade::replication {
 
-void LeaseView::Update(TimePoint now, Completeness completeness) {
+void LeaseView::Update(TimePoint now, CompletenessCheck check) {
   client_.SetSuperseded(swim_.superseded());
   const std::uint64_t view = swim_.quorum_tracker().AcknowledgedView(now);
   const bool changed = view != 0 && view != managers_view_;
   if (changed) SelectManagers(view);
-  if (changed || now - relay_selected_ >= kRelaySelectionInterval) {
-    relay_selected_ = now;
+  if (changed || now - last_relay_selection_ >= kRelaySelectionInterval) {
+    last_relay_selection_ = now;
     relay_.UpdateView(managers_view_, managers_, SelectRelay());
   }
   std::optional<bool> complete;
-  if (completeness == Completeness::kCheck) complete = IsComplete(now);
+  if (check == CompletenessCheck::kRun) complete = IsComplete(now);
   client_.UpdateView(now, {view, complete, managers_});
 }
 
@@ -24,8 +24,8 @@
   managers_view_ = view;
   managers_ = swim_.dedicated_lease_managers();
   if (!managers_.empty()) return;
-  // No dedicated managers: all that use leases. An incarnation announces this with its membership entry, so
-  // all instances of one view select the same ones.
+  // Without dedicated managers, all instances that use leases are managers. An incarnation announces in its
+  // membership entry that it uses leases, so all instances of one view select the same managers.
   std::ranges::copy_if(swim_.quorum_tracker().incarnation_ids(), std::back_inserter(managers_),
                        [this](lease::IncarnationId incarnation_id) {
                          return incarnation_id == links_.self_incarnation_id() ||
@@ -33,16 +33,16 @@
                        });
 }
 
-// All of the fleet, by its settings, agree on the view and use leases, and nobody else is known who may
-// answer writes.
+// Whether all instances of the fleet, as listed in the settings, have acknowledged the view and use leases,
+// and no other instance is known that may answer writes.
 bool LeaseView::IsComplete(TimePoint now) {
   const membership::QuorumTracker& quorum_tracker = swim_.quorum_tracker();
   const std::uint64_t view = quorum_tracker.AcknowledgedView(now);
-  if (view == 0 || now < links_.name_shared_until() || !options_.proven) {
+  if (view == 0 || now < links_.duplicate_name_until() || !options_.acknowledgements_required) {
     cached_.view = 0;
     return false;
   }
-  // Evaluated once for all requests between two acknowledgements or changes of members: it walks over all
+  // The result is cached until the next acknowledgement or change of membership, as the evaluation visits all
   // members.
   if (cached_.view != view || cached_.membership_changes != swim_.changes()) {
     cached_ = {view, swim_.changes(), std::nullopt};
@@ -60,9 +60,10 @@
   });
 }
 
-// One of the dedicated managers that answer pings about as fast as the nearest, so that relayed messages
-// cross no more regions than they have to. Each instance selects its own, by rendezvous hashing, so that all
-// get a share. Zero: none, as this instance is a manager itself or some managers do not relay.
+// Selects the relay among the dedicated managers that answer pings about as fast as the nearest one, so that
+// relayed messages do not cross more regions than necessary. Rendezvous hashing distributes the instances
+// over these managers. Zero: no relay, because this instance is a dedicated manager itself, there are none,
+// or some managers do not relay.
 lease::IncarnationId LeaseView::SelectRelay() const {
   if (swim_.options().lease_manager.dedicated) return 0;
   std::vector<std::pair<lease::IncarnationId, std::optional<Duration>>> round_trips;
--- a/src/replication/module_loader.cpp
+++ b/src/replication/module_loader.cpp
@@ -15,15 +15,15 @@
 
 tl::expected<std::unique_ptr<ReplicationService>, StartError> LoadReplicationModule(
     ReplicationContext context) {
-  std::error_code unread;
-  const auto program = std::filesystem::read_symlink("/proc/self/exe", unread);
+  std::error_code ignored;  // the module is then not found
+  const auto program = std::filesystem::read_symlink("/proc/self/exe", ignored);
   const std::string path = (program.parent_path() / kModuleFile).string();
   GModule* module = g_module_open(path.c_str(), G_MODULE_BIND_LOCAL);
   gpointer factory = nullptr;
   if (module == nullptr || !g_module_symbol(module, kFactorySymbol, &factory)) {
     return tl::unexpected(StartError{StartErrorCode::kReplicationModule, {}, g_module_error()});
   }
-  g_module_make_resident(module);  // its objects may be destroyed when the program ends
+  g_module_make_resident(module);  // its objects may be destroyed as late as program exit
   return std::unique_ptr<ReplicationService>(reinterpret_cast<Factory>(factory)(&context));
 }
 
--- a/src/replication/outbox.h
+++ b/src/replication/outbox.h
@@ -1,4 +1,4 @@
-// The packets that an instance is about to send, with the address of each receiver.
+// The packets that an instance is about to send, each with the address of its receiver.
 #pragma once
 
 #include <vector>
@@ -7,7 +7,7 @@
 
 namespace lynxgrade::replication {
 
-// In the order in which they are to be sent. The caller of the engine owns it, sends what it holds and clears
+// In the order in which they are to be sent. The caller of the engine owns it, sends its packets and clears
 // it.
 using Outbox = std::vector<membership::OutgoingPacket>;
 
--- a/src/replication/packet_codec.cpp
+++ b/src/replication/packet_codec.cpp
@@ -6,25 +6,24 @@
 namespace lynxgrade::replication {
 namespace {
 
-// An age above one day is sent as one day: a younger age makes the receiver assume a later position, which is
-// safe.
-constexpr std::uint64_t kLargestAgeMs = 86'400'000;
+// An age above one day is sent as one day. The receiver then assumes a later position, which is conservative.
+constexpr std::uint64_t kMaxAgeMs = 86'400'000;
 // The largest position whose microseconds still fit into a LogPosition.
-constexpr std::uint64_t kLargestPositionMs = 9'000'000'000'000'000;
+constexpr std::uint64_t kMaxPositionMs = 9'000'000'000'000'000;
 constexpr std::int64_t kMicrosecondsPerMillisecond = 1000;
 
-// Rounded up; a position before 1970 becomes zero, which means none.
+// Rounds up. A position before 1970 becomes zero, which means that there is none.
 std::uint64_t MillisecondsRoundedUp(LogPosition position) {
   const std::int64_t rounded = MicrosecondsOf(position) + kMicrosecondsPerMillisecond - 1;
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, rounded) / kMicrosecondsPerMillisecond);
 }
 
 LogPosition PositionFromMilliseconds(std::uint64_t milliseconds) {
-  const std::uint64_t clamped = std::min(milliseconds, kLargestPositionMs);
+  const std::uint64_t clamped = std::min(milliseconds, kMaxPositionMs);
   return PositionFromMicroseconds(static_cast<std::int64_t>(clamped) * kMicrosecondsPerMillisecond);
 }
 
-// Zero stands for a server that is not known.
+// An unknown server is encoded as zero.
 std::uint32_t EncodeServer(std::optional<ServerId> server) {
   return server ? static_cast<std::uint32_t>(*server) : 0;
 }
@@ -64,7 +63,7 @@
                     proto::TimelineRecord& encoded) {
   encoded.set_group(static_cast<std::int64_t>(group));
   encoded.set_primary(static_cast<std::uint32_t>(*timeline.primary()));
-  encoded.set_began_us(MicrosecondsOf(timeline.since()));
+  encoded.set_since_us(MicrosecondsOf(timeline.since()));
   encoded.set_replicated_us(MicrosecondsOf(timeline.replicated_through()));
   encoded.set_confirmed_us(MicrosecondsOf(timeline.confirmed()));
 }
@@ -72,7 +71,7 @@
 void LearnTimelines(const proto::Packet& packet, consistency::SessionConsistencyGuard& consistency_guard) {
   for (const proto::TimelineRecord& timeline : packet.timelines()) {
     consistency_guard.LearnTimeline(GroupId(timeline.group()), ServerId(timeline.primary()),
-                                    PositionFromMicroseconds(timeline.began_us()),
+                                    PositionFromMicroseconds(timeline.since_us()),
                                     PositionFromMicroseconds(timeline.replicated_us()),
                                     PositionFromMicroseconds(timeline.confirmed_us()));
   }
@@ -99,13 +98,14 @@
   if (message.conservative_age) {
     const auto age_ms =
         static_cast<std::uint64_t>(message.conservative_age->count()) / kMicrosecondsPerMillisecond;
-    encoded.set_complete_through_age_ms(std::min(age_ms, kLargestAgeMs));
+    encoded.set_conservative_position_age_ms(std::min(age_ms, kMaxAgeMs));
   }
   if (message.watermark) {
     encoded.set_watermark_ms(MillisecondsRoundedUp(message.watermark->position));
     encoded.set_watermark_server(EncodeServer(message.watermark->server));
   }
-  if (message.evicted_through) encoded.set_forgotten_ms(MillisecondsRoundedUp(*message.evicted_through));
+  if (message.evicted_through)
+    encoded.set_evicted_through_ms(MillisecondsRoundedUp(*message.evicted_through));
 }
 
 lease::LeaseMessage LeaseMessageFrom(const proto::LeaseBatch::Entry& encoded, std::uint64_t view) {
@@ -116,15 +116,16 @@
   message.group = GroupId(encoded.group());
   message.request_id = encoded.request_id();
   message.grant_number = encoded.grant_number();
-  if (encoded.has_complete_through_age_ms()) {
-    const std::uint64_t age_ms = std::min(std::uint64_t{encoded.complete_through_age_ms()}, kLargestAgeMs);
+  if (encoded.has_conservative_position_age_ms()) {
+    const std::uint64_t age_ms = std::min(std::uint64_t{encoded.conservative_position_age_ms()}, kMaxAgeMs);
     message.conservative_age = Duration(static_cast<std::int64_t>(age_ms) * kMicrosecondsPerMillisecond);
   }
   if (encoded.watermark_ms() != 0) {
     message.watermark = consistency::WriteWatermark{PositionFromMilliseconds(encoded.watermark_ms()),
                                                     ServerFrom(encoded.watermark_server())};
   }
-  if (encoded.forgotten_ms() != 0) message.evicted_through = PositionFromMilliseconds(encoded.forgotten_ms());
+  if (encoded.evicted_through_ms() != 0)
+    message.evicted_through = PositionFromMilliseconds(encoded.evicted_through_ms());
   return message;
 }
 
--- a/src/replication/packet_limits.h
+++ b/src/replication/packet_limits.h
@@ -1,4 +1,5 @@
-// How much goes into one packet, so that it fits into one datagram of some 1,000 bytes on any path.
+// Limits on the content of one packet. They keep a datagram at about 1,000 bytes, which fits the MTU of any
+// path.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +8,7 @@
 
 inline constexpr std::size_t kWatermarksPerPacket = 30;
 inline constexpr std::size_t kLeaseMessagesPerPacket = 30;
-inline constexpr std::size_t kTimelinesPerDelta = 8;  // beside watermarks
+inline constexpr std::size_t kTimelinesPerDelta = 8;  // in a packet that also carries watermarks
 inline constexpr std::size_t kTimelinesPerPacket = 25;
 
 }  // namespace lynxgrade::replication
--- a/src/replication/packet_sender.h
+++ b/src/replication/packet_sender.h
@@ -1,4 +1,4 @@
-// Completes packets to peers and queues them.
+// Adds the common parts of a packet to a peer and queues it.
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
   // Both must outlive the sender.
   PacketSender(membership::Swim& swim, ReplicationCounts& counts) : swim_(swim), counts_(counts) {}
 
-  // Adds the sender's identity and piggybacked membership gossip to the packet.
+  // Adds this instance's membership entry and piggybacked membership gossip to the packet and queues it.
   void Send(const std::string& address, proto::Packet packet, Outbox& outbox) {
     swim_.AddSenderAndGossip(packet);
     ++counts_.packets_sent;
--- a/src/replication/peer_keys.cpp
+++ b/src/replication/peer_keys.cpp
@@ -24,7 +24,7 @@
   return bytes;
 }
 
-// Removes the next token from the front of `line`; empty at its end.
+// Removes the next token from the front of `line` and returns it; empty at the end of the line.
 std::string_view NextToken(std::string_view& line) {
   const std::size_t begin = line.find_first_not_of(" \t\r");
   if (begin == std::string_view::npos) return line = {};
@@ -42,7 +42,7 @@
   return static_cast<std::uint8_t>(number);
 }
 
-// The key that begins with the token `number_text` and continues in `rest`.
+// Parses a key whose number is the token `number_text` and whose secret is in `rest`.
 tl::expected<SharedKey, SharedKeyErrorCode> ParseKey(std::string_view number_text, std::string_view rest) {
   const auto number = ParseKeyNumber(number_text);
   if (!number) return tl::unexpected(SharedKeyErrorCode::kNumber);
@@ -52,18 +52,18 @@
   return SharedKey{*number, *secret};
 }
 
-const char* SentenceOf(SharedKeyErrorCode code) {
+const char* Describe(SharedKeyErrorCode code) {
   switch (code) {
     case SharedKeyErrorCode::kNumber:
-      return "a key's number is not one from 1 to 255";
+      return "key number is not an integer from 1 to 255";
     case SharedKeyErrorCode::kSecret:
-      return "a key is not 64 or more hexadecimal digits";
+      return "key is not 64 or more hexadecimal digits";
     case SharedKeyErrorCode::kTrailing:
-      return "something stands after the key";
+      return "unexpected text after the key";
     case SharedKeyErrorCode::kDuplicate:
-      return "a key's number stands twice";
+      return "duplicate key number";
     case SharedKeyErrorCode::kNoKey:
-      return "it holds no key";
+      return "file contains no key";
   }
   return "";
 }
@@ -71,8 +71,8 @@
 }  // namespace
 
 std::string Describe(const SharedKeyError& error) {
-  const std::string sentence = SentenceOf(error.code);
-  return error.line == 0 ? sentence : "line " + std::to_string(error.line) + ": " + sentence;
+  const std::string description = Describe(error.code);
+  return error.line == 0 ? description : "line " + std::to_string(error.line) + ": " + description;
 }
 
 tl::expected<std::vector<SharedKey>, SharedKeyError> ParseSharedKeys(std::string_view text) {
--- a/src/replication/peer_keys.h
+++ b/src/replication/peer_keys.h
@@ -1,8 +1,8 @@
-// The keys that the instances share to authenticate their datagrams, and the file that holds them.
+// The shared keys with which the instances authenticate their datagrams, and the key file.
 //
-// A line a key: its number from 1 to 255, then 64 or more hexadecimal digits; '#' begins a comment. The first
-// key signs, all verify: for a rotation a new key is added everywhere, then put first everywhere, then the
-// old one is removed.
+// Each line of the file contains one key: its number from 1 to 255, then 64 or more hexadecimal digits; '#'
+// begins a comment. The first key is used to sign, all keys are accepted. To rotate keys, add the new key on
+// all instances, then move it to the first line on all instances, then remove the old one.
 #pragma once
 
 #include <cstdint>
@@ -23,22 +23,22 @@
 enum class SharedKeyErrorCode {
   kNumber,     // not from 1 to 255
   kSecret,     // not 64 or more hexadecimal digits
-  kTrailing,   // something stands after the key
-  kDuplicate,  // the number of an earlier line
-  kNoKey,      // of the whole file
+  kTrailing,   // unexpected text after the key
+  kDuplicate,  // same number as on an earlier line
+  kNoKey,      // the file contains no key
 };
 
 struct SharedKeyError {
   SharedKeyErrorCode code{};
-  int line = 0;  // from 1; zero for an error of the whole file
+  int line = 0;  // from 1; zero if the error concerns the whole file
 };
 
-// One plain sentence for the operator, without a full stop.
+// A message for the operator, without a full stop.
 std::string Describe(const SharedKeyError& error);
 
-// The keys of a file's text, at least one; or the first error in it.
+// Parses the text of a key file. Returns at least one key, or the first error.
 tl::expected<std::vector<SharedKey>, SharedKeyError> ParseSharedKeys(std::string_view text);
-// The same for a file; kPeerKeysMissing or kPeerKeysInvalid.
+// Reads and parses a key file. Fails with kPeerKeysMissing or kPeerKeysInvalid.
 tl::expected<std::vector<SharedKey>, StartError> LoadSharedKeys(const std::string& path);
 
 }  // namespace lynxgrade::replication
--- a/src/replication/peer_link.h
+++ b/src/replication/peer_link.h
@@ -1,5 +1,5 @@
-// What is known of the traffic with one peer, by the subject of the traffic. Plain data: PeerLinks owns one
-// of these for each peer, and each subject's class keeps its own part of it.
+// The state of replication with one peer. Plain data: PeerLinks owns one PeerLink for each peer, and each
+// class that replicates something updates its own part.
 #pragma once
 
 #include <cstddef>
@@ -11,47 +11,48 @@
 
 namespace lynxgrade::replication {
 
-// Deltas of watermarks with one peer (WatermarkReplicator).
+// Deltas of watermarks exchanged with one peer (WatermarkReplicator).
 struct WatermarkProgress {
-  // From here to the peer.
-  SequenceNumber acknowledged = 0;
-  SequenceNumber sent = 0;
-  TimePoint progressed{};             // when `acknowledged` rose, or when what it lacks was first sent
-  TimePoint flushed{};                // when this instance last sent a delta
-  bool owes_ack = false;              // watermarks came that have not been acknowledged yet
-  bool counts_this_instance = false;  // the peer knows this incarnation, and waits for its watermarks
-
-  // From the peer.
-  SequenceNumber received = 0;         // without gaps
-  std::uint64_t newest_timestamp = 0;  // of the peer's clock, as last received; echoed to it
-  TimePoint replicated_through{};      // its writes answered before this are known here
-  bool was_replicated = false;         // whether `replicated_through` has ever been set
+  // From this instance to the peer.
+  SequenceNumber acknowledged_sequence = 0;
+  SequenceNumber sent_sequence = 0;
+  TimePoint last_progress{};  // when acknowledged_sequence rose, or unacknowledged ones were first sent
+  TimePoint last_flush{};     // when this instance last sent a delta
+  bool ack_pending = false;   // received watermarks have not been acknowledged yet
+  bool tracks_this_incarnation = false;  // the peer knows this incarnation and waits for its watermarks
+
+  // From the peer to this instance.
+  SequenceNumber received_sequence = 0;        // received without gaps
+  std::uint64_t newest_peer_timestamp_us = 0;  // of the peer's clock; echoed to the peer
+  TimePoint replicated_through{};              // the peer's writes answered before this time are known
+  bool was_replicated = false;                 // whether `replicated_through` has ever been set
 };
 
-// Snapshots of the watermark table to and from one peer (SnapshotTransfer). An id of zero: no transfer.
+// Snapshot transfers to and from one peer (SnapshotTransfer). An id of zero: no transfer.
 struct SnapshotProgress {
   std::uint64_t outgoing_id = 0;
   std::uint64_t next_outgoing_bucket = 0;
-  SequenceNumber outgoing_sequence = 0;  // the deltas go on after this one
+  SequenceNumber outgoing_sequence = 0;  // deltas continue after this one
   std::uint64_t incoming_id = 0;
   std::uint64_t next_incoming_bucket = 0;
 };
 
-// Timelines of primaries as last sent to one peer (TimelineGossip).
+// Primary timelines sent to one peer (TimelineGossip).
 struct TimelineProgress {
-  std::uint64_t reported_losses = 0;               // changes of primary when timelines were last sent
-  std::map<GroupId, LogPosition> sent_beginnings;  // by group, of the timeline that was last sent
-  // A round repeats all timelines, one after the other over many packets.
-  std::size_t left_in_round = 0;
+  std::uint64_t sent_loss_count = 0;          // number of changes of primary when timelines were last sent
+  std::map<GroupId, LogPosition> sent_since;  // by group: `since` of the timeline that was last sent
+  // A round repeats all timelines, spread over many packets.
+  std::size_t remaining_in_round = 0;
   TimePoint round_started{};
-  GroupId last_in_round{};
+  GroupId last_group_in_round{};
 };
 
 struct PeerLink {
   lease::IncarnationId incarnation_id = 0;
-  // Since when this incarnation is followed; an older incarnation that is heard beside it moves this forward.
-  TimePoint followed_since{};
-  bool dead = false;  // as last logged
+  // Since when this incarnation is tracked. Moves forward when a packet of an older incarnation arrives,
+  // which shows that both are running.
+  TimePoint tracked_since{};
+  bool dead = false;  // the state that was last logged
   WatermarkProgress watermarks;
   SnapshotProgress snapshot;
   TimelineProgress timelines;
--- a/src/replication/pending_write_answers.h
+++ b/src/replication/pending_write_answers.h
@@ -1,6 +1,6 @@
-// Answers of writes that wait until this instance holds the lease of their session.
+// Answers to writes that wait until this instance holds the lease of their session.
 //
-// Owns the callbacks; no clock, no I/O. One thread.
+// Owns the callbacks; no clock, no I/O. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -17,12 +17,12 @@
     GroupId group{};
     consistency::SessionKey key{};
     std::function<void()> send;
-    TimePoint expires{};  // dropped unsent from then on
+    TimePoint expires{};  // dropped without being sent after this time
   };
 
   void Add(Answer answer) { answers_.push_back(std::move(answer)); }
-  // Sends the answers of the sessions of which `may_answer` says that they may be sent, and calls `acquire`
-  // for the others. Sending may add answers.
+  // Sends the answers whose session satisfies `may_answer(key)`, and calls `acquire(group, key)` for the
+  // others. Sending an answer may add further ones.
   template <typename MayAnswer, typename Acquire>
   void Process(TimePoint now, MayAnswer may_answer, Acquire acquire) {
     for (Answer& answer : std::exchange(answers_, {})) {
--- a/src/replication/processor_time.h
+++ b/src/replication/processor_time.h
@@ -10,14 +10,15 @@
 
 class ProcessorTimeMeter {
  public:
-  // Counts while it lives; a scope inside another is counted once. The meter must outlive it.
+  // Adds the thread's processor time between construction and destruction. Nested scopes are counted once.
+  // The meter must outlive the scope.
   class Scope {
    public:
     explicit Scope(ProcessorTimeMeter& meter) : meter_(meter) {
-      if (meter_.open_scopes_++ == 0) meter_.began_ns_ = ThreadNanoseconds();
+      if (meter_.scope_depth_++ == 0) meter_.began_ns_ = ThreadNanoseconds();
     }
     ~Scope() {
-      if (--meter_.open_scopes_ == 0) meter_.total_ns_ += ThreadNanoseconds() - meter_.began_ns_;
+      if (--meter_.scope_depth_ == 0) meter_.total_ns_ += ThreadNanoseconds() - meter_.began_ns_;
     }
     Scope(const Scope&) = delete;
     Scope& operator=(const Scope&) = delete;
@@ -37,7 +38,7 @@
 
   std::int64_t total_ns_ = 0;
   std::int64_t began_ns_ = 0;
-  int open_scopes_ = 0;
+  int scope_depth_ = 0;
 };
 
 }  // namespace lynxgrade::replication
--- a/src/replication/replication_engine.cpp
+++ b/src/replication/replication_engine.cpp
@@ -7,14 +7,14 @@
 namespace lynxgrade::replication {
 namespace {
 
-// A dead peer gets a delta once in so many probe periods.
+// Number of probe periods between two deltas to a dead peer.
 constexpr int kDeadPeerProbePeriods = 5;
 
 membership::Swim::Options SwimOptions(const ReplicationEngine::Options& options) {
   membership::Swim::Options swim = options.swim;
   if (options.leases) swim.protocol_version = kLeaseProtocolVersion;
-  swim.lease_manager.dedicated =
-      swim.lease_manager.dedicated && options.leases;  // only who uses leases can manage them
+  // Only an instance that uses leases can manage them.
+  swim.lease_manager.dedicated = swim.lease_manager.dedicated && options.leases;
   return swim;
 }
 
@@ -42,7 +42,7 @@
       consistency_guard_(consistency_guard) {
   if (!options.leases) return;
   const LeaseView::Options view{.fleet_size = options.swim.fleet_size,
-                                .proven = options.swim.acknowledgements.required};
+                                .acknowledgements_required = options.swim.acknowledgements.required};
   leases_ =
       std::make_unique<LeaseTransport>(*options.leases, view, swim_, links_, consistency_guard, counts_);
 }
@@ -55,7 +55,7 @@
 
 void ReplicationEngine::Tick(TimePoint now, Outbox& outbox) {
   swim_.Tick(now, outbox);
-  links_.FollowMembership(now);
+  links_.ApplyMembershipChanges(now);
   if (leases_ != nullptr) leases_->Tick(now, outbox);
   if (options_.membership_only || !links_.HasWatermarkReceivers()) return;
   watermarks_.Tick(now, outbox);
@@ -67,29 +67,30 @@
 
 void ReplicationEngine::HandlePacket(TimePoint now, const std::string& sender_address,
                                      const proto::Packet& packet, Outbox& outbox) {
-  using Completeness = LeaseView::Completeness;
+  using CompletenessCheck = LeaseView::CompletenessCheck;
   if (packet.has_lease_batch() && leases_ != nullptr)
     leases_->HandlePacket(now, sender_address, packet, outbox);
   if (packet.sender().name().empty()) return;
-  // The client has to see an acknowledgement that expired before this one came, or the view would seem to
-  // have been complete without a break.
+  // Update the client before the acknowledgement is recorded: it must notice if an earlier one has expired,
+  // or the view would seem to have been complete without interruption.
   const bool acknowledges = packet.has_ack() || packet.has_nack();
-  if (leases_ != nullptr && acknowledges) leases_->view().Update(now, Completeness::kCheck);
+  if (leases_ != nullptr && acknowledges) leases_->view().Update(now, CompletenessCheck::kRun);
   swim_.HandlePacket(now, sender_address, packet, outbox);
-  links_.FollowMembership(now);
+  links_.ApplyMembershipChanges(now);
   if (leases_ != nullptr) {
     if (acknowledges) leases_->view().Invalidate();
-    leases_->view().Update(now, acknowledges ? Completeness::kCheck : Completeness::kSkip);
+    leases_->view().Update(now, acknowledges ? CompletenessCheck::kRun : CompletenessCheck::kSkip);
   }
-  PeerLink* link = links_.LinkOfSender(now, packet.sender());
+  PeerLink* link = links_.FindSenderLink(now, packet.sender());
   if (link == nullptr) return;
   LearnTimelines(packet, consistency_guard_);
   watermarks_.HandlePacket(now, sender_address, packet, *link, outbox);
 }
 
-std::optional<LogPosition> ReplicationEngine::CompleteThrough(TimePoint now, consistency::SessionKey key) {
+std::optional<LogPosition> ReplicationEngine::AllWritesKnownAfter(TimePoint now,
+                                                                  consistency::SessionKey key) {
   if (leases_ == nullptr) return std::nullopt;
-  return leases_->CompleteThrough(now, key);
+  return leases_->AllWritesKnownAfter(now, key);
 }
 
 bool ReplicationEngine::MayAnswerWrite(TimePoint now, consistency::SessionKey key) {
@@ -98,13 +99,15 @@
 
 bool ReplicationEngine::AcquireLease(TimePoint now, GroupId group, consistency::SessionKey key,
                                      lease::SessionLeaseClient::Use use, Outbox& outbox) {
-  return leases_ != nullptr && leases_->Acquire(now, group, key, use, outbox);
+  return leases_ != nullptr && leases_->AcquireLease(now, group, key, use, outbox);
 }
 
-bool ReplicationEngine::MayServe(TimePoint now) { return leases_ == nullptr || leases_->MayServe(now); }
+bool ReplicationEngine::MayServeRequests(TimePoint now) {
+  return leases_ == nullptr || leases_->MayServeRequests(now);
+}
 
-void ReplicationEngine::ChargeBandwidth(TimePoint now, std::size_t bytes) {
-  if (leases_ != nullptr) leases_->ChargeBandwidth(now, bytes);
+void ReplicationEngine::RecordTraffic(TimePoint now, std::size_t bytes) {
+  if (leases_ != nullptr) leases_->RecordTraffic(now, bytes);
 }
 
 const lease::SessionLeaseClient* ReplicationEngine::lease_client() const {
--- a/src/replication/replication_report.cpp
+++ b/src/replication/replication_report.cpp
@@ -73,7 +73,7 @@
 
 std::string FormatReplicationReport(const ReplicationReportInput& input) {
   const membership::Swim& swim = input.engine.swim();
-  membership::QuorumTracker quorum_tracker = swim.quorum_tracker();  // a copy, as evaluation changes it
+  membership::QuorumTracker quorum_tracker = swim.quorum_tracker();  // a copy, since Assess changes it
   const membership::QuorumTracker::Assessment quorum = quorum_tracker.Assess(input.now);
   Json report = {{"name", input.name},
                  {"size", FleetSize(input.settings)},
--- a/src/replication/replication_report.h
+++ b/src/replication/replication_report.h
@@ -1,5 +1,5 @@
-// What operators see of replication, in JSON. src/admin/admin_client.cpp reads it; the keys are part of the
-// operators' interface.
+// The status report on replication for operators, in JSON. src/admin/admin_client.cpp reads it; the keys are
+// part of the operators' interface.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
   Duration processor_time{};
 };
 
-// One JSON object on one line.
+// Returns one JSON object on one line.
 std::string FormatReplicationReport(const ReplicationReportInput& input);
 
 }  // namespace lynxgrade::replication
--- a/src/replication/replication_service.h
+++ b/src/replication/replication_service.h
@@ -1,5 +1,5 @@
-// What the pooler asks of replication among the instances. The implementation is a module that is loaded
-// where the settings ask for it: its libraries cost memory, and most poolers run without.
+// The interface of the pooler to replication between instances. The implementation is a module that is loaded
+// only if the settings enable replication, because its libraries use memory and most poolers run without it.
 #pragma once
 
 #include <cstddef>
@@ -16,54 +16,56 @@
 
 namespace lynxgrade::replication {
 
-// All calls come from the thread of the event loop.
+// All methods must be called from the thread of the event loop.
 class ReplicationService {
  public:
   virtual ~ReplicationService() = default;
-  // Reads the keys, opens the socket and joins the peers. To be called once, before all other calls.
+  // Reads the key file, opens the socket and joins the peers. Call once, before all other methods.
   virtual tl::expected<void, StartError> Start() = 0;
-  // Reads the keys again; a file that cannot be used is logged, and the old keys stay.
+  // Reads the key file again. If that fails, logs the error and keeps the current keys.
   virtual void ReloadKeys() = 0;
-  // A write that this instance is about to answer.
+  // Records a write that this instance is about to answer, for replication.
   virtual void RecordWrite(GroupId group, consistency::SessionKey key,
                            const consistency::WriteWatermark& watermark) = 0;
-  // Calls `call` when a write of the session may be answered, at some time or never. False: it may be
-  // answered now, and `call` is dropped; always so without session leases.
+  // Calls `call` later, once a write of the session may be answered; drops it if that does not happen in
+  // time. Returns false, without calling `call`, if the write may be answered now, which is always so without
+  // session leases.
   virtual bool CallWhenMayAnswer(GroupId group, consistency::SessionKey key, std::function<void()> call) = 0;
-  // A read waits for the watermarks of the peers: polls them, now or as soon as the next poll may be sent.
+  // Polls the peers for their watermarks because a read waits for them, now or as soon as the next poll is
+  // allowed.
   virtual void PollPeers() = 0;
-  // Whether the peers count this instance, so that it may answer writes; also once they had time enough to.
+  // Whether this instance may answer writes: the peers track its writes, or the time that they have for that
+  // is over.
   virtual bool Ready() const = 0;
-  // The peers and the quorum that this instance belongs to, as one JSON object; src/admin/admin_client.cpp
-  // reads it.
+  // The peers and the quorum of this instance, as one JSON object; src/admin/admin_client.cpp reads it.
   virtual std::string Describe() const = 0;
-  // How many instances are reachable, this one included.
+  // The number of reachable instances, including this one.
   virtual std::size_t ReachableInstances() const = 0;
-  // What has been sent and received since the start.
+  // Packets and bytes sent and received since the start.
   virtual const Traffic& traffic() const = 0;
-  // Processor time of this thread that went into packets, membership and leases. Without the event loop, and
-  // without what the consistency guard and the decision module do with what was learned.
+  // Processor time that this thread has spent on packets, membership and leases. Excludes the event loop, and
+  // the work of the consistency guard and the decision module on what was learned.
   virtual Duration processor_time() const = 0;
-  // Sends the last watermarks and announces that this instance leaves.
+  // Sends the last watermarks and announces that this instance leaves the fleet.
   virtual void Leave() = 0;
 };
 
-// What a service is made of. The references must outlive it.
+// The parameters of a service. The references must outlive it.
 struct ReplicationContext {
   net::Loop& loop;
   const ReplicationSettings& settings;
-  const std::string& name;  // of this instance, as in the platform's configuration
-  bool recovered = false;   // the guard knows all writes that earlier incarnations of this instance answered
+  const std::string& name;  // instance name if the settings specify none
+  bool recovered = false;   // the guard has recovered all writes that earlier incarnations answered
   consistency::SessionConsistencyGuard& consistency_guard;
   std::function<void()> on_learned;  // called whenever the guard may have learned something
-  // For a host of many instances that simulates the network between them: whether datagrams pass between here
-  // and that address. Absent: all do.
+  // For a host of many instances that simulates the network between them: whether datagrams are delivered
+  // between this instance and the address. Absent: all are delivered.
   std::function<bool(const std::string& address)> passes = {};
-  // For a host that measures membership alone; then no peer is ever replicated through any time.
+  // For a host that measures membership alone: no peer's writes ever count as replicated.
   bool membership_only = false;
 };
 
-// Loads the module, which stands beside the program, and creates its service; kReplicationModule.
+// Loads the module from the program's directory and creates its service. Fails with kReplicationModule.
 tl::expected<std::unique_ptr<ReplicationService>, StartError> LoadReplicationModule(
     ReplicationContext context);
 
--- a/src/replication/snapshot_transfer.cpp
+++ b/src/replication/snapshot_transfer.cpp
@@ -22,7 +22,7 @@
     progress.outgoing_sequence = last_sequence;
     ++counts_.snapshots_started;
     if (log_)
-      log_("snapshot transfer started: peer lacks watermarks that are no longer retained, peer=" + name);
+      log_("snapshot transfer started: the peer misses watermarks that are no longer retained, peer=" + name);
   }
   std::uint64_t bucket = progress.next_outgoing_bucket;
   for (int sent = 0; sent < kChunksPerFlush && bucket < table.bucket_count(); ++sent) {
@@ -40,7 +40,7 @@
     chunk.set_end_bucket(bucket);
     chunk.set_bucket_count(table.bucket_count());
     chunk.set_last_sequence(progress.outgoing_sequence);
-    if (table.newest_evicted()) chunk.set_forgotten_us(MicrosecondsOf(*table.newest_evicted()));
+    if (table.newest_evicted()) chunk.set_evicted_through_us(MicrosecondsOf(*table.newest_evicted()));
     sender_.Send(address, std::move(packet), outbox);
   }
 }
@@ -63,8 +63,8 @@
     progress.next_incoming_bucket = chunk.end_bucket();
     if (chunk.end_bucket() >= chunk.bucket_count()) {
       received_through = chunk.last_sequence();
-      if (chunk.forgotten_us() > 0) {
-        consistency_guard_.LearnEviction(PositionFromMicroseconds(chunk.forgotten_us()));
+      if (chunk.evicted_through_us() > 0) {
+        consistency_guard_.LearnEviction(PositionFromMicroseconds(chunk.evicted_through_us()));
       }
     }
   }
--- a/src/replication/snapshot_transfer.h
+++ b/src/replication/snapshot_transfer.h
@@ -1,8 +1,8 @@
-// Transfers the whole watermark table to peers that missed more than the watermark log retains, in chunks of
-// a few buckets, each of which fits into one datagram.
+// Transfers the whole watermark table to peers that missed more watermarks than the log retains, in chunks of
+// a few buckets that each fit into one datagram.
 //
-// Owns the ids of the transfers; the progress with each peer stands in its link. The receiver acknowledges
-// the next bucket that it expects; chunks that are lost or out of order are sent again from there.
+// Owns the ids of the transfers; the progress with each peer is kept in its link. The receiver acknowledges
+// the next bucket that it expects; after a lost or reordered chunk, sending resumes from that bucket.
 #pragma once
 
 #include <functional>
@@ -19,24 +19,24 @@
 
 class SnapshotTransfer {
  public:
-  // All must outlive the transfers.
+  // All references must outlive the transfers.
   SnapshotTransfer(PacketSender& sender, consistency::SessionConsistencyGuard& consistency_guard,
                    ReplicationCounts& counts)
       : sender_(sender), consistency_guard_(consistency_guard), counts_(counts) {}
 
-  // Begins a transfer to the peer unless one is under way, and sends its next chunks. `last_sequence`: of the
-  // watermarks that the table holds at the beginning.
+  // Starts a transfer to the peer unless one is in progress, and sends its next chunks. `last_sequence`: the
+  // newest watermark that the table contains when the transfer starts.
   void SendChunks(const std::string& name, const std::string& address, SequenceNumber last_sequence,
                   SnapshotProgress& progress, Outbox& outbox);
   static void Cancel(SnapshotProgress& progress) { progress.outgoing_id = 0; }
 
-  // Learns the watermarks of a chunk that comes in order and acknowledges it. Returns the sequence number
-  // after which the peer's deltas go on, once the last chunk has come.
+  // Learns the watermarks of a chunk that arrives in order, and acknowledges it. For the last chunk, returns
+  // the sequence number after which the peer's deltas continue.
   std::optional<SequenceNumber> HandleChunk(const std::string& sender_address,
                                             const proto::SnapshotChunk& chunk, SnapshotProgress& progress,
                                             Outbox& outbox);
-  // Returns the sequence number up to which the peer has all watermarks, once it has acknowledged the last
-  // chunk.
+  // Once the peer has acknowledged the last chunk, returns the sequence number up to which it has all
+  // watermarks.
   std::optional<SequenceNumber> HandleAck(const proto::SnapshotChunkAck& ack,
                                           SnapshotProgress& progress) const;
 
--- a/src/replication/timeline_bootstrap.cpp
+++ b/src/replication/timeline_bootstrap.cpp
@@ -18,7 +18,7 @@
   outbox.push_back(std::move(request));
 }
 
-void TimelineBootstrap::SendAll(const std::string& address, Outbox& outbox) const {
+void TimelineBootstrap::SendAllTimelines(const std::string& address, Outbox& outbox) const {
   membership::OutgoingPacket response = LeasePacketTo(address, links_.self_incarnation_id());
   for (const auto& [group, timeline] : consistency_guard_.timelines()) {
     if (!timeline.primary()) continue;
--- a/src/replication/timeline_bootstrap.h
+++ b/src/replication/timeline_bootstrap.h
@@ -1,7 +1,7 @@
-// Fetches all primary timelines from a few peers when an incarnation starts, and serves them to others.
+// Requests all primary timelines from a few peers when an incarnation starts, and answers such requests.
 //
-// An incarnation that starts without state cannot tell when the present timelines began, and would have to
-// reject reads for as long as writes are retained.
+// An incarnation that starts without state does not know when the present timelines began, and would
+// otherwise have to reject reads until the write retention has passed.
 #pragma once
 
 #include <string>
@@ -14,23 +14,23 @@
 
 class TimelineBootstrap {
  public:
-  // Both must outlive the bootstrap.
+  // Both references must outlive the bootstrap.
   TimelineBootstrap(PeerLinks& links, const consistency::SessionConsistencyGuard& consistency_guard)
       : links_(links), consistency_guard_(consistency_guard) {}
 
-  // Asks the next peer if one is due. To be called every few milliseconds.
+  // Sends the next request if it is due. Call every few milliseconds.
   void Tick(TimePoint now, Outbox& outbox);
-  // Answers a peer that has asked.
-  void SendAll(const std::string& address, Outbox& outbox) const;
+  // Answers the request of a peer.
+  void SendAllTimelines(const std::string& address, Outbox& outbox) const;
 
  private:
-  // Different peers, one after the other: the answer of any of them may be lost or incomplete.
-  static constexpr int kRequests = 3;
+  // Requests go to different peers in turn, as any response may be lost or incomplete.
+  static constexpr int kMaxRequests = 3;
   static constexpr Duration kRequestInterval{300000};
 
   PeerLinks& links_;
   const consistency::SessionConsistencyGuard& consistency_guard_;
-  int requests_left_ = kRequests;
+  int requests_left_ = kMaxRequests;
   TimePoint next_request_{};
 };
 
--- a/src/replication/timeline_gossip.cpp
+++ b/src/replication/timeline_gossip.cpp
@@ -6,7 +6,7 @@
 namespace lynxgrade::replication {
 namespace {
 
-// Between the beginnings of two rounds that repeat all timelines to a peer.
+// Minimum time between the starts of two rounds that repeat all timelines to a peer.
 constexpr Duration kMinRoundInterval{500000};
 
 bool IsFull(const proto::Packet& packet) {
@@ -15,37 +15,38 @@
 
 void Append(GroupId group, const consistency::PrimaryTimeline& timeline, TimelineProgress& progress,
             proto::Packet& packet) {
-  progress.sent_beginnings[group] = timeline.since();
+  progress.sent_since[group] = timeline.since();
   EncodeTimeline(group, timeline, *packet.add_timelines());
 }
 
 }  // namespace
 
-bool TimelineGossip::HasNews(const TimelineProgress& progress) const {
-  return progress.reported_losses != consistency_guard_.counts().possible_losses;
+bool TimelineGossip::HasUnsentUpdates(const TimelineProgress& progress) const {
+  return progress.sent_loss_count != consistency_guard_.counts().possible_losses;
 }
 
 void TimelineGossip::AppendTo(TimePoint now, TimelineProgress& progress, proto::Packet& packet) const {
-  progress.reported_losses = consistency_guard_.counts().possible_losses;
+  progress.sent_loss_count = consistency_guard_.counts().possible_losses;
   const std::map<GroupId, consistency::PrimaryTimeline>& timelines = consistency_guard_.timelines();
   for (const auto& [group, timeline] : timelines) {
     if (IsFull(packet)) return;
     if (!timeline.primary()) continue;
-    const auto sent = progress.sent_beginnings.find(group);
-    if (sent == progress.sent_beginnings.end() || sent->second != timeline.since()) {
+    const auto sent = progress.sent_since.find(group);
+    if (sent == progress.sent_since.end() || sent->second != timeline.since()) {
       Append(group, timeline, progress, packet);
     }
   }
-  // Packets get lost, and timelines are confirmed as they last: all are repeated. A round continues where the
-  // last packet ended; started anew in each packet it would never reach the last of many groups.
-  if (progress.left_in_round == 0 && now - progress.round_started >= kMinRoundInterval) {
-    progress.left_in_round = timelines.size();
+  // All timelines are repeated because packets may be lost and because confirmed() of a timeline advances. A
+  // round continues where the last packet ended; if each packet started from the first group, the last of
+  // many groups would never be sent.
+  if (progress.remaining_in_round == 0 && now - progress.round_started >= kMinRoundInterval) {
+    progress.remaining_in_round = timelines.size();
     progress.round_started = now;
   }
-  for (; progress.left_in_round > 0 && !IsFull(packet); --progress.left_in_round) {
-    auto next = timelines.upper_bound(progress.last_in_round);
+  for (; progress.remaining_in_round > 0 && !IsFull(packet); --progress.remaining_in_round) {
+    auto next = timelines.upper_bound(progress.last_group_in_round);
     if (next == timelines.end()) next = timelines.begin();
-    progress.last_in_round = next->first;
+    progress.last_group_in_round = next->first;
     if (next->second.primary()) Append(next->first, next->second, progress, packet);
   }
 }
--- a/src/replication/timeline_gossip.h
+++ b/src/replication/timeline_gossip.h
@@ -1,6 +1,6 @@
-// Spreads what this instance knows of each group's primary timeline on packets that go to peers anyway.
+// Adds the primary timelines that this instance knows to packets that are sent to peers anyway.
 //
-// Free of state: the progress with each peer stands in its link, the timelines are the consistency guard's.
+// Stateless: the progress with each peer is kept in its link, the timelines belong to the consistency guard.
 #pragma once
 
 #include "consistency/session_consistency_guard.h"
@@ -16,12 +16,12 @@
       : consistency_guard_(consistency_guard) {}
 
   // Whether a primary has changed since timelines were last sent to the peer.
-  bool HasNews(const TimelineProgress& progress) const;
-  // Adds the timelines that have changed since they were sent to the peer, and now and then all of them, a
-  // few in each packet.
+  bool HasUnsentUpdates(const TimelineProgress& progress) const;
+  // Adds the timelines that have changed since they were last sent to the peer. Also repeats all timelines in
+  // rounds, a few in each packet.
   void AppendTo(TimePoint now, TimelineProgress& progress, proto::Packet& packet) const;
-  // Adds the group's timeline to a packet with a watermark of the group, if it began so recently that it may
-  // decide whether the write is lost.
+  // Adds the group's timeline to a packet with a watermark of the group, if the timeline began within the
+  // write retention: it may then decide whether the write is lost.
   void AppendIfRecent(TimePoint now, GroupId group, proto::Packet& packet) const;
 
  private:
--- a/src/replication/traffic.h
+++ b/src/replication/traffic.h
@@ -1,5 +1,5 @@
-// What an instance sends to its peers and receives from them, by kind of message. Bytes are those of IPv4
-// packets: a datagram and its headers.
+// The traffic between an instance and its peers, by kind of message. Bytes are those of whole IPv4 packets:
+// the datagram and its headers.
 #pragma once
 
 #include <array>
@@ -8,10 +8,10 @@
 
 namespace lynxgrade::replication {
 
-// What a packet is for; kWatermarks: also lease messages. Timelines and piggybacked membership gossip in it
-// count under their own kind.
+// The kind of a packet. kWatermarks includes lease messages. Timelines and piggybacked membership gossip in a
+// packet of another kind count under their own kind.
 enum class TrafficKind { kMembership, kWatermarks, kTimelines, kSnapshots };
-// As operators see them, in the order of TrafficKind.
+// The names in the status report, in the order of TrafficKind.
 constexpr std::array<const char*, 4> kTrafficKindNames = {"membership", "marks", "reigns", "ledger"};
 
 struct Traffic {
--- a/src/replication/traffic_counter.cpp
+++ b/src/replication/traffic_counter.cpp
@@ -5,7 +5,7 @@
 namespace lynxgrade::replication {
 namespace {
 
-// Tag and length of one element of a repeated message below 128 bytes.
+// Bytes of the tag and length of one element of a repeated field, for elements below 128 bytes.
 constexpr std::size_t kElementOverhead = 2;
 
 template <typename Messages>
--- a/src/replication/traffic_counter.h
+++ b/src/replication/traffic_counter.h
@@ -1,4 +1,4 @@
-// Counts packets by kind of message.
+// Counts packets and bytes by kind of message.
 #pragma once
 
 #include <cstddef>
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -15,30 +15,30 @@
 namespace lynxgrade::replication {
 namespace {
 
-constexpr int kMaxDatagramsPerPass = 64;  // so that a flood does not keep clients waiting
+constexpr int kMaxDatagramsPerPass = 64;  // so that a flood of datagrams does not delay clients
 constexpr std::size_t kMaxDatagramBytes = 65536;
 constexpr Duration kTickInterval{5000};
 constexpr Duration kQuorumLogInterval{50000};
-// Longer than any request may take, whose client waits for the answer.
+// Longer than the deadline of any request: after it no client waits for the answer.
 constexpr Duration kPendingAnswerLifetime{60000000};
-// A last flush is sent however recent the one before is.
+// Added to the time of the last poll, so that it is sent even if the minimum poll interval has not passed.
 constexpr Duration kLastPollAdvance{1000000};
 
-std::string TextOf(const net::Address& address) {
+std::string FormatAddress(const net::Address& address) {
   const bool is_ipv6 = address.host.find(':') != std::string::npos;
   const std::string host = is_ipv6 ? "[" + address.host + "]" : address.host;
   return host + ":" + std::to_string(address.port);
 }
 
-std::string TextOf(GSocketAddress* address) {
+std::string FormatAddress(GSocketAddress* address) {
   auto* inet_address = G_INET_SOCKET_ADDRESS(address);
   char* host = g_inet_address_to_string(g_inet_socket_address_get_address(inet_address));
-  const net::Address read{host, g_inet_socket_address_get_port(inet_address)};
+  const net::Address parsed{host, g_inet_socket_address_get_port(inet_address)};
   g_free(host);
-  return TextOf(read);
+  return FormatAddress(parsed);
 }
 
-// Random, as a clock that was set back must not repeat an id; never zero.
+// Random rather than derived from the clock, which may be set back and repeat an id. Never zero.
 std::uint64_t NewIncarnationId() {
   std::random_device device;
   return (std::uint64_t{device()} << 32 | device()) | 1;
@@ -71,18 +71,18 @@
   authenticator_ = std::make_unique<DatagramAuthenticator>(std::move(*keys));
   const auto bound = OpenSocket();
   if (!bound) return tl::unexpected(bound.error());
-  const std::string bound_address = TextOf(bound->get());
+  const std::string bound_address = FormatAddress(bound->get());
   CreateEngine(bound_address);
   loop_.poller().Add(g_socket_get_fd(socket_.get()), EPOLLIN, *this);
-  // Not the beginning of this pass, nor that of the loop: recovery may have taken seconds since, which the
-  // peers would lack to count this instance.
+  // The precise time, not the start of this pass of the event loop: recovery may have taken seconds since
+  // then, which would be missing from the time that the peers have to track this instance.
   started_ = loop_.Precise();
-  spdlog::info("peers: instance {} at {}", name_, bound_address);
+  spdlog::info("peers: listening: instance={} address={}", name_, bound_address);
   Tick();
   return {};
 }
 
-// The address to which the socket is bound.
+// Returns the address to which the socket is bound.
 tl::expected<net::ObjectPtr<GSocketAddress>, StartError> UdpReplicationService::OpenSocket() {
   const net::ObjectPtr<GSocketAddress> local = net::SocketAddress(*settings_.listen_address);
   if (local == nullptr) return tl::unexpected(StartError{StartErrorCode::kPeerAddress, {}, {}});
@@ -92,7 +92,7 @@
   if (socket_ == nullptr || !g_socket_bind(socket_.get(), local.get(), TRUE, error.out())) {
     socket_.reset();
     return tl::unexpected(
-        StartError{StartErrorCode::kPeerListen, TextOf(*settings_.listen_address), error.text()});
+        StartError{StartErrorCode::kPeerListen, FormatAddress(*settings_.listen_address), error.text()});
   }
   g_socket_set_blocking(socket_.get(), FALSE);
   return net::ObjectPtr<GSocketAddress>(g_socket_get_local_address(socket_.get(), nullptr));
@@ -104,11 +104,13 @@
   self.set_name(name_);
   self.set_incarnation_id(incarnation_id);
   self.set_started_us(static_cast<std::uint64_t>(loop_.Now().time_since_epoch().count()));
-  // Peers may reach it elsewhere than where it listens: behind a relay, or in another network.
-  self.set_address(settings_.advertised_address ? TextOf(*settings_.advertised_address) : bound_address);
+  // Peers may reach this instance at another address than the one it listens on: behind a proxy, or from
+  // another network.
+  self.set_address(settings_.advertised_address ? FormatAddress(*settings_.advertised_address)
+                                                : bound_address);
   std::vector<std::string> seeds;
-  for (const net::Address& seed : settings_.seeds) seeds.push_back(TextOf(seed));
-  WarnOfUnsafeSettings(settings_);
+  for (const net::Address& seed : settings_.seeds) seeds.push_back(FormatAddress(seed));
+  WarnAboutUnsafeSettings(settings_);
   engine_ = std::make_unique<ReplicationEngine>(EngineOptionsFrom(settings_, consistency_guard_, scope_),
                                                 std::move(self), std::move(seeds), recovery_,
                                                 consistency_guard_, incarnation_id);
@@ -119,7 +121,7 @@
 void UdpReplicationService::ReloadKeys() {
   auto keys = LoadSharedKeys(settings_.key_file);
   if (!keys) {
-    spdlog::error("peers: {}; the old keys stay", lynxgrade::Describe(keys.error()));
+    spdlog::error("peers: reload of keys failed, current keys kept: {}", lynxgrade::Describe(keys.error()));
     return;
   }
   authenticator_->ReplaceKeys(std::move(*keys));
@@ -127,9 +129,9 @@
 }
 
 bool UdpReplicationService::Ready() const {
-  // Whoever is there, the leases of a former incarnation expire soon.
-  if (!engine_->MayServe(loop_.Precise())) return false;
-  if (engine_->CountedByAllPeers() && engine_->swim().unheard_seeds().empty()) return true;
+  // Always wait for the leases of an earlier incarnation to expire, which does not take long.
+  if (!engine_->MayServeRequests(loop_.Precise())) return false;
+  if (engine_->IsTrackedByAllPeers() && engine_->swim().unheard_seeds().empty()) return true;
   return loop_.Now() - started_ >= settings_.join_timeout;
 }
 
@@ -146,9 +148,9 @@
 }
 
 void UdpReplicationService::LogQuorumChange() {
-  // It walks over all members: not in each tick.
-  if (loop_.Now() - quorum_checked_ < kQuorumLogInterval) return;
-  quorum_checked_ = loop_.Now();
+  // The assessment visits all members, so it does not run in each tick.
+  if (loop_.Now() - last_quorum_check_ < kQuorumLogInterval) return;
+  last_quorum_check_ = loop_.Now();
   const membership::QuorumTracker::Assessment quorum = engine_->QuorumStateAt(loop_.Precise());
   if (quorum.state == logged_quorum_) return;
   logged_quorum_ = quorum.state;
@@ -166,10 +168,10 @@
 void UdpReplicationService::LogDuplicateName() {
   const std::uint64_t conflicts = engine_->swim().duplicate_name_reports();
   std::uint64_t suppressed = 0;
-  if (conflicts == logged_conflicts_ || !log_limit_.Allows(suppressed)) return;
-  logged_conflicts_ = conflicts;
+  if (conflicts == logged_duplicate_name_reports_ || !log_limit_.Allows(suppressed)) return;
+  logged_duplicate_name_reports_ = conflicts;
   spdlog::warn(
-      "peers: duplicate node name: two running instances share it, the older one rejects writes; "
+      "peers: duplicate instance name: two running instances use it, the older one answers no writes; "
       "conflicts={}",
       conflicts);
 }
@@ -184,8 +186,8 @@
                                   .processor_time = processor_time()});
 }
 
-std::optional<LogPosition> UdpReplicationService::CompleteThrough(consistency::SessionKey key) {
-  return engine_->CompleteThrough(loop_.Precise(), key);
+std::optional<LogPosition> UdpReplicationService::AllWritesKnownAfter(consistency::SessionKey key) {
+  return engine_->AllWritesKnownAfter(loop_.Precise(), key);
 }
 
 bool UdpReplicationService::AcquireLease(GroupId group, consistency::SessionKey key,
@@ -200,7 +202,7 @@
                                               std::function<void()> call) {
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
   AcquireLease(group, key, consistency::LeaseUse::kWrite);
-  // This instance may manage the lease itself, and hold it at once.
+  // If this instance is the lease manager itself, it may hold the lease now.
   if (engine_->MayAnswerWrite(loop_.Precise(), key)) return false;
   pending_answers_.Add({group, key, std::move(call), loop_.Precise() + kPendingAnswerLifetime});
   return true;
@@ -221,10 +223,10 @@
   if (on_learned_) on_learned_();
 }
 
-// Watermarks that were polled before a read came do not serve it: the peers are polled again as soon as
-// possible.
+// The result of an earlier poll does not cover a read that arrived later, so the peers are polled again as
+// soon as the minimum interval allows.
 void UdpReplicationService::PollPeers() {
-  if (engine_->lease_client() != nullptr) return;  // the lease of the session has been requested
+  if (engine_->lease_client() != nullptr) return;  // the session's lease was requested instead
   if (poll_timer_.armed()) return;
   const ProcessorTimeMeter::Scope scope(processor_time_);
   const TimePoint now = loop_.Precise();
@@ -248,8 +250,8 @@
     if (passes_ && !passes_(outgoing.address)) continue;
     const std::string datagram = authenticator_->Sign(outgoing.packet);
     CountPacket(outgoing.packet, datagram.size(), traffic_.out);
-    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeaderBytes);
-    // A datagram that cannot be sent now is lost, like one on the network.
+    engine_->RecordTraffic(loop_.Precise(), datagram.size() + Traffic::kHeaderBytes);
+    // A datagram that cannot be sent now is dropped, as if the network had lost it.
     g_socket_send_to(socket_.get(), target.get(), datagram.data(), datagram.size(), nullptr, nullptr);
   }
 }
@@ -272,7 +274,7 @@
     const net::ObjectPtr<GSocketAddress> sender(address);
     if (size < 0) break;
     if (sender == nullptr || !G_IS_INET_SOCKET_ADDRESS(sender.get())) continue;
-    HandleDatagram({buffer.data(), static_cast<std::size_t>(size)}, TextOf(sender.get()));
+    HandleDatagram({buffer.data(), static_cast<std::size_t>(size)}, FormatAddress(sender.get()));
   }
 }
 
@@ -280,9 +282,9 @@
   if (passes_ && !passes_(sender_address)) return;
   if (const auto packet = authenticator_->Verify(datagram)) {
     CountPacket(*packet, datagram.size(), traffic_.in);
-    engine_->ChargeBandwidth(loop_.Precise(), datagram.size() + Traffic::kHeaderBytes);
-    // Not the beginning of this pass: ages of acknowledgements count up to the moment of the response, and
-    // the process may have been suspended in between.
+    engine_->RecordTraffic(loop_.Precise(), datagram.size() + Traffic::kHeaderBytes);
+    // The precise time, not the start of this pass: ages of acknowledgements count up to the moment of the
+    // response, and the process may have been suspended since the pass started.
     engine_->HandlePacket(loop_.Precise(), sender_address, *packet, outbox_);
   } else {
     ++rejected_datagrams_;
--- a/src/replication/udp_replication_service.h
+++ b/src/replication/udp_replication_service.h
@@ -1,5 +1,5 @@
-// The replication engine of this instance on a real network: one UDP socket, authentication of datagrams, and
-// the clock and timers of the event loop.
+// Runs the replication engine of this instance on a UDP socket, with authenticated datagrams and the clock
+// and timers of the event loop.
 #pragma once
 
 #include <cstdint>
@@ -52,14 +52,14 @@
 
  private:
   // consistency::SessionLeases
-  std::optional<LogPosition> CompleteThrough(consistency::SessionKey key) override;
+  std::optional<LogPosition> AllWritesKnownAfter(consistency::SessionKey key) override;
   bool AcquireLease(GroupId group, consistency::SessionKey key, consistency::LeaseUse use) override;
 
   tl::expected<net::ObjectPtr<GSocketAddress>, StartError> OpenSocket();
   void CreateEngine(const std::string& bound_address);
-  // Sends the write answers that may be sent now, and requests the leases for the others.
+  // Sends the pending write answers that may be sent now, and requests the leases for the others.
   void ProcessPendingAnswers();
-  // Packets have come, or time has passed, that may let reads and write answers proceed.
+  // Lets reads and write answers proceed that may be able to after a packet was received or time has passed.
   void NotifyLearned();
 
   void OnEvents(std::uint32_t events) override;
@@ -67,9 +67,9 @@
   void HandleDatagram(std::string_view datagram, const std::string& sender_address);
   void SendOutbox();
   void Tick();
-  // Logs which part of the fleet this instance belongs to, if that has changed.
+  // Logs the quorum state of this instance if it has changed.
   void LogQuorumChange();
-  // Logs that two instances share a name, which only the operators can mend.
+  // Logs that two running instances share a name, which only an operator can correct.
   void LogDuplicateName();
 
   net::Loop& loop_;
@@ -90,10 +90,10 @@
   net::Timer poll_timer_;
   net::LogLimit log_limit_;
   membership::QuorumState logged_quorum_ = membership::QuorumState::kUnknown;
-  TimePoint quorum_checked_{};
+  TimePoint last_quorum_check_{};
   TimePoint started_{};
   std::uint64_t rejected_datagrams_ = 0;
-  std::uint64_t logged_conflicts_ = 0;
+  std::uint64_t logged_duplicate_name_reports_ = 0;
   ProcessorTimeMeter processor_time_;
 };
 
--- a/src/replication/watermark_log.h
+++ b/src/replication/watermark_log.h
@@ -1,4 +1,4 @@
-// The watermarks of the writes that this instance answered, numbered in sequence, for peers that take them as
+// The watermarks of the writes that this instance answered, numbered in sequence, for the peers that receive
 // deltas.
 //
 // Owns a bounded queue; no clock, no I/O. Sequence numbers start at 1 and never repeat within one
@@ -13,7 +13,7 @@
 
 namespace lynxgrade::replication {
 
-// The place of a watermark in the order in which one incarnation answered its writes; zero: none.
+// The number of a watermark in the order in which one incarnation answered its writes. Zero: none.
 using SequenceNumber = std::uint64_t;
 
 class WatermarkLog {
@@ -23,23 +23,23 @@
     consistency::SessionKey key;
     consistency::WriteWatermark watermark;
   };
-  // What a log without a sequence holds already: nothing, or writes of earlier incarnations, which take
-  // number 1 so that every peer needs a snapshot first.
+  // Whether the watermark table already contains writes of earlier incarnations when the log is created. If
+  // so, they count as number 1, which the log does not retain, so that every peer needs a snapshot first.
   enum class History { kEmpty, kRecovered };
 
-  // Holds at most `capacity` entries; the oldest go first.
+  // Retains at most `capacity` entries and drops the oldest ones first.
   WatermarkLog(std::size_t capacity, History history)
       : capacity_(capacity), first_sequence_(history == History::kEmpty ? 1 : 2) {}
 
   void Append(const Entry& entry);
-  // Numbers one more watermark and drops all that the log holds, for when no peer takes deltas.
+  // Numbers one more watermark and drops all entries. For use while no peer receives deltas.
   void AppendUnretained();
 
-  // Of the oldest entry that is still held, or of the next one where there is none.
+  // Number of the oldest retained entry, or of the next one if none is retained.
   SequenceNumber first_sequence() const { return first_sequence_; }
-  // Of the newest watermark that has been numbered.
+  // Number of the newest watermark.
   SequenceNumber last_sequence() const { return first_sequence_ + entries_.size() - 1; }
-  // `sequence` must lie between the two.
+  // `sequence` must be from first_sequence() to last_sequence().
   const Entry& At(SequenceNumber sequence) const { return entries_[sequence - first_sequence_]; }
 
  private:
--- a/src/replication/watermark_replicator.cpp
+++ b/src/replication/watermark_replicator.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr int kDeltasPerFlush = 16;  // to one peer
-// Without an acknowledgement for so long watermarks are sent again.
+// Watermarks that are not acknowledged within this time are sent again.
 constexpr Duration kRetransmitTimeout{30000};
 
 }  // namespace
@@ -32,26 +32,27 @@
       snapshots_(sender, consistency_guard, counts),
       timelines_(consistency_guard) {}
 
-bool WatermarkReplicator::HasNews(const PeerLink& link) const {
+bool WatermarkReplicator::HasUnsentUpdates(const PeerLink& link) const {
   const WatermarkProgress& progress = link.watermarks;
-  return progress.acknowledged < log_.last_sequence() || progress.owes_ack ||
-         !progress.counts_this_instance || !progress.was_replicated || timelines_.HasNews(link.timelines);
+  return progress.acknowledged_sequence < log_.last_sequence() || progress.ack_pending ||
+         !progress.tracks_this_incarnation || !progress.was_replicated ||
+         timelines_.HasUnsentUpdates(link.timelines);
 }
 
 Duration WatermarkReplicator::FlushInterval(const PeerLink& link, proto::Member::State state) const {
-  // A dead peer may have been cut off, and is to learn what it missed.
+  // A dead peer may only be partitioned from this instance and still needs the watermarks.
   if (state == proto::Member::DEAD) return options_.dead_peer_interval;
   const double spread_s = static_cast<double>(links_.links().size()) / options_.packets_per_s;
   const Duration interval =
       std::max(options_.flush_interval, Duration(static_cast<std::int64_t>(spread_s * 1e6)));
-  return HasNews(link) ? interval : std::max(interval, options_.idle_interval);
+  return HasUnsentUpdates(link) ? interval : std::max(interval, options_.idle_interval);
 }
 
 void WatermarkReplicator::Tick(TimePoint now, Outbox& outbox) {
   PeerLinks::Links& links = links_.links();
   if (links.empty()) return;
-  // Gossip goes out with the first packets of a flush: each tick begins at another peer, so that it reaches
-  // all.
+  // Membership gossip is carried by the first packets of a flush. Each tick starts at another peer, so that
+  // the gossip reaches all of them.
   auto next = links.begin();
   std::advance(next, static_cast<std::ptrdiff_t>(links_.NextInRotation(links.size())));
   for (std::size_t visited = 0; visited < links.size(); ++visited, ++next) {
@@ -59,7 +60,7 @@
     auto& [name, link] = *next;
     const proto::Member* receiver = links_.WatermarkReceiver(name);
     if (receiver == nullptr) continue;
-    if (now - link.watermarks.flushed < FlushInterval(link, receiver->state())) continue;
+    if (now - link.watermarks.last_flush < FlushInterval(link, receiver->state())) continue;
     Flush(now, name, DeltaPurpose::kUpdate, link, outbox);
   }
 }
@@ -79,18 +80,18 @@
                                 Outbox& outbox) {
   const std::string& address = swim_.peers().at(name).member.address();
   WatermarkProgress& progress = link.watermarks;
-  progress.flushed = now;
-  progress.owes_ack = false;
-  if (progress.acknowledged + 1 < log_.first_sequence()) {
+  progress.last_flush = now;
+  progress.ack_pending = false;
+  if (progress.acknowledged_sequence + 1 < log_.first_sequence()) {
     snapshots_.SendChunks(name, address, log_.last_sequence(), link.snapshot, outbox);
   } else {
     SnapshotTransfer::Cancel(link.snapshot);
   }
-  const bool timed_out =
-      progress.sent > progress.acknowledged && now - progress.progressed >= kRetransmitTimeout;
-  if (timed_out) progress.sent = progress.acknowledged;
-  progress.sent = std::max(progress.sent, progress.acknowledged);
-  if (progress.sent == progress.acknowledged) progress.progressed = now;
+  const bool timed_out = progress.sent_sequence > progress.acknowledged_sequence &&
+                         now - progress.last_progress >= kRetransmitTimeout;
+  if (timed_out) progress.sent_sequence = progress.acknowledged_sequence;
+  progress.sent_sequence = std::max(progress.sent_sequence, progress.acknowledged_sequence);
+  if (progress.sent_sequence == progress.acknowledged_sequence) progress.last_progress = now;
   SendDeltas(now, address, purpose, link, outbox);
 }
 
@@ -98,7 +99,7 @@
                                      PeerLink& link, Outbox& outbox) {
   WatermarkProgress& progress = link.watermarks;
   const SequenceNumber last_sequence = log_.last_sequence();
-  SequenceNumber next = std::max(progress.sent + 1, log_.first_sequence());
+  SequenceNumber next = std::max(progress.sent_sequence + 1, log_.first_sequence());
   for (int sent = 0; sent < kDeltasPerFlush; ++sent) {
     proto::Packet packet;
     proto::Delta& delta = *packet.mutable_delta();
@@ -115,16 +116,16 @@
     delta.set_last_sequence(last_sequence);
     delta.set_timestamp_us(static_cast<std::uint64_t>(MicrosecondsOf(now)));
     delta.set_echo_incarnation_id(link.incarnation_id);
-    delta.set_echo_timestamp_us(progress.newest_timestamp);
+    delta.set_echo_timestamp_us(progress.newest_peer_timestamp_us);
     delta.set_received_incarnation_id(link.incarnation_id);
-    delta.set_received_sequence(progress.received);
+    delta.set_received_sequence(progress.received_sequence);
     delta.set_poll(purpose == DeltaPurpose::kPoll);
     delta.set_recovered(options_.recovery == Recovery::kComplete);
     if (sent == 0) timelines_.AppendTo(now, link.timelines, packet);
     sender_.Send(address, std::move(packet), outbox);
     if (next > last_sequence) break;
   }
-  progress.sent = std::max(progress.sent, next - 1);
+  progress.sent_sequence = std::max(progress.sent_sequence, next - 1);
 }
 
 void WatermarkReplicator::HandlePacket(TimePoint now, const std::string& sender_address,
@@ -134,12 +135,12 @@
   if (packet.has_snapshot_chunk()) {
     const auto received =
         snapshots_.HandleChunk(sender_address, packet.snapshot_chunk(), link.snapshot, outbox);
-    if (received) progress.received = std::max(progress.received, *received);
+    if (received) progress.received_sequence = std::max(progress.received_sequence, *received);
   }
   if (packet.has_snapshot_chunk_ack()) {
     if (const auto acknowledged = snapshots_.HandleAck(packet.snapshot_chunk_ack(), link.snapshot)) {
-      progress.acknowledged = std::max(progress.acknowledged, *acknowledged);
-      progress.sent = std::max(progress.sent, progress.acknowledged);
+      progress.acknowledged_sequence = std::max(progress.acknowledged_sequence, *acknowledged);
+      progress.sent_sequence = std::max(progress.sent_sequence, progress.acknowledged_sequence);
     }
   }
   if (!packet.has_delta()) return;
@@ -150,21 +151,21 @@
 void WatermarkReplicator::HandleAcknowledgement(TimePoint now, const proto::Delta& delta,
                                                 WatermarkProgress& progress) {
   if (delta.received_incarnation_id() != swim_.self().incarnation_id()) return;
-  progress.counts_this_instance = true;
+  progress.tracks_this_incarnation = true;
   const SequenceNumber acknowledged = std::min(delta.received_sequence(), log_.last_sequence());
-  if (acknowledged <= progress.acknowledged) return;
-  progress.acknowledged = acknowledged;
-  progress.progressed = now;
+  if (acknowledged <= progress.acknowledged_sequence) return;
+  progress.acknowledged_sequence = acknowledged;
+  progress.last_progress = now;
 }
 
-// In sequence, or not at all: what is missing is sent again.
+// Accepts watermarks only in sequence: after a gap, the sender sends the missing ones again.
 void WatermarkReplicator::LearnWatermarks(const proto::Delta& delta, WatermarkProgress& progress) {
-  if (delta.first_sequence() > progress.received + 1) return;
+  if (delta.first_sequence() > progress.received_sequence + 1) return;
   SequenceNumber sequence = delta.first_sequence();
   for (const proto::WriteWatermark& watermark : delta.watermarks()) {
-    if (sequence++ <= progress.received) continue;
-    ++progress.received;
-    progress.owes_ack = true;
+    if (sequence++ <= progress.received_sequence) continue;
+    ++progress.received_sequence;
+    progress.ack_pending = true;
     ++counts_.watermarks_received;
     consistency_guard_.LearnWatermark(GroupId(watermark.group()), consistency::SessionKey(watermark.key()),
                                       WatermarkFrom(watermark));
@@ -174,12 +175,12 @@
 void WatermarkReplicator::HandleDelta(TimePoint now, const std::string& name, const proto::Delta& delta,
                                       PeerLink& link) {
   WatermarkProgress& progress = link.watermarks;
-  progress.newest_timestamp = std::max(progress.newest_timestamp, delta.timestamp_us());
+  progress.newest_peer_timestamp_us = std::max(progress.newest_peer_timestamp_us, delta.timestamp_us());
   HandleAcknowledgement(now, delta, progress);
   LearnWatermarks(delta, progress);
   const bool echoes_this_incarnation =
       delta.echo_incarnation_id() == swim_.self().incarnation_id() && delta.echo_timestamp_us() != 0;
-  if (!echoes_this_incarnation || progress.received < delta.last_sequence()) return;
+  if (!echoes_this_incarnation || progress.received_sequence < delta.last_sequence()) return;
   const TimePoint echoed = PositionFromMicroseconds(static_cast<std::int64_t>(delta.echo_timestamp_us()));
   progress.replicated_through = std::max(progress.replicated_through, std::min(now, echoed));
   progress.was_replicated = true;
--- a/src/replication/watermark_replicator.h
+++ b/src/replication/watermark_replicator.h
@@ -1,10 +1,11 @@
-// Replicates the watermarks of the writes that this instance answered to the peers, and learns theirs: deltas
-// in sequence, acknowledgements, and a snapshot transfer for a peer that misses more than is retained.
+// Replicates the watermarks of the writes that this instance answered to the peers, and receives theirs:
+// deltas in sequence, acknowledgements, and a snapshot transfer for a peer that misses more than is retained.
 //
-// Owns the log of this instance's watermarks; the progress with each peer stands in its link. Free of sockets
-// and clocks. A delta echoes the newest timestamp of the receiver's own clock, so that "replicated through"
-// is a time of the receiver's clock: a clock that steps elsewhere cannot extend it. A packet that is lost,
-// duplicated, late or out of order delays replication and never loses a watermark.
+// Owns the log of this instance's watermarks; the progress with each peer is kept in its link. Free of
+// sockets and clocks. A delta echoes the newest timestamp that its sender has received from the receiver, so
+// that `replicated_through` is a time of the receiver's own clock, which a step of another clock cannot
+// extend. A packet that is lost, duplicated, delayed or reordered delays replication but never loses a
+// watermark.
 #pragma once
 
 #include <cstddef>
@@ -24,17 +25,17 @@
 
 class WatermarkReplicator {
  public:
-  // What this instance knows of the writes that its earlier incarnations answered.
+  // Whether this instance has recovered all writes that its earlier incarnations answered.
   enum class Recovery { kIncomplete, kComplete };
   struct Options {
-    Duration flush_interval{};  // to a peer that has to hear something
-    Duration idle_interval{};   // to a peer for which there is nothing new and that waits for nothing
-    Duration dead_peer_interval{};
+    Duration flush_interval{};      // between deltas to a peer for which there are updates
+    Duration idle_interval{};       // between deltas to a peer for which there are none
+    Duration dead_peer_interval{};  // between deltas to a dead peer
     std::size_t retained_watermarks = 0;
-    double packets_per_s = 0;  // with many peers the interval is stretched to stay below this
+    double packets_per_s = 0;  // with many peers, the interval is stretched to stay below this rate
     Recovery recovery = Recovery::kIncomplete;
   };
-  // The least time between two polls of the peers.
+  // Minimum time between two polls of the peers.
   static constexpr Duration kMinPollInterval{1000};
 
   // All references must outlive the replicator.
@@ -42,26 +43,27 @@
                       PacketSender& sender, consistency::SessionConsistencyGuard& consistency_guard,
                       ReplicationCounts& counts);
 
-  // A write that this instance is about to answer; retained for the peers.
+  // Records a write that this instance is about to answer, and retains it for the peers.
   void Record(const WatermarkLog::Entry& write) { log_.Append(write); }
-  // The same where no peer takes deltas: a peer that comes later starts with a snapshot.
+  // The same while no peer receives deltas: a peer that joins later needs a snapshot.
   void RecordUnretained() { log_.AppendUnretained(); }
 
-  // Sends deltas to the peers for which they are due. To be called every few milliseconds.
+  // Sends the deltas that are due. Call every few milliseconds.
   void Tick(TimePoint now, Outbox& outbox);
-  // Asks all live peers for an immediate delta. False: the last poll was too recent, and nobody was asked.
+  // Requests an immediate delta from all live peers. Returns false without polling if the last poll was too
+  // recent.
   bool PollPeers(TimePoint now, Outbox& outbox);
-  // The parts of a packet from the peer `name` that concern watermarks.
+  // Handles the parts of a peer's packet that concern watermarks.
   void HandlePacket(TimePoint now, const std::string& sender_address, const proto::Packet& packet,
                     PeerLink& link, Outbox& outbox);
 
   void OnLog(std::function<void(std::string)> log) { snapshots_.OnLog(std::move(log)); }
 
  private:
-  enum class DeltaPurpose { kUpdate, kPoll };  // kPoll: the peer is to answer at once
+  enum class DeltaPurpose { kUpdate, kPoll };  // kPoll: the peer is to respond immediately
 
   Duration FlushInterval(const PeerLink& link, proto::Member::State state) const;
-  bool HasNews(const PeerLink& link) const;
+  bool HasUnsentUpdates(const PeerLink& link) const;
   void Flush(TimePoint now, const std::string& name, DeltaPurpose purpose, PeerLink& link, Outbox& outbox);
   void SendDeltas(TimePoint now, const std::string& address, DeltaPurpose purpose, PeerLink& link,
                   Outbox& outbox);
--- a/tests/consistency/primary_timeline_test.cpp
+++ b/tests/consistency/primary_timeline_test.cpp
@@ -1,4 +1,4 @@
-// Which writes a change of primary may have lost.
+// The writes that a change of primary may have lost.
 #include "consistency/primary_timeline.h"
 
 #include <doctest/doctest.h>
@@ -33,13 +33,13 @@
 }
 
 TEST_CASE(
-    "primary timeline: a replica's position later than the known timeline can have lasted proves nothing") {
+    "primary timeline: a replica's position later than the known timeline can have lasted is not trusted") {
   PrimaryTimeline timeline(Duration(1'000'000));
-  CHECK_FALSE(timeline.TrustedThrough());
+  CHECK_FALSE(timeline.MaxTrustedPosition());
   timeline.HandlePrimaryPosition(kServerA, At(100));
-  CHECK(*timeline.TrustedThrough() == At(1100));
+  CHECK(*timeline.MaxTrustedPosition() == At(1100));
   timeline.HandleReplicaPosition(kServerB, At(80));
-  timeline.HandleReplicaPosition(kServerB, At(5000));  // on the timeline of a successor that was not seen yet
+  timeline.HandleReplicaPosition(kServerB, At(5000));  // on the timeline of a successor that is not known yet
   timeline.HandlePrimaryPosition(kServerB, At(6000));
   CHECK(timeline.replicated_through() == At(80));
 }
--- a/tests/consistency/session_consistency_guard_test.cpp
+++ b/tests/consistency/session_consistency_guard_test.cpp
@@ -1,4 +1,5 @@
-// The guard without sockets: what writes, changes of primary, restarts and other instances do to reads.
+// Tests the guard without sockets: the effect of writes, changes of primary, restarts and other instances on
+// reads.
 #include "consistency/session_consistency_guard.h"
 
 #include <doctest/doctest.h>
@@ -112,7 +113,7 @@
   fixture.Request(kReadClass, "s");
   REQUIRE(fixture.rejected.size() == 1);
   CHECK(fixture.rejected[0].reason == RejectionReason::kUnknownWrite);
-  fixture.Request(kReadClass, "w");  // wrote since
+  fixture.Request(kReadClass, "w");  // this session has written since the start
   CHECK(fixture.rejected.size() == 1);
 }
 
@@ -161,7 +162,7 @@
   CHECK(fixture.rejected[0].id == read);
 }
 
-TEST_CASE("guard: a response older than the required position becomes a miss") {
+TEST_CASE("guard: a response older than the required position becomes kMisrouted") {
   GuardFixture fixture;
   fixture.Write("s", kServerA, At(130));
   CHECK(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerB, Role::kReplica, At(129)).outcome ==
@@ -176,18 +177,19 @@
   fixture.Respond(fixture.Request(kReadClass, "x").id, kServerB, Role::kReplica, At(100));
   fixture.Write("s", kServerB, At(3000));
   fixture.now = At(3001);
-  // A response from before the change is stale. One from after it shows a second primary, so that the
-  // session's write may be lost.
+  // A response from before the change is stale. One from after it shows another change of primary, in which
+  // the session's write may be lost.
   CHECK(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerA, Role::kPrimary, At(2000)).outcome ==
         Outcome::kMisrouted);
   CHECK(fixture.rejected.empty());
   const RequestId read = fixture.Request(kReadClass, "s").id;
   fixture.Respond(read, kServerA, Role::kPrimary, At(3001));
-  REQUIRE(fixture.rejected.size() == 2);  // the read whose response became a miss, and this one
+  REQUIRE(fixture.rejected.size() == 2);  // the read whose response was stale, and this one
   CHECK((fixture.rejected[0].id == read || fixture.rejected[1].id == read));
 }
 
-// Cut down to what is trusted, such a position would claim writes that its server may not have replayed.
+// If it were lowered to the trusted position instead, it would claim writes that its server may not have
+// replayed.
 TEST_CASE("guard: a position later than the known timeline can have lasted is removed from the event") {
   GuardFixture fixture;
   CHECK_FALSE(fixture.Respond(fixture.Request(kReadClass, "s").id, kServerB, Role::kReplica, At(5))
@@ -230,9 +232,9 @@
     request.time_since_write = Duration(2000);
     Event event = request;
     guard.PrepareEvent(At(10), event);
-    const auto target = std::get<RequestEvent>(event).required_position;
-    if (carried) CHECK(*target == At(8));
-    if (!carried) CHECK_FALSE(target);
+    const auto required_position = std::get<RequestEvent>(event).required_position;
+    if (carried) CHECK(*required_position == At(8));
+    if (!carried) CHECK_FALSE(required_position);
   }
 }
 
--- a/tests/consistency/session_watermark_table_test.cpp
+++ b/tests/consistency/session_watermark_table_test.cpp
@@ -1,4 +1,4 @@
-// The watermark table against a plain map, with evictions and a moving base.
+// Compares the watermark table with a plain map, with evictions and a moving base.
 #include "consistency/session_watermark_table.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,8 @@
 namespace lynxgrade::consistency {
 namespace {
 
-TEST_CASE("watermark table: compared with a plain map, no session is known by less than its newest write") {
+TEST_CASE(
+    "watermark table: no session has a position older than its newest write, compared with a plain map") {
   CHECK(rc::check("watermark table", [](const std::vector<std::pair<std::uint8_t, std::uint16_t>>& writes) {
     SessionWatermarkTable watermark_table(24);  // six buckets: most of 256 sessions have to be evicted
     std::map<std::uint8_t, WriteWatermark> model;
@@ -48,7 +49,7 @@
 }
 
 TEST_CASE(
-    "watermark table: when the base moves, positions keep their order and too old ones are rounded up") {
+    "watermark table: when the base moves, positions keep their order and those before it are rounded up") {
   SessionWatermarkTable watermark_table(100);
   watermark_table.Record(SessionKeyOf(kGroup, "old"), {At(0), kServerA});
   const std::int64_t weeks = 50LL * 86'400'000;
--- a/tests/consistency/test_positions.h
+++ b/tests/consistency/test_positions.h
@@ -1,4 +1,4 @@
-// Names of servers, groups and log positions that the tests of this folder share.
+// Servers, groups and log positions that the tests of this folder share.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 inline constexpr ServerId kServerC{3};
 inline constexpr GroupId kGroup{2};
 
-// A time of day that real data servers report, plus `milliseconds`.
+// A position as real data servers report it, plus `milliseconds`.
 inline LogPosition At(std::int64_t milliseconds) {
   return LogPosition(Duration(1'700'000'000'000'000 + milliseconds * 1000));
 }
--- a/tests/lease/bandwidth_budget_test.cpp
+++ b/tests/lease/bandwidth_budget_test.cpp
@@ -1,4 +1,4 @@
-// The bandwidth budget against the sum of what it allowed.
+// Checks the bandwidth budget against the sum of the bytes that it allowed.
 #include "lease/bandwidth_budget.h"
 
 #include <doctest/doctest.h>
@@ -17,15 +17,15 @@
 constexpr TimePoint kStart{Duration(1'700'000'000'000'000)};
 
 TEST_CASE(
-    "bandwidth budget: over any time it allows its rate and half a second's worth at most, whatever is "
+    "bandwidth budget: in any interval it allows at most its rate plus half a second's worth, whatever is "
     "spent") {
-  // Each act: a wait, a number of bytes, and whether they cannot be deferred.
-  CHECK(rc::check("spending", [](const std::vector<std::tuple<std::uint16_t, std::uint16_t, bool>>& acts) {
+  // Each step: a wait, a number of bytes, and whether they cannot be deferred.
+  CHECK(rc::check("spending", [](const std::vector<std::tuple<std::uint16_t, std::uint16_t, bool>>& steps) {
     constexpr double kRate = 12000;
     TimePoint now = kStart;
     BandwidthBudget budget(kRate, now);
     std::vector<std::pair<TimePoint, double>> allowed;
-    for (const auto& [wait, bytes, must_send] : acts) {
+    for (const auto& [wait, bytes, must_send] : steps) {
       now += Duration(wait * 10);
       const bool allows = budget.Allows(now, bytes);
       if (!must_send && !allows) continue;
--- a/tests/lease/lease_message_relay_test.cpp
+++ b/tests/lease/lease_message_relay_test.cpp
@@ -1,4 +1,4 @@
-// How lease messages are batched and relayed between a requester and three lease managers.
+// Batching and relaying of lease messages between a requester and three lease managers.
 #include "lease/lease_message_relay.h"
 
 #include <doctest/doctest.h>
@@ -42,7 +42,7 @@
   OutgoingLeaseMessage Acquire(IncarnationId manager) const {
     return {manager, Message(LeaseMessage::Kind::kAcquire, manager), 1, true};
   }
-  // The requester's request to the far manager reaches it through the near one.
+  // Sends the requester's request to the far manager through the near one.
   void AcquireThroughRelay() {
     requester.Send(now, Acquire(kFar), hops);
     requester.FlushDue(now + kBatchingDelay, hops);
@@ -87,7 +87,7 @@
   fixture.requester.FlushDue(now + kBatchingDelay, hops);
   REQUIRE(hops.size() == 2);
   for (const LeaseMessageRelay::Hop& hop : hops) CHECK((hop.receiver == kNear && hop.via_relay));
-  // One is for the relay itself; it forwards the other one at once.
+  // The relay is the receiver of one message and forwards the other one immediately.
   const LeaseMessageRelay::Hops sent = std::exchange(hops, {});
   CHECK(fixture.near_manager.Receive(now, kRequester, sent[0], hops) == kRequester);
   CHECK(hops.empty());
--- a/tests/lease/lease_safety_test.cpp
+++ b/tests/lease/lease_safety_test.cpp
@@ -1,5 +1,5 @@
-// Simulated fleets under faults: no read with a complete position misses an answered write; and with any rule
-// of the design left out, the check finds reads that do.
+// Simulated fleets under faults: no read with a position from AllWritesKnownAfter misses an answered write.
+// With any rule of the design switched off, the check finds reads that do.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -17,7 +17,7 @@
 namespace lynxgrade::lease {
 namespace {
 
-// Sums of several runs.
+// The summed results of several runs.
 struct Totals {
   void Add(const SimulatedLeaseFleet& fleet) {
     sums.complete_reads += fleet.results.complete_reads;
@@ -63,7 +63,7 @@
   for (int i = 0; i < rounds; ++i) {
     fleet.StartWrite(fleet.Draw(4), static_cast<int>(fleet.Draw(kSessions)));
     fleet.StartRead(fleet.Draw(4), static_cast<int>(fleet.Draw(kSessions)));
-    fleet.Pass(kMs * 20);
+    fleet.RunFor(kMs * 20);
   }
 }
 
@@ -71,7 +71,7 @@
     "leases: with losses, delays, cuts, pauses and restarts no complete read misses an answered write") {
   const Totals totals = RunRandomScripts(
       {1, 2, 3, 5}, [](std::size_t size, std::uint64_t seed) { return SimulatedLeaseFleet(size, seed, {}); });
-  // Otherwise the runs prove little.
+  // Guards against runs with too few complete reads, which would prove little.
   CHECK(totals.sums.complete_reads > totals.sums.conservative_reads / 4);
   CHECK(totals.sums.early_reads > totals.sums.complete_reads / 2);
   CHECK(totals.sums.answered_writes > totals.sums.failed_writes);
@@ -82,7 +82,7 @@
   const Totals totals = RunRandomScripts({1, 2, 3}, [](std::size_t managers, std::uint64_t seed) {
     return SimulatedLeaseFleet(managers + 1 + seed % 2, seed, {}, managers);
   });
-  // Otherwise the runs prove little. With fewer managers more depends on each, and fewer reads are complete.
+  // As above. With fewer managers each one matters more, so fewer reads are complete.
   CHECK(totals.sums.complete_reads > totals.sums.conservative_reads / 6);
   CHECK(totals.sums.early_reads > totals.sums.complete_reads / 2);
   CHECK(totals.sums.answered_writes > totals.sums.failed_writes);
@@ -95,11 +95,11 @@
   const Totals totals = RunRandomScripts({1, 2, 3}, [&](std::size_t managers, std::uint64_t seed) {
     return SimulatedLeaseFleet(managers + 2 + seed % 2, seed, variant, managers);
   });
-  // Otherwise the runs prove little.
+  // Guards against runs with too little batching and relaying, which would prove little.
   CHECK(totals.sums.batched > 10000);
   CHECK(totals.relayed > 1000);
   CHECK(totals.dropped > 0);
-  // Four messages that are batched take longer than a read is delayed, so fewer reads are complete.
+  // Four batched messages take longer than a read is delayed, so fewer reads are complete.
   CHECK(totals.sums.complete_reads > totals.sums.conservative_reads / 10);
   CHECK(totals.sums.answered_writes > totals.sums.failed_writes);
 }
@@ -109,7 +109,7 @@
   constexpr std::size_t kManager = 3;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     SimulatedLeaseFleet fleet(4, seed, {}, 1);
-    fleet.Pass(kMs * 600);
+    fleet.RunFor(kMs * 600);
     for (int round = 0; round < 4; ++round) {
       for (std::size_t at = 0; at < kManager; ++at) fleet.CutBothWays(at, kManager);
       if (round % 2 == 0) fleet.Restart(kManager);
@@ -122,31 +122,31 @@
   }
 }
 
-TEST_CASE("leases: a script that RapidCheck draws and shrinks act by act leaves no read stale") {
-  using Act = std::tuple<std::uint8_t, std::uint8_t, std::uint8_t>;
+TEST_CASE("leases: a script that RapidCheck draws and shrinks step by step leaves no read stale") {
+  using Step = std::tuple<std::uint8_t, std::uint8_t, std::uint8_t>;
   for (const std::size_t managers : {0u, 1u, 2u}) {
     CAPTURE(managers);
-    CHECK(rc::check("drawn scripts", [managers](const std::vector<Act>& acts) {
-      SimulatedLeaseFleet fleet(3, acts.size(), {}, managers);
-      fleet.Pass(kMs * 600);
-      for (const auto& [kind, a, b] : acts) fleet.Act(kind, a, b);
+    CHECK(rc::check("drawn scripts", [managers](const std::vector<Step>& steps) {
+      SimulatedLeaseFleet fleet(3, steps.size(), {}, managers);
+      fleet.RunFor(kMs * 600);
+      for (const auto& [kind, a, b] : steps) fleet.RunStep(kind, a, b);
       fleet.RepairLinks();
-      fleet.Pass(kMs * 1000);
+      fleet.RunFor(kMs * 1000);
       for (std::size_t at = 0; at < 3; ++at) fleet.StartRead(at, static_cast<int>(at));
-      fleet.Pass(kMs * 100);
+      fleet.RunFor(kMs * 100);
       RC_ASSERT(fleet.results.stale_reads == 0);
     }));
   }
 }
 
-// Each variant leaves out one rule.
+// Variants with one rule switched off each.
 std::vector<std::pair<std::string, Variant>> VariantsWithoutOneRule() {
   std::vector<std::pair<std::string, Variant>> variants;
   const auto add = [&](std::string name) -> Variant& {
     return variants.emplace_back(std::move(name), Variant{}).second;
   };
   add("writes need no lease").rules.writes_require_lease = false;
-  add("a new incarnation answers at once").rules.wait_after_start = false;
+  add("a new incarnation answers writes immediately").rules.wait_after_start = false;
   add("a reader's view need not be complete since its request").rules.require_unbroken_view = false;
   add("a manager's view need not be complete without a break").rules.manager_requires_unbroken_view = false;
   add("a revocation leaves the pending request").rules.revocation_cancels_request = false;
@@ -165,7 +165,7 @@
     const Variant& variant = named_variant.second;
     for (std::size_t round = 0; round <= kLowBandwidthRound; ++round) {
       const std::size_t managers = round == kLowBandwidthRound ? 2 : round;
-      if (variant.managers_not_agreed && managers == 0) continue;  // leaves no rule out
+      if (variant.managers_not_agreed && managers == 0) continue;  // switches no rule off
       Variant run_variant = variant;
       run_variant.low_bandwidth = round == kLowBandwidthRound;
       CAPTURE(name);
@@ -180,8 +180,8 @@
         ++runs;
       }
       const std::string bandwidth = run_variant.low_bandwidth ? ", low bandwidth" : "";
-      MESSAGE(name, ", ", managers, " dedicated managers", bandwidth, ": found in run ", runs, ", ",
-              stale_reads, " reads");
+      MESSAGE(name, ", ", managers, " dedicated managers", bandwidth, ": ", stale_reads,
+              " stale reads, found in run ", runs);
       CHECK(stale_reads > 0);
     }
   }
--- a/tests/lease/rendezvous_hash_test.cpp
+++ b/tests/lease/rendezvous_hash_test.cpp
@@ -1,4 +1,4 @@
-// Which instance rendezvous hashing selects for a session key.
+// The instance that rendezvous hashing selects for a session key.
 #include "lease/rendezvous_hash.h"
 
 #include <doctest/doctest.h>
@@ -15,8 +15,9 @@
 }
 
 TEST_CASE(
-    "rendezvous hash: in any order the same one is selected; without one, only its keys move; all get a "
-    "part") {
+    "rendezvous hash: the order of candidates does not matter, removing one moves only its keys, and keys "
+    "are "
+    "spread evenly") {
   std::vector<IncarnationId> candidates;
   for (IncarnationId number = 1; number <= 41; ++number) candidates.push_back(number * 7919);
   const IncarnationId removed = candidates[5];
--- a/tests/lease/session_lease_client_test.cpp
+++ b/tests/lease/session_lease_client_test.cpp
@@ -1,4 +1,4 @@
-// The lease client alone: which lease requests it sends.
+// The lease requests that a lease client sends.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -26,7 +26,7 @@
   for (int session = 0; session < 100; ++session) {
     requested += client.AcquireLease(now, kGroup, SessionKeyOf(session), Use::kRead, out) ? 1 : 0;
   }
-  CHECK(requested == 10);  // half a second's worth, 200 bytes each, as long as none is granted
+  CHECK(requested == 10);  // half a second's worth at 200 bytes each, while none is granted
   CHECK(client.counts().suppressed_reads == 90);
   CHECK(client.counts().over_budget == 90);
   CHECK(client.AcquireLease(now, kGroup, SessionKeyOf(200), Use::kWrite, out));
@@ -34,7 +34,7 @@
   client.RecordTraffic(now, 5000);
   now += kMs * 700;
   client.UpdateView(now, {7, true, managers});
-  client.Tick(now, out);  // the requests for reads are given up
+  client.Tick(now, out);  // the requests for reads expire
   CHECK_FALSE(client.AcquireLease(now, kGroup, SessionKeyOf(201), Use::kRead, out));
   now += kMs * 400;
   client.UpdateView(now, {7, true, managers});
--- a/tests/lease/simulated_lease_fleet.h
+++ b/tests/lease/simulated_lease_fleet.h
@@ -1,5 +1,4 @@
-// A simulated fleet for the lease tests, in virtual time, with a check of each read against all answered
-// writes.
+// A simulated fleet for the lease tests, in virtual time, that checks each read against all answered writes.
 #pragma once
 
 #include <algorithm>
@@ -25,12 +24,13 @@
 inline constexpr Duration kMaxReadDelay = kMs * 30;
 inline constexpr int kSessions = 3;
 
-// Instances on links that lose, duplicate and delay packets and can be cut in one direction; with restarts,
-// pauses and clocks that run apart. A read is stale if its required position lies before a write of its
-// session that was answered before.
+// Instances on links that lose, duplicate and delay packets and can be cut in either direction, with
+// restarts, pauses and clocks that run at different rates. A read is stale if its required position lies
+// before a write of its session that was answered earlier.
 class SimulatedLeaseFleet {
  public:
-  // The last `dedicated_managers` instances manage leases for all; they answer requests as the others do.
+  // The last `dedicated_managers` instances manage the leases of all instances. They answer client requests
+  // too.
   SimulatedLeaseFleet(std::size_t size, std::uint64_t seed, const Variant& variant,
                       std::size_t dedicated_managers = 0)
       : random_(seed), variant_(variant), size_(size), dedicated_managers_(dedicated_managers) {
@@ -48,7 +48,7 @@
 
   // Starts a new incarnation of the instance, with nothing recovered.
   void Restart(std::size_t at) {
-    // Offsets of hours and drifts of 4 %; no two incarnations share a clock.
+    // Each incarnation has its own clock, with an offset of up to hours and a rate error of up to 4 %.
     clocks_[at] = {kMs * 1000 * (static_cast<std::int64_t>(Draw(20000)) - 10000),
                    static_cast<int>(Draw(81)) - 40, now_};
     if (at + dedicated_managers_ >= size_) dedicated_incarnations_.insert(last_incarnation_id_ + 1);
@@ -62,7 +62,7 @@
 
   TimePoint LocalTime(std::size_t at) const { return clocks_[at].Local(now_); }
 
-  // A write arrives now, runs for a while, and is answered once that is allowed.
+  // A write arrives now, is executed within about 20 ms, and is answered once that is allowed.
   void StartWrite(std::size_t at, int session) {
     if (now_ < paused_until_[at]) return;
     AcquireLease(at, session, SessionLeaseClient::Use::kWrite);
@@ -79,12 +79,12 @@
   void CutBothWays(std::size_t one, std::size_t other) { cut_links_.insert({{one, other}, {other, one}}); }
   void RepairLinks() { cut_links_.clear(); }
 
-  // Lets `time` pass.
-  void Pass(Duration time) {
+  // Lets virtual time pass.
+  void RunFor(Duration time) {
     const TimePoint end = now_ + time;
     for (; now_ < end; now_ += kTick) {
       DeliverPackets();
-      if (Draw(2) == 0) ProgressRequests();  // before or after the instances' own tick
+      if (Draw(2) == 0) ProgressRequests();  // in half of the ticks also before the instances' own tick
       for (std::size_t at = 0; at < size_; ++at) {
         if (now_ >= paused_until_[at]) TickNode(at);
       }
@@ -92,8 +92,8 @@
     }
   }
 
-  // One step of a script: a request or a fault at instance `a`, with session or details by `b`.
-  void Act(std::uint8_t kind, std::uint8_t a, std::uint8_t b) {
+  // Runs one step of a script: a request or a fault at instance `a`; `b` selects the session or details.
+  void RunStep(std::uint8_t kind, std::uint8_t a, std::uint8_t b) {
     const std::size_t at = a % size_;
     const int session = b % kSessions;
     const std::size_t other = (at + 1 + b % std::max<std::size_t>(1, size_ - 1)) % size_;
@@ -117,31 +117,31 @@
     } else if (other != at) {
       nodes[at]->excluded_until[other] = LocalTime(at) + kMs * (20 + 4 * b);
     }
-    constexpr std::array<int, 3> kMsBetweenActs{5, 20, 60};
-    Pass(kMs * kMsBetweenActs[b % kMsBetweenActs.size()]);
+    constexpr std::array<int, 3> kMsBetweenSteps{5, 20, 60};
+    RunFor(kMs * kMsBetweenSteps[b % kMsBetweenSteps.size()]);
   }
 
-  // Runs a random script: calm stretches, in which views become complete, with faults in between.
-  void RunScript(int acts) {
+  // Runs a random script: periods without faults, in which views become complete, with faults in between.
+  void RunScript(int steps) {
     loss_percent_ = static_cast<int>(Draw(3) * 8);
     late_percent_ = static_cast<int>(Draw(3) * 10);
-    Pass(kMs * 600);
-    for (int i = 0; i < acts; ++i) {
+    RunFor(kMs * 600);
+    for (int i = 0; i < steps; ++i) {
       const auto kind = Draw(10) < 8 ? Draw(10) : 10 + Draw(6);
-      Act(static_cast<std::uint8_t>(kind), static_cast<std::uint8_t>(Draw(256)),
-          static_cast<std::uint8_t>(Draw(256)));
+      RunStep(static_cast<std::uint8_t>(kind), static_cast<std::uint8_t>(Draw(256)),
+              static_cast<std::uint8_t>(Draw(256)));
       if (Draw(25) == 0) {
         RepairLinks();
-        Pass(kMs * 400);
+        RunFor(kMs * 400);
       }
     }
   }
 
   struct Results {
     int stale_reads = 0;
-    int complete_reads = 0;      // with a position from CompleteThrough
-    int early_reads = 0;         // of these, with a position well before the arrival
-    int conservative_reads = 0;  // the others
+    int complete_reads = 0;      // reads with a position from AllWritesKnownAfter
+    int early_reads = 0;         // those of them whose required position is well before their arrival
+    int conservative_reads = 0;  // all other reads
     int answered_writes = 0;
     int failed_writes = 0;
     std::uint64_t batched = 0;
@@ -198,17 +198,17 @@
   }
 
   void DeliverPackets() {
-    std::vector<Datagram> in_sockets;  // of instances that are paused
+    std::vector<Datagram> held_datagrams;  // for paused instances
     while (!datagrams_.empty() && datagrams_.top().arrives <= now_) {
       const Datagram next = datagrams_.top();
       datagrams_.pop();
       if (now_ < paused_until_[next.to]) {
-        in_sockets.push_back({paused_until_[next.to], next.order, next.to, next.packet});
+        held_datagrams.push_back({paused_until_[next.to], next.order, next.to, next.packet});
       } else {
         Receive(next.to, next.packet);
       }
     }
-    for (const Datagram& waiting : in_sockets) datagrams_.push(waiting);
+    for (const Datagram& waiting : held_datagrams) datagrams_.push(waiting);
   }
 
   Packet MakePacket(std::size_t at) {
@@ -248,7 +248,7 @@
     SimulatedLeaseNode& node = *nodes[at];
     const TimePoint local = LocalTime(at);
     node.UpdateView(local);
-    node.HearPeer(local, packet);
+    node.RecordPeerPacket(local, packet);
     node.RefreshView(local);
     if (packet.ack != 0) node.HandleAck(local, packet);
     node.UpdateView(local);
@@ -326,14 +326,15 @@
     std::erase_if(reads_, [this](const Read& read) { return IsReadOver(read); });
   }
 
-  // Answers the write if that is allowed. By index, as the lease that it requests may add packets only.
+  // Answers the write if that is allowed. Returns whether the write is answered or has failed. A lease
+  // request that it sends only adds packets, so `writes_` does not change meanwhile.
   bool IsWriteOver(std::size_t index) {
     Write& write = writes_[index];
     if (now_ < paused_until_[write.at] || now_ < write.done) return false;
     SimulatedLeaseNode& node = *nodes[write.at];
     const TimePoint local = LocalTime(write.at);
     if (!write.watermark) {
-      // The commit happened a little before. Data servers' clocks show the true time.
+      // The commit happened up to a millisecond ago. The clocks of data servers show the true time.
       const LogPosition commit = now_ - Duration(static_cast<std::int64_t>(Draw(1000)));
       write.watermark = consistency::WriteWatermark{commit, kPrimary};
       node.watermark_table.Record(SessionKeyOf(write.session), *write.watermark);
@@ -357,18 +358,18 @@
     SimulatedLeaseNode& node = *nodes[read.at];
     const TimePoint local = LocalTime(read.at);
     node.UpdateView(local);
-    const auto complete_through = node.client->CompleteThrough(local, SessionKeyOf(read.session));
-    if (!complete_through && now_ - read.arrived < kMaxReadDelay) return false;
-    ++(complete_through ? results.complete_reads : results.conservative_reads);
-    if (complete_through) CheckRead(read, node, *complete_through);
+    const auto all_writes_known_after = node.client->AllWritesKnownAfter(local, SessionKeyOf(read.session));
+    if (!all_writes_known_after && now_ - read.arrived < kMaxReadDelay) return false;
+    ++(all_writes_known_after ? results.complete_reads : results.conservative_reads);
+    if (all_writes_known_after) CheckRead(read, node, *all_writes_known_after);
     return true;
   }
 
-  // Checks a read whose required position is that of all writes the node knows.
-  void CheckRead(const Read& read, const SimulatedLeaseNode& node, LogPosition complete_through) {
+  // Checks a read whose required position covers all writes that the node knows.
+  void CheckRead(const Read& read, const SimulatedLeaseNode& node, LogPosition all_writes_known_after) {
     const auto known = node.watermark_table.Find(SessionKeyOf(read.session));
-    // The position is by the reader's clock, watermarks are by the data servers'.
-    LogPosition required = clocks_[read.at].True(complete_through);
+    // The position is a time of the reader's clock, watermarks are times of the data servers' clocks.
+    LogPosition required = clocks_[read.at].True(all_writes_known_after);
     if (known.watermark) required = std::max(required, known.watermark->position);
     if (!known.watermark && known.conservative_position) {
       required = std::max(required, *known.conservative_position);
@@ -386,38 +387,39 @@
 
   // ---- Faults ----
 
-  // How long an instance is paused: mostly short, rarely for longer than a view is valid.
+  // How long an instance is paused: usually briefly, sometimes for longer than a view is valid.
   static Duration PauseOf(std::uint8_t b) {
     if (b % 8 == 0) return kMs * 2000;
     return kMs * (b % 4 == 0 ? 400 : 30);
   }
 
-  // The holder `at` cannot be reached with a revocation, goes on writing, and its lease expires.
+  // Lease messages cannot reach the holder `at`, so that its lease is not revoked; it continues to write
+  // until the lease expires.
   void LetLeaseExpire(std::size_t at, std::size_t other, int session) {
     StartWrite(at, session);
-    Pass(kMs * 60);
+    RunFor(kMs * 60);
     for (std::size_t to = 0; to < size_; ++to) {
       if (to != at) muted_links_.insert({{at, to}, {to, at}});
     }
     StartWrite(at, session);
-    Pass(kMs * 40);
+    RunFor(kMs * 40);
     for (int i = 0; i < 15; ++i) {
       StartRead(other, session);
-      Pass(kLeaseDuration / 10);
+      RunFor(kLeaseDuration / 10);
     }
     muted_links_.clear();
   }
 
-  // `at` restarts while nobody hears it, and another instance, which may hold the lease, reads.
+  // `at` restarts while its packets are lost, and another instance, which may hold the lease, reads.
   void RestartUnheard(std::size_t at, std::size_t other, int session) {
     for (std::size_t to = 0; to < size_; ++to) {
       if (to != at) CutLink(at, to);
     }
     Restart(at);
     StartWrite(at, session);
-    Pass(kMs * 40);
+    RunFor(kMs * 40);
     StartRead(other, session);
-    Pass(kMs * 60);
+    RunFor(kMs * 60);
     RepairLinks();
   }
 
@@ -431,7 +433,7 @@
   std::vector<TimePoint> paused_until_;
   std::map<IncarnationId, TimePoint> started_at_;
   std::set<Link> cut_links_;
-  std::set<Link> muted_links_;  // these carry all but lease messages
+  std::set<Link> muted_links_;  // links that only lose lease messages
   std::priority_queue<Datagram, std::vector<Datagram>, std::greater<>> datagrams_;
   std::vector<Write> writes_;
   std::vector<Read> reads_;
