--- a/tests/lease/simulated_lease_node.h
+++ b/tests/lease/simulated_lease_node.h
@@ -1,4 +1,4 @@
-// One simulated instance of the lease tests: its view of the others, its leases and its watermarks.
+// One simulated instance of the lease tests: its view of the fleet, its leases and its watermarks.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 inline constexpr Duration kMs{1000};
 inline constexpr Duration kViewValidity = kMs * 150;
 inline constexpr Duration kPingInterval = kMs * 25;
-inline constexpr Duration kUnreachableAfter = kMs * 80;  // a peer not heard for so long is out of the view
+inline constexpr Duration kUnreachableAfter = kMs * 80;  // a peer silent for longer is removed from the view
 inline constexpr Duration kLeaseDuration = kMs * 1200;
 inline constexpr GroupId kGroup{1};
 inline constexpr std::size_t kBytesPerS = 1'000'000'000;
@@ -29,14 +29,14 @@
   return consistency::SessionKeyOf(kGroup, "s" + std::to_string(number));
 }
 
-// What a run of the simulation leaves out or adds.
+// A variant of the simulation, for example with one rule switched off.
 struct Variant {
   SessionLeaseClient::Options rules{};  // with one of the rules switched off
-  // A view counts as complete without all of the fleet.
+  // A view counts as complete even if it lacks instances of the fleet.
   bool complete_without_all = false;
   // The first instance does not know which instances are dedicated lease managers.
   bool managers_not_agreed = false;
-  // Bandwidth is low: messages are batched and relayed. Leaves no rule out.
+  // Bandwidth is low: messages are batched and relayed. Switches no rule off.
   bool low_bandwidth = false;
 };
 
@@ -53,7 +53,7 @@
   std::optional<LeaseMessageRelay::Hop> hop;
 };
 
-// The clock of one incarnation, as against the true time.
+// The clock of one incarnation, relative to the true time.
 struct SkewedClock {
   Duration offset{};
   int permille_faster = 0;
@@ -70,7 +70,7 @@
 
 class SimulatedLeaseNode final : public KnownWatermarks {
  public:
-  // `dedicated_managers` are the incarnations that manage leases for all; kept by reference, as it grows.
+  // `dedicated_managers`: the incarnations of dedicated lease managers. Kept by reference, as it grows.
   SimulatedLeaseNode(std::size_t index, IncarnationId incarnation_id, TimePoint now, std::size_t fleet_size,
                      const Variant& variant, const std::set<IncarnationId>& dedicated_managers)
       : incarnation_id(incarnation_id),
@@ -91,18 +91,18 @@
     options.single_instance = fleet_size == 1;
     options.manager.lease_duration = kLeaseDuration;
     options.read_requests_per_s = 1000;
-    // Some have too little capacity.
+    // Some incarnations have too little capacity.
     if (incarnation_id % 4 == 0) options.manager.entry_capacity = 2;
     if (incarnation_id % 5 == 0) options.lease_capacity = 1;
     client = std::make_unique<SessionLeaseClient>(options, *this, now);
-    // Of the half second's worth of the burst: the budget is low, but a read may still send a request.
+    // Uses most of the burst of half a second: the budget is low, but a read may still send a request.
     client->RecordTraffic(now, kBytesPerS * 2 / 5);
   }
 
-  consistency::SessionWatermarkTable::Known Newest(consistency::SessionKey key) const override {
+  consistency::SessionWatermarkTable::LookupResult FindWatermark(consistency::SessionKey key) const override {
     return watermark_table.Find(key);
   }
-  void Learn(consistency::SessionKey key, const consistency::WriteWatermark& watermark) override {
+  void RecordWatermark(consistency::SessionKey key, const consistency::WriteWatermark& watermark) override {
     watermark_table.Record(key, watermark);
   }
 
@@ -126,7 +126,7 @@
     client->UpdateView(now, {view, complete_without_all_ ? majority : all, managers});
   }
 
-  // Passes the peers that are in reach to the quorum tracker.
+  // Passes the reachable peers to the quorum tracker as its view.
   void RefreshView(TimePoint now) {
     std::vector<IncarnationId> reachable{incarnation_id};
     for (const auto& [index, peer] : peers) {
@@ -141,8 +141,8 @@
     quorum_tracker.UpdateView(now, digest, reachable);
   }
 
-  // Records that `packet` was received.
-  void HearPeer(TimePoint now, const Packet& packet) {
+  // Records that a packet of a peer was received.
+  void RecordPeerPacket(TimePoint now, const Packet& packet) {
     Peer& peer = peers[packet.from];
     if (packet.sender_started > peer.started || peer.incarnation_id == 0) {
       peer = {packet.sender, packet.sender_started, {}};
@@ -150,7 +150,7 @@
     if (peer.incarnation_id == packet.sender) peer.heard = now;
   }
 
-  // Counts the view acknowledgements in `packet` if it answers a ping of this node.
+  // Records the view acknowledgements in `packet` if it answers a ping of this node.
   void HandleAck(TimePoint now, const Packet& packet) {
     const auto ping = ping_sent_at.find(packet.ack);
     if (ping == ping_sent_at.end()) return;
@@ -171,8 +171,9 @@
   consistency::SessionWatermarkTable watermark_table;
   std::unique_ptr<SessionLeaseClient> client;
   LeaseMessageRelay relay;
-  std::map<std::size_t, Peer> peers;                // by index
-  std::map<std::size_t, TimePoint> excluded_until;  // out of the view until then, heard or not
+  std::map<std::size_t, Peer> peers;  // by index
+  std::map<std::size_t, TimePoint>
+      excluded_until;  // by index: not in the view before then, even if reachable
   std::map<std::uint64_t, TimePoint> ping_sent_at;
   TimePoint next_ping{};
   TimePoint ticked_at{};
--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -1,5 +1,5 @@
-// From when the times of attempts and health checks are counted, when they begin late in a pass of the event
-// loop.
+// The times from which deadlines and latencies of attempts and health checks are measured when these begin
+// late in a pass of the event loop: from their own start, not from the start of the pass.
 #include <memory>
 #include <string>
 #include <utility>
@@ -11,185 +11,185 @@
 namespace lynxgrade {
 namespace {
 
-// The statement is the time that it tells, in milliseconds.
-struct TellsTime final : proxy::Work {
+// A request whose statement is the remaining time in milliseconds.
+struct RemainingTimeWork final : proxy::Work {
   std::string TextFor(Duration left) const override { return std::to_string(left.count() / 1000); }
 };
 
-// A pool of connections alone, with what became of its attempts and probes.
-struct Attempts final : proxy::BackendEvents {
-  virtual ~Attempts() = default;
-  explicit Attempts(upstream::PoolSettings settings = {})
+// A connection pool with one data server, and the results of its attempts and health checks.
+struct PoolFixture final : proxy::BackendEvents {
+  virtual ~PoolFixture() = default;
+  explicit PoolFixture(upstream::PoolSettings settings = {})
       : pool(loop, std::move(settings), budget, [] { return false; }),
         server(loop, [](Peer& p, const std::string&) { p.Say(Row("v")); }) {
     pool.SetEvents(*this);
     pool.SetAddress(kServer, {"127.0.0.1", server.listener.port()});
   }
-  void OnAttemptEnd(proxy::AttemptEnd end) override { ends.push_back(std::move(end)); }
-  void OnProbeEnd(const HealthCheckEvent& event) override { probed.push_back(event); }
+  void OnAttemptEnd(proxy::AttemptEnd end) override { attempt_ends.push_back(std::move(end)); }
+  void OnProbeEnd(const HealthCheckEvent& event) override { health_checks.push_back(event); }
   void Send(int limit_ms, Duration write_within = Duration::max()) {
-    pool.Send(RequestId(++last), 0, kServer, work, {limit_ms * kMs, write_within});
+    pool.Send(RequestId(++last_request_id), 0, kServer, work, {limit_ms * kMs, write_within});
   }
-  // One attempt, so that a connection stands idle.
-  void Warm() {
+  // Completes one attempt, after which its connection is idle.
+  void OpenConnection() {
     Send(1000);
-    Until([&] { return ends.size() == 1; }, loop);
-    REQUIRE(ends.front().outcome == Outcome::kOk);
+    RunLoopUntil([&] { return attempt_ends.size() == 1; }, loop);
+    REQUIRE(attempt_ends.front().outcome == Outcome::kOk);
   }
   static constexpr ServerId kServer{1};
   net::Loop loop;
   net::DescriptorBudget budget{200};
   upstream::ConnectionPool pool;
   DataServer server;
-  std::shared_ptr<const proxy::Work> work = std::make_shared<TellsTime>();
-  std::vector<proxy::AttemptEnd> ends;
-  std::vector<HealthCheckEvent> probed;
-  std::uint32_t last = 0;
+  std::shared_ptr<const proxy::Work> work = std::make_shared<RemainingTimeWork>();
+  std::vector<proxy::AttemptEnd> attempt_ends;
+  std::vector<HealthCheckEvent> health_checks;
+  std::uint32_t last_request_id = 0;
 };
 
-// A connection whose bytes take long to handle: what is ready behind it waits in the same pass.
-struct Slow final : Connection::Owner {
-  virtual ~Slow() = default;
-  Slow(net::Loop& loop, int ms)
+// A connection whose input takes `ms` to handle, which delays other input in the same pass of the loop.
+struct SlowConnection final : Connection::Owner {
+  virtual ~SlowConnection() = default;
+  SlowConnection(net::Loop& loop, int ms)
       : ms(ms),
         listener(
             loop, [] { return true; },
-            [&loop, this](net::ObjectPtr<GSocket> s) {
-              there = Connection::Adopt(loop, std::move(s), far, 4096, 4096);
+            [&loop, this](net::ObjectPtr<GSocket> socket) {
+              remote = Connection::Adopt(loop, std::move(socket), remote_owner, 4096, 4096);
             }) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
     bool full = false;
-    here = Connection::Open(loop, {"127.0.0.1", listener.port()}, *this, 4096, 4096, &full);
-    Until([&] { return there != nullptr && here->up(); }, loop);
+    local = Connection::Open(loop, {"127.0.0.1", listener.port()}, *this, 4096, 4096, &full);
+    RunLoopUntil([&] { return remote != nullptr && local->up(); }, loop);
   }
   void OnReadable() override {
-    here->in().Consume(here->in().size());
-    StandStill(ms);
+    local->in().Consume(local->in().size());
+    BlockThread(ms);
   }
   void OnPeerDone() override {}
   void OnBroken() override {}
-  void Begin() { there->Write("x"); }
+  void SendInput() { remote->Write("x"); }
   int ms;
-  Peer far;
+  Peer remote_owner;
   net::Listener listener;
-  std::shared_ptr<Connection> here, there;
+  std::shared_ptr<Connection> local, remote;
 };
 
-// ---- Attempts and probes ---------------------------------------------------------------------------------
-
 TEST_CASE("an attempt written late in a long pass announces the time that is left then") {
-  Attempts a;
-  a.Warm();
-  InAPass(a.loop, [&] {
-    StandStill(300);
-    a.Send(1000);
+  PoolFixture fixture;
+  fixture.OpenConnection();
+  RunInOnePass(fixture.loop, [&] {
+    BlockThread(300);
+    fixture.Send(1000);
   });
-  Until([&] { return a.server.queries.size() == 2; }, a.loop);
-  CHECK(std::stoi(a.server.queries[1]) <= 700);
-  CHECK(std::stoi(a.server.queries[1]) > 300);
+  RunLoopUntil([&] { return fixture.server.queries.size() == 2; }, fixture.loop);
+  CHECK(std::stoi(fixture.server.queries[1]) <= 700);
+  CHECK(std::stoi(fixture.server.queries[1]) > 300);
 }
 
 TEST_CASE("an attempt whose connection is established late announces the time that is left then") {
-  Attempts a;
-  a.server.greets = false;
-  a.Send(1000);
-  Until([&] { return a.server.peers.size() == 1 && a.server.peers[0]->started; }, a.loop);
-  Wait(a.loop, 150);
-  a.server.peers[0]->Say(Hello());
-  Until([&] { return a.server.queries.size() == 1; }, a.loop);
-  CHECK(std::stoi(a.server.queries[0]) <= 850);
+  PoolFixture fixture;
+  fixture.server.greets = false;
+  fixture.Send(1000);
+  RunLoopUntil([&] { return fixture.server.peers.size() == 1 && fixture.server.peers[0]->started; },
+               fixture.loop);
+  RunLoopFor(fixture.loop, 150);
+  fixture.server.peers[0]->Say(Hello());
+  RunLoopUntil([&] { return fixture.server.queries.size() == 1; }, fixture.loop);
+  CHECK(std::stoi(fixture.server.queries[0]) <= 850);
 }
 
 TEST_CASE("an attempt whose deadline passes as its connection is established is not written") {
-  Attempts a;
-  a.server.greets = false;
-  Slow slow(a.loop, 80);
-  const TimePoint from = a.loop.Now();
-  a.Send(120);
-  Until([&] { return a.server.peers.size() == 1 && a.server.peers[0]->started; }, a.loop);
-  Wait(a.loop, static_cast<int>((from + 80 * kMs - a.loop.Precise()) / kMs));
-  InAPass(a.loop, [&] {
-    slow.Begin();
-    a.server.peers[0]->Say(Hello());
+  PoolFixture fixture;
+  fixture.server.greets = false;
+  SlowConnection slow_connection(fixture.loop, 80);
+  const TimePoint started = fixture.loop.Now();
+  fixture.Send(120);
+  RunLoopUntil([&] { return fixture.server.peers.size() == 1 && fixture.server.peers[0]->started; },
+               fixture.loop);
+  RunLoopFor(fixture.loop, static_cast<int>((started + 80 * kMs - fixture.loop.Precise()) / kMs));
+  RunInOnePass(fixture.loop, [&] {
+    slow_connection.SendInput();
+    fixture.server.peers[0]->Say(Hello());
   });
-  Until([&] { return a.ends.size() == 1; }, a.loop);
-  CHECK(a.ends[0].outcome == Outcome::kUnreachable);
-  Wait(a.loop, 50);
-  CHECK(a.server.queries.empty());
+  RunLoopUntil([&] { return fixture.attempt_ends.size() == 1; }, fixture.loop);
+  CHECK(fixture.attempt_ends[0].outcome == Outcome::kUnreachable);
+  RunLoopFor(fixture.loop, 50);
+  CHECK(fixture.server.queries.empty());
 }
 
 TEST_CASE("a connection requested late in a long pass has its full connect timeout") {
-  Attempts a;
-  InAPass(a.loop, [&] {
-    StandStill(300);
-    a.Send(2000);
+  PoolFixture fixture;
+  RunInOnePass(fixture.loop, [&] {
+    BlockThread(300);
+    fixture.Send(2000);
   });
-  Until([&] { return a.ends.size() == 1; }, a.loop);
-  CHECK(a.ends[0].outcome == Outcome::kOk);
-  CHECK(a.server.queries.size() == 1);
-  CHECK(a.server.peers.size() == 1);
+  RunLoopUntil([&] { return fixture.attempt_ends.size() == 1; }, fixture.loop);
+  CHECK(fixture.attempt_ends[0].outcome == Outcome::kOk);
+  CHECK(fixture.server.queries.size() == 1);
+  CHECK(fixture.server.peers.size() == 1);
 }
 
 TEST_CASE("a health check sent late in a long pass has its full timeout") {
-  Attempts a;
-  InAPass(a.loop, [&] {
-    StandStill(300);
-    a.pool.Probe(Attempts::kServer);
+  PoolFixture fixture;
+  RunInOnePass(fixture.loop, [&] {
+    BlockThread(300);
+    fixture.pool.Probe(PoolFixture::kServer);
   });
-  Until([&] { return a.probed.size() == 1; }, a.loop);
-  CHECK(a.probed[0].outcome == Outcome::kOk);
-  CHECK(a.probed[0].elapsed < 100 * kMs);
+  RunLoopUntil([&] { return fixture.health_checks.size() == 1; }, fixture.loop);
+  CHECK(fixture.health_checks[0].outcome == Outcome::kOk);
+  CHECK(fixture.health_checks[0].elapsed < 100 * kMs);
 }
 
 TEST_CASE(
     "the latency of a response counts from the writing of its request, not from the beginning of the pass") {
-  Attempts a;
-  a.Warm();
-  InAPass(a.loop, [&] {
-    StandStill(200);
-    a.Send(2000);
+  PoolFixture fixture;
+  fixture.OpenConnection();
+  RunInOnePass(fixture.loop, [&] {
+    BlockThread(200);
+    fixture.Send(2000);
   });
-  Until([&] { return a.ends.size() == 2; }, a.loop);
-  CHECK(a.ends[1].outcome == Outcome::kOk);
-  CHECK(a.ends[1].elapsed < 100 * kMs);
-  CHECK(a.ends[1].elapsed >= Duration{0});
+  RunLoopUntil([&] { return fixture.attempt_ends.size() == 2; }, fixture.loop);
+  CHECK(fixture.attempt_ends[1].outcome == Outcome::kOk);
+  CHECK(fixture.attempt_ends[1].elapsed < 100 * kMs);
+  CHECK(fixture.attempt_ends[1].elapsed >= Duration{0});
 }
 
 TEST_CASE("a connection refused at once late in a long pass is not taken for one that timed out") {
-  Attempts a;
-  a.pool.SetAddress(Attempts::kServer, {"127.0.0.1", ClosedPort(a.loop)});
-  InAPass(a.loop, [&] {
-    StandStill(200);
-    a.Send(2000);
+  PoolFixture fixture;
+  fixture.pool.SetAddress(PoolFixture::kServer, {"127.0.0.1", ClosedPort(fixture.loop)});
+  RunInOnePass(fixture.loop, [&] {
+    BlockThread(200);
+    fixture.Send(2000);
   });
-  Until([&] { return a.ends.size() == 1; }, a.loop);
-  CHECK(a.ends[0].outcome == Outcome::kUnreachable);
-  CHECK(a.ends[0].elapsed < 100 * kMs);
-  CHECK(a.ends[0].elapsed >= Duration{0});
+  RunLoopUntil([&] { return fixture.attempt_ends.size() == 1; }, fixture.loop);
+  CHECK(fixture.attempt_ends[0].outcome == Outcome::kUnreachable);
+  CHECK(fixture.attempt_ends[0].elapsed < 100 * kMs);
+  CHECK(fixture.attempt_ends[0].elapsed >= Duration{0});
 }
 
 TEST_CASE("an attempt that ends in the pass in which it began has a latency of zero") {
-  Attempts a;
-  InAPass(a.loop, [&] {
-    StandStill(50);
-    a.pool.Send(RequestId(1), 0, ServerId(9), a.work, {1000 * kMs, Duration::max()});
+  PoolFixture fixture;
+  RunInOnePass(fixture.loop, [&] {
+    BlockThread(50);
+    fixture.pool.Send(RequestId(1), 0, ServerId(9), fixture.work, {1000 * kMs, Duration::max()});
   });
-  REQUIRE(a.ends.size() == 1);
-  CHECK(a.ends[0].outcome == Outcome::kUnreachable);
-  CHECK(a.ends[0].elapsed == Duration{0});
+  REQUIRE(fixture.attempt_ends.size() == 1);
+  CHECK(fixture.attempt_ends[0].outcome == Outcome::kUnreachable);
+  CHECK(fixture.attempt_ends[0].elapsed == Duration{0});
 }
 
-TEST_CASE("a connection idle for longer than allowed is not used between two retirements") {
+TEST_CASE("a connection idle for longer than allowed is not used, even before idle connections are closed") {
   upstream::PoolSettings settings;
   settings.idle = 300 * kMs;
-  Attempts a(settings);
-  Wait(a.loop, 200);  // the next retirement is due 0.3 s later
-  a.Warm();
-  StandStill(230);  // and does not come while the process stands still
-  a.Send(1000);
-  Until([&] { return a.ends.size() == 2; }, a.loop);
-  CHECK(a.ends[1].outcome == Outcome::kOk);
-  CHECK(a.server.peers.size() == 2);
+  PoolFixture fixture(settings);
+  RunLoopFor(fixture.loop, 200);  // idle connections are next closed 0.3 s later
+  fixture.OpenConnection();
+  BlockThread(230);  // and cannot be closed while the process is suspended
+  fixture.Send(1000);
+  RunLoopUntil([&] { return fixture.attempt_ends.size() == 2; }, fixture.loop);
+  CHECK(fixture.attempt_ends[1].outcome == Outcome::kOk);
+  CHECK(fixture.server.peers.size() == 2);
 }
 
 }  // namespace
--- a/tests/replication/datagram_authenticator_test.cpp
+++ b/tests/replication/datagram_authenticator_test.cpp
@@ -9,9 +9,9 @@
 namespace lynxgrade::replication {
 namespace {
 
-const std::string kOne(64, 'a'), kTwo(64, 'b');
+const std::string kSecretA(64, 'a'), kSecretB(64, 'b');
 
-std::vector<SharedKey> Keys(const std::string& text) {
+std::vector<SharedKey> ParseKeys(const std::string& text) {
   const auto keys = ParseSharedKeys(text);
   REQUIRE(keys.has_value());
   return *keys;
@@ -23,7 +23,7 @@
   return verified.error();
 }
 
-proto::Packet APacket(std::uint64_t incarnation_id = 9) {
+proto::Packet MakePacket(std::uint64_t incarnation_id = 9) {
   proto::Packet packet;
   packet.set_version(1);
   packet.mutable_sender()->set_name("n1");
@@ -34,28 +34,29 @@
 
 TEST_CASE("keys: the error of a key file names its line") {
   struct Case {
-    std::string text, says;
+    std::string text, message;
   };
-  for (const Case& c :
-       {Case{"", "holds no key"}, Case{"# none\n\n", "holds no key"},
-        Case{"1 abc", "line 1: a key is not 64"}, Case{"0 " + kOne, "line 1: a key's number"},
-        Case{"x " + kOne, "line 1: a key's number"}, Case{"256 " + kOne, "line 1: a key's number"},
-        Case{std::string("1 ").append(kOne).append("\n1 ").append(kTwo),
-             "line 2: a key's number stands twice"},
-        Case{"1 " + kOne + " more", "line 1: something stands after"},
-        Case{"1 " + std::string(63, 'a') + "g", "line 1: a key is not 64"}}) {
-    CAPTURE(c.text);
-    const auto read = ParseSharedKeys(c.text);
-    REQUIRE_FALSE(read.has_value());
-    CHECK(Describe(read.error()).find(c.says) != std::string::npos);
+  for (const Case& test :
+       {Case{"", "file contains no key"}, Case{"# none\n\n", "file contains no key"},
+        Case{"1 abc", "line 1: key is not 64"}, Case{"0 " + kSecretA, "line 1: key number is not"},
+        Case{"x " + kSecretA, "line 1: key number is not"},
+        Case{"256 " + kSecretA, "line 1: key number is not"},
+        Case{std::string("1 ").append(kSecretA).append("\n1 ").append(kSecretB),
+             "line 2: duplicate key number"},
+        Case{"1 " + kSecretA + " more", "line 1: unexpected text after"},
+        Case{"1 " + std::string(63, 'a') + "g", "line 1: key is not 64"}}) {
+    CAPTURE(test.text);
+    const auto parsed = ParseSharedKeys(test.text);
+    REQUIRE_FALSE(parsed.has_value());
+    CHECK(Describe(parsed.error()).find(test.message) != std::string::npos);
   }
-  CHECK(Keys("# first\n 7 " + kOne + " # signs\r\n8\t" + kTwo).size() == 2);
+  CHECK(ParseKeys("# first\n 7 " + kSecretA + " # signs\r\n8\t" + kSecretB).size() == 2);
 }
 
 TEST_CASE("datagrams: each error is distinguished, and a changed byte is rejected") {
-  DatagramAuthenticator sender(Keys("1 " + kOne)), receiver(Keys("1 " + kOne)), stranger(Keys("1 " + kTwo)),
-      other(Keys("2 " + kOne));
-  proto::Packet packet = APacket();
+  DatagramAuthenticator sender(ParseKeys("1 " + kSecretA)), receiver(ParseKeys("1 " + kSecretA)),
+      stranger(ParseKeys("1 " + kSecretB)), other(ParseKeys("2 " + kSecretA));
+  proto::Packet packet = MakePacket();
   const std::string datagram = sender.Sign(packet);
   CHECK(ErrorOf(stranger.Verify(datagram)) == DatagramError::kInvalidSignature);
   CHECK(ErrorOf(other.Verify(datagram)) == DatagramError::kUnknownKey);
@@ -68,7 +69,7 @@
   }
   CHECK(receiver.Verify(datagram).has_value());
   CHECK(ErrorOf(receiver.Verify(datagram)) == DatagramError::kReplayed);
-  proto::Packet future = APacket();
+  proto::Packet future = MakePacket();
   future.set_version(2);
   CHECK(ErrorOf(receiver.Verify(sender.Sign(future))) == DatagramError::kUnsupportedVersion);
 }
@@ -76,43 +77,44 @@
 TEST_CASE(
     "datagrams: late and reordered ones are accepted once each, those outside the replay window are "
     "rejected") {
-  DatagramAuthenticator sender(Keys("1 " + kOne)), receiver(Keys("1 " + kOne));
+  DatagramAuthenticator sender(ParseKeys("1 " + kSecretA)), receiver(ParseKeys("1 " + kSecretA));
   std::vector<std::string> sent;
   for (int i = 0; i < 6000; ++i) {
-    proto::Packet packet = APacket();
+    proto::Packet packet = MakePacket();
     sent.push_back(sender.Sign(packet));
   }
   CHECK(receiver.Verify(sent[5999]).has_value());
   CHECK(receiver.Verify(sent[3000]).has_value());
   CHECK_FALSE(receiver.Verify(sent[3000]).has_value());
   CHECK_FALSE(receiver.Verify(sent[100]).has_value());
-  proto::Packet next_life = APacket(10);
-  next_life.set_counter(1);
-  CHECK(receiver.Verify(DatagramAuthenticator(Keys("1 " + kOne)).Sign(next_life)).has_value());
+  proto::Packet next_incarnation = MakePacket(10);
+  next_incarnation.set_counter(1);
+  CHECK(
+      receiver.Verify(DatagramAuthenticator(ParseKeys("1 " + kSecretA)).Sign(next_incarnation)).has_value());
 }
 
 TEST_CASE("datagrams: none is rejected while keys are rotated") {
-  DatagramAuthenticator a(Keys("1 " + kOne)), b(Keys("1 " + kOne));
+  DatagramAuthenticator a(ParseKeys("1 " + kSecretA)), b(ParseKeys("1 " + kSecretA));
   int lost = 0;
   const auto both = [&] {
     for (int i = 0; i < 20; ++i) {
-      proto::Packet to_b = APacket(1), to_a = APacket(2);
+      proto::Packet to_b = MakePacket(1), to_a = MakePacket(2);
       lost += !b.Verify(a.Sign(to_b)).has_value();
       lost += !a.Verify(b.Sign(to_a)).has_value();
     }
   };
-  const std::string added = "1 " + kOne + "\n2 " + kTwo, swapped = "2 " + kTwo + "\n1 " + kOne,
-                    last = "2 " + kTwo;
+  const std::string added = "1 " + kSecretA + "\n2 " + kSecretB,
+                    swapped = "2 " + kSecretB + "\n1 " + kSecretA, last = "2 " + kSecretB;
   both();
   for (const std::string& step : {added, swapped, last}) {
-    a.ReplaceKeys(Keys(step));
+    a.ReplaceKeys(ParseKeys(step));
     both();
-    b.ReplaceKeys(Keys(step));
+    b.ReplaceKeys(ParseKeys(step));
     both();
   }
   CHECK(lost == 0);
-  DatagramAuthenticator old(Keys("1 " + kOne));
-  proto::Packet packet = APacket(3);
+  DatagramAuthenticator old(ParseKeys("1 " + kSecretA));
+  proto::Packet packet = MakePacket(3);
   CHECK_FALSE(b.Verify(old.Sign(packet)).has_value());
 }
 
--- a/tests/replication/event_loop_steps.h
+++ b/tests/replication/event_loop_steps.h
@@ -1,4 +1,4 @@
-// Steps of the event loop for tests of deadlines: a process that is suspended, and work late in one pass.
+// Steps of the event loop for tests of deadlines: a suspended process, and work that begins late in one pass.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -13,25 +13,27 @@
 
 inline constexpr Duration kMs{1000};
 
-inline void StandStill(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
-
-inline void Until(const std::function<bool()>& holds, net::Loop& loop) {
-  bool late = false;
-  net::Timer limit(loop), look(loop);
-  limit.After(10000 * kMs, [&] { late = true; });
-  std::function<void()> again = [&] { look.After(kMs, again); };
-  again();
-  while (!holds() && !late) g_main_context_iteration(nullptr, TRUE);
-  REQUIRE(holds());
+// Blocks the thread, as if the process were suspended or busy.
+inline void BlockThread(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
+
+// Runs the loop until `condition` holds; fails the test after 10 seconds.
+inline void RunLoopUntil(const std::function<bool()>& condition, net::Loop& loop) {
+  bool timed_out = false;
+  net::Timer timeout(loop), poll(loop);
+  timeout.After(10000 * kMs, [&] { timed_out = true; });
+  std::function<void()> poll_again = [&] { poll.After(kMs, poll_again); };
+  poll_again();
+  while (!condition() && !timed_out) g_main_context_iteration(nullptr, TRUE);
+  REQUIRE(condition());
 }
 
-inline void Wait(net::Loop& loop, int ms) {
-  const TimePoint from = loop.Precise();
-  Until([&] { return loop.Precise() - from >= ms * kMs; }, loop);
+inline void RunLoopFor(net::Loop& loop, int ms) {
+  const TimePoint started = loop.Precise();
+  RunLoopUntil([&] { return loop.Precise() - started >= ms * kMs; }, loop);
 }
 
 // Runs `call` inside one pass of the loop.
-inline void InAPass(net::Loop& loop, const std::function<void()>& call) {
+inline void RunInOnePass(net::Loop& loop, const std::function<void()>& call) {
   bool done = false;
   net::Timer timer(loop);
   timer.After(Duration{0}, [&] {
--- a/tests/replication/former_version_packets_test.cpp
+++ b/tests/replication/former_version_packets_test.cpp
@@ -108,7 +108,7 @@
   chunk.set_end_bucket(43);
   chunk.set_bucket_count(44);
   chunk.set_last_sequence(45);
-  chunk.set_forgotten_us(46);
+  chunk.set_evicted_through_us(46);
   FillWatermark(*chunk.add_watermarks(), 0x47, 48, -49, 50);
   CHECK(packet.SerializeAsString() == ReadFixture("chunk"));
   proto::Packet ack = PacketWithSender();
@@ -122,7 +122,7 @@
   proto::TimelineRecord& timeline = *packet.add_timelines();
   timeline.set_group(-61);
   timeline.set_primary(62);
-  timeline.set_began_us(63);
+  timeline.set_since_us(63);
   timeline.set_replicated_us(64);
   timeline.set_confirmed_us(65);
   CHECK(packet.SerializeAsString() == ReadFixture("reigns"));
@@ -158,10 +158,10 @@
     entry.set_group(91 + kind);
     entry.set_request_id(92 + kind);
     entry.set_grant_number(93 + kind);
-    entry.set_complete_through_age_ms(94 + kind);
+    entry.set_conservative_position_age_ms(94 + kind);
     entry.set_watermark_ms(95 + kind);
     entry.set_watermark_server(96 + kind);
-    entry.set_forgotten_ms(97 + kind);
+    entry.set_evicted_through_ms(97 + kind);
     entry.set_origin_incarnation_id(98 + kind);
     entry.set_destination_incarnation_id(99 + kind);
   }
--- a/tests/replication/lease_bandwidth_test.cpp
+++ b/tests/replication/lease_bandwidth_test.cpp
@@ -1,4 +1,4 @@
-// Session leases under a bandwidth budget: requests that are capped, batching, and relays.
+// Session leases under a bandwidth budget: suppressed requests, batching, and relays.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -9,180 +9,185 @@
 namespace lynxgrade::replication {
 namespace {
 
-TEST_CASE("leases: with little bandwidth left messages are batched through a relay, and cost less") {
-  double alone = 0;
-  int held_back = 0;
-  for (const Duration coalesce : {Duration{0}, kMs * 5}) {
-    Fleet fleet(15, {.owners = 3, .bytes_per_s = 9000, .coalesce = coalesce});
-    Crowd(fleet);
-    double sum = 0;
-    std::uint64_t waited = 0, passed_on = 0;
+TEST_CASE("leases: while bandwidth is low, messages are batched through a relay, and cost less") {
+  double unbatched_bytes_per_s = 0;
+  int unbatched_conservative_reads = 0;
+  for (const Duration batching_delay : {Duration{0}, kMs * 5}) {
+    Fleet fleet(15, {.dedicated_managers = 3, .bytes_per_s = 9000, .batching_delay = batching_delay});
+    RunMigratingLoad(fleet);
+    double bytes_per_s = 0;
+    std::uint64_t batched = 0, relayed = 0;
     for (std::size_t at = 0; at < fleet.size; ++at) {
-      const lease::LeaseMessageRelay& courier = *fleet.nodes[at]->engine->lease_relay();
-      waited += courier.counts().batched;
-      passed_on += courier.counts().relayed;
-      CHECK((courier.counts().relayed > 0) == (fleet.Aside(at) && coalesce > Duration{0}));
-      if (fleet.Aside(at)) continue;
-      sum += static_cast<double>(fleet.bytes_out[at] + fleet.bytes_in[at]) / 10;
+      const lease::LeaseMessageRelay& relay = *fleet.nodes[at]->engine->lease_relay();
+      batched += relay.counts().batched;
+      relayed += relay.counts().relayed;
+      const bool relays = fleet.IsDedicatedManager(at) && batching_delay > Duration{0};
+      CHECK((relay.counts().relayed > 0) == relays);
+      if (fleet.IsDedicatedManager(at)) continue;
+      bytes_per_s += static_cast<double>(fleet.sent_bytes[at] + fleet.received_bytes[at]) / 10;
     }
-    sum /= static_cast<double>(fleet.Poolers());
-    const int conservative = fleet.conservative;
-    std::ranges::sort(fleet.waited_ms);
-    const double p99 = fleet.waited_ms[fleet.waited_ms.size() * 99 / 100];
-    MESSAGE("coalesced over ", coalesce.count() / 1000, " ms: ", sum, " bytes a second, ", waited,
-            " messages waited, ", passed_on, " passed on; ", conservative, " of ", fleet.reads_done,
-            " reads conservative; answers wait p99 ", p99, " ms");
-    fleet.Pass(kSecond * 6);
-    CHECK(fleet.stale == 0);
-    CHECK(fleet.writes_failed == 0);
-    if (coalesce == Duration{0}) {
-      alone = sum;
-      held_back = conservative;
-      CHECK(waited == 0);
+    bytes_per_s /= static_cast<double>(fleet.PoolerCount());
+    const int conservative_reads = fleet.conservative_reads;
+    std::ranges::sort(fleet.answer_waits_ms);
+    const double p99_ms = fleet.answer_waits_ms[fleet.answer_waits_ms.size() * 99 / 100];
+    MESSAGE("batching delay ", batching_delay.count() / 1000, " ms: ", bytes_per_s, " bytes/s per pooler, ",
+            batched, " messages batched, ", relayed, " relayed; ", conservative_reads, " of ",
+            fleet.finished_reads, " reads conservative; p99 of answer waits ", p99_ms, " ms");
+    fleet.RunFor(kSecond * 6);
+    CHECK(fleet.stale_reads == 0);
+    CHECK(fleet.failed_writes == 0);
+    if (batching_delay == Duration{0}) {
+      unbatched_bytes_per_s = bytes_per_s;
+      unbatched_conservative_reads = conservative_reads;
+      CHECK(batched == 0);
       continue;
     }
-    CHECK(sum < alone * 0.9);
-    CHECK(conservative <= held_back);
-    CHECK(p99 < 120);  // four legs that wait, and no wait for a second ask
+    CHECK(bytes_per_s < unbatched_bytes_per_s * 0.9);
+    CHECK(conservative_reads <= unbatched_conservative_reads);
+    CHECK(p99_ms < 120);  // the time of four batched messages, without a retry
   }
 }
 
 TEST_CASE("leases: nothing is batched while bandwidth suffices, or while a manager does not relay") {
-  for (const bool short_of_bytes : {false, true}) {
-    Fleet fleet(8, {.owners = 2, .bytes_per_s = short_of_bytes ? 4000.0 : 1e6, .coalesce = kMs * 5});
-    if (short_of_bytes) {
-      fleet.old_owner = 7;
-      fleet.Begin(7, Way::kLeases);
+  constexpr std::size_t kOldManager = 7;
+  for (const bool low_bandwidth : {false, true}) {
+    Fleet fleet(
+        8, {.dedicated_managers = 2, .bytes_per_s = low_bandwidth ? 4000.0 : 1e6, .batching_delay = kMs * 5});
+    if (low_bandwidth) {
+      fleet.manager_without_relay = kOldManager;
+      fleet.StartInstance(kOldManager, Mode::kLeases);
     }
-    Crowd(fleet);
-    fleet.Pass(kSecond * 6);
+    RunMigratingLoad(fleet);
+    fleet.RunFor(kSecond * 6);
     for (const auto& node : fleet.nodes) CHECK(node->engine->lease_relay()->counts().batched == 0);
-    CHECK(fleet.stale == 0);
-    CHECK(fleet.writes_failed == 0);
-    if (!short_of_bytes) continue;
-    // It is replaced, and what is said goes by way of an owner.
-    fleet.old_owner.reset();
-    fleet.Begin(7, Way::kLeases);
-    fleet.writes_failed = 0;
-    Crowd(fleet);
-    fleet.Pass(kSecond * 6);
+    CHECK(fleet.stale_reads == 0);
+    CHECK(fleet.failed_writes == 0);
+    if (!low_bandwidth) continue;
+    // Once the manager is replaced by a version that relays, messages are batched through a relay.
+    fleet.manager_without_relay.reset();
+    fleet.StartInstance(kOldManager, Mode::kLeases);
+    fleet.failed_writes = 0;
+    RunMigratingLoad(fleet);
+    fleet.RunFor(kSecond * 6);
     for (std::size_t at = 0; at < 6; ++at) {
       CHECK(fleet.nodes[at]->engine->lease_relay()->counts().batched > 100);
     }
-    CHECK(fleet.stale == 0);
-    CHECK(fleet.writes_failed == 0);
+    CHECK(fleet.stale_reads == 0);
+    CHECK(fleet.failed_writes == 0);
   }
 }
 
 TEST_CASE("leases: requests go directly to managers after one retry when the relay is suspended") {
-  Fleet fleet(9, {.owners = 3, .bytes_per_s = 4000, .coalesce = kMs * 5});
-  Crowd(fleet);
-  fleet.Pass(kSecond);
-  const auto passed_on = [&](std::size_t at) {
+  Fleet fleet(9, {.dedicated_managers = 3, .bytes_per_s = 4000, .batching_delay = kMs * 5});
+  RunMigratingLoad(fleet);
+  fleet.RunFor(kSecond);
+  const auto relayed = [&](std::size_t at) {
     return fleet.nodes[at]->engine->lease_relay()->counts().relayed;
   };
-  const std::size_t most = std::ranges::max(std::vector<std::size_t>{6, 7, 8}, {}, passed_on);
-  MESSAGE("passed on: ", passed_on(6), ", ", passed_on(7), ", ", passed_on(8));
-  // It is silent for less than members take to find it dead; what it owns itself waits for it.
-  fleet.stopped[most] = fleet.now + kMs * 1000;
-  const auto answered = fleet.waited_ms.size();
+  const std::size_t busiest_relay = std::ranges::max(std::vector<std::size_t>{6, 7, 8}, {}, relayed);
+  MESSAGE("relayed: ", relayed(6), ", ", relayed(7), ", ", relayed(8));
+  // Suspended for less than the members need to declare it dead. Leases that it manages itself have to wait.
+  fleet.suspended_until[busiest_relay] = fleet.now + kMs * 1000;
+  const auto answered_before = fleet.answer_waits_ms.size();
   for (int session = 1; session <= 120; ++session) {
-    fleet.Write_(static_cast<std::size_t>(session) % 6, 100000 + session);
-    fleet.Pass(kTick);
+    fleet.StartWrite(static_cast<std::size_t>(session) % 6, 100000 + session);
+    fleet.RunFor(kTick);
   }
-  fleet.Pass(kMs * 300);
-  // Two thirds are of the two others; of these a third would wait for it if no ask went straight.
-  const std::size_t meanwhile = fleet.waited_ms.size() - answered;
-  MESSAGE("of 120 answered meanwhile: ", meanwhile);
-  CHECK(meanwhile > 70);
-  CHECK(meanwhile < 120);
-  fleet.Pass(kSecond * 6);
-  CHECK(fleet.writes_failed == 0);
-  CHECK(fleet.stale == 0);
+  fleet.RunFor(kMs * 300);
+  // Two thirds of the leases belong to the two other managers. Without direct retries, a third of these would
+  // wait for the suspended relay.
+  const std::size_t answered = fleet.answer_waits_ms.size() - answered_before;
+  MESSAGE("answered during the suspension: ", answered, " of 120");
+  CHECK(answered > 70);
+  CHECK(answered < 120);
+  fleet.RunFor(kSecond * 6);
+  CHECK(fleet.failed_writes == 0);
+  CHECK(fleet.stale_reads == 0);
 }
 
-TEST_CASE("leases: faults with little bandwidth left and managers that die leave no read stale") {
-  int done = 0, conservative = 0, answered = 0, failed = 0;
-  std::uint64_t waited = 0;
+TEST_CASE("leases: faults while bandwidth is low and managers that die leave no read stale") {
+  int reads = 0, conservative_reads = 0, answered_writes = 0, failed_writes = 0;
+  std::uint64_t batched = 0;
   for (std::uint64_t seed = 1; seed <= 9; ++seed) {
     CAPTURE(seed);
-    const std::size_t owners = 1 + seed % 3;
-    Fleet fleet(owners + 2 + seed % 3,
-                {.loss = static_cast<int>(seed % 3) * 8,
-                 .owners = owners,
+    const std::size_t managers = 1 + seed % 3;
+    Fleet fleet(managers + 2 + seed % 3,
+                {.loss_percent = static_cast<int>(seed % 3) * 8,
+                 .dedicated_managers = managers,
                  .bytes_per_s = seed % 2 == 0 ? 9000.0 : 6000.0,
-                 .coalesce = kMs * 5},
+                 .batching_delay = kMs * 5},
                 seed);
-    fleet.UntilWhole(kSecond * 20);
-    Storm(fleet, 900);
-    CHECK(fleet.stale == 0);
-    done += fleet.reads_done;
-    conservative += fleet.conservative;
-    answered += static_cast<int>(fleet.waited_ms.size());
-    failed += fleet.writes_failed;
-    for (const auto& node : fleet.nodes) waited += node->engine->lease_relay()->counts().batched;
+    fleet.RunUntilComplete(kSecond * 20);
+    RunRandomFaults(fleet, 900);
+    CHECK(fleet.stale_reads == 0);
+    reads += fleet.finished_reads;
+    conservative_reads += fleet.conservative_reads;
+    answered_writes += static_cast<int>(fleet.answer_waits_ms.size());
+    failed_writes += fleet.failed_writes;
+    for (const auto& node : fleet.nodes) batched += node->engine->lease_relay()->counts().batched;
   }
-  MESSAGE(done, " reads, ", conservative, " on a conservative target; ", answered, " writes answered, ",
-          failed, " not in time; ", waited, " messages waited");
-  CHECK(waited > 500);
-  CHECK(conservative < done * 9 / 10);
-  CHECK(failed * 10 < answered);
+  MESSAGE(reads, " reads, ", conservative_reads, " conservative; ", answered_writes, " writes answered, ",
+          failed_writes, " not in time; ", batched, " messages batched");
+  CHECK(batched > 500);
+  CHECK(conservative_reads < reads * 9 / 10);
+  CHECK(failed_writes * 10 < answered_writes);
 }
 
-TEST_CASE("leases: requests for reads are capped, and reads without one wait for a conservative position") {
-  Fleet fleet(4, {Way::kLeases, 0, 1});
-  REQUIRE(fleet.UntilWhole(kSecond * 20));
-  fleet.Pass(kSecond);
+TEST_CASE("leases: requests for reads are limited, and reads without one wait for a conservative position") {
+  Fleet fleet(4, {Mode::kLeases, 0, 1});
+  REQUIRE(fleet.RunUntilComplete(kSecond * 20));
+  fleet.RunFor(kSecond);
   for (int i = 0; i < 100; ++i) {
-    fleet.Read_(0, 1000 + i);
-    fleet.Pass(kTick);
+    fleet.StartRead(0, 1000 + i);
+    fleet.RunFor(kTick);
   }
-  fleet.Pass(kSecond);
+  fleet.RunFor(kSecond);
   const auto& counts = fleet.nodes[0]->engine->lease_client()->counts();
   CHECK(counts.suppressed_reads > 50);
-  CHECK(fleet.conservative >= static_cast<int>(counts.suppressed_reads));
-  CHECK(fleet.stale == 0);
+  CHECK(fleet.conservative_reads >= static_cast<int>(counts.suppressed_reads));
+  CHECK(fleet.stale_reads == 0);
 }
 
 TEST_CASE(
-    "leases: a bandwidth budget holds back requests for reads, never for writes, and no read is stale") {
-  double without = 0;
-  int held_back = 0;
-  // What cannot wait is some 8,000 here: half of the writes move as well.
+    "leases: a bandwidth budget suppresses requests for reads, never for writes, and no read is stale") {
+  double unlimited_bytes_per_s = 0;
+  int former_conservative_reads = 0;
+  // Traffic that cannot be deferred takes about 8,000 bytes/s here, as half of the writes migrate as well.
   for (const double budget : {0.0, 11000.0, 9500.0, 1.0}) {
     CAPTURE(budget);
-    Fleet fleet(10, {.owners = 2, .bytes_per_s = budget});
-    REQUIRE(fleet.UntilWhole(kSecond * 20));
-    fleet.Pass(kSecond * 5);
-    // Half of all move: far beyond what reads may ask under any of them.
-    fleet.Load(kSecond * 5, 20, 50, true);
-    std::ranges::fill(fleet.bytes_out, 0);
-    std::ranges::fill(fleet.bytes_in, 0);
-    fleet.conservative = fleet.reads_done = 0;
-    fleet.Load(kSecond * 10, 20, 50);
-    double most = 0, sum = 0;
-    std::uint64_t over = 0;
-    for (std::size_t at = 0; at < fleet.Poolers(); ++at) {
-      const double rate = static_cast<double>(fleet.bytes_out[at] + fleet.bytes_in[at]) / 10;
-      most = std::max(most, rate);
-      sum += rate / static_cast<double>(fleet.Poolers());
-      over += fleet.nodes[at]->engine->lease_client()->counts().over_budget;
+    Fleet fleet(10, {.dedicated_managers = 2, .bytes_per_s = budget});
+    REQUIRE(fleet.RunUntilComplete(kSecond * 20));
+    fleet.RunFor(kSecond * 5);
+    // Half of all requests migrate: reads need far more leases than any of the budgets allows.
+    fleet.RunLoad(kSecond * 5, 20, 50, true);
+    std::ranges::fill(fleet.sent_bytes, 0);
+    std::ranges::fill(fleet.received_bytes, 0);
+    fleet.conservative_reads = fleet.finished_reads = 0;
+    fleet.RunLoad(kSecond * 10, 20, 50);
+    double max_bytes_per_s = 0, mean_bytes_per_s = 0;
+    std::uint64_t over_budget = 0;
+    for (std::size_t at = 0; at < fleet.PoolerCount(); ++at) {
+      const double bytes_per_s = static_cast<double>(fleet.sent_bytes[at] + fleet.received_bytes[at]) / 10;
+      max_bytes_per_s = std::max(max_bytes_per_s, bytes_per_s);
+      mean_bytes_per_s += bytes_per_s / static_cast<double>(fleet.PoolerCount());
+      over_budget += fleet.nodes[at]->engine->lease_client()->counts().over_budget;
     }
-    fleet.Pass(kSecond * 6);
-    MESSAGE("budget ", budget, ": ", sum, " bytes a second, at most ", most, "; ", fleet.conservative, " of ",
-            fleet.reads_done, " reads conservative");
-    CHECK(fleet.stale == 0);
-    CHECK(fleet.writes_failed == 0);
-    CHECK((over > 0) == (budget > 0));
+    fleet.RunFor(kSecond * 6);
+    MESSAGE("budget ", budget, ": ", mean_bytes_per_s, " bytes/s, at most ", max_bytes_per_s, "; ",
+            fleet.conservative_reads, " of ", fleet.finished_reads, " reads conservative");
+    CHECK(fleet.stale_reads == 0);
+    CHECK(fleet.failed_writes == 0);
+    CHECK((over_budget > 0) == (budget > 0));
     if (budget == 0) {
-      without = sum;
-      CHECK(fleet.conservative * 20 < fleet.reads_done);
+      unlimited_bytes_per_s = mean_bytes_per_s;
+      CHECK(fleet.conservative_reads * 20 < fleet.finished_reads);
       continue;
     }
-    CHECK(sum < without);
-    CHECK(fleet.conservative >= held_back);  // the less there is the more wait
-    held_back = fleet.conservative;
-    if (budget > 1) CHECK(most <= budget * 1.05);
+    CHECK(mean_bytes_per_s < unlimited_bytes_per_s);
+    CHECK(fleet.conservative_reads >=
+          former_conservative_reads);  // a smaller budget suppresses more requests
+    former_conservative_reads = fleet.conservative_reads;
+    if (budget > 1) CHECK(max_bytes_per_s <= budget * 1.05);
   }
 }
 
--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -14,158 +14,160 @@
 namespace {
 
 TEST_CASE("settings: leases are enabled by name, and rejected without proven views or without peers") {
-  const std::string sessions = "[sessions]\nscope = \"everywhere\"\n[peers]\n";
-  const std::string listens = sessions + "listen = \"127.0.0.1:7000\"\nkey_file = \"k\"\n";
-  const auto watermarks = [](const std::string& text) -> std::optional<ReplicationMode> {
-    const auto setup = ParseProgramSettings(text);
-    if (!setup.has_value()) return std::nullopt;
-    return setup->replication.mode;
+  const std::string without_peers = "[sessions]\nscope = \"everywhere\"\n[peers]\n";
+  const std::string with_peers = without_peers + "listen = \"127.0.0.1:7000\"\nkey_file = \"k\"\n";
+  const auto mode_of = [](const std::string& text) -> std::optional<ReplicationMode> {
+    const auto settings = ParseProgramSettings(text);
+    if (!settings.has_value()) return std::nullopt;
+    return settings->replication.mode;
   };
-  CHECK(watermarks(listens) == ReplicationMode::kBroadcast);
-  CHECK(watermarks(listens + "marks = \"each\"\n") == ReplicationMode::kBroadcast);
-  CHECK(watermarks(listens + "marks = \"directory\"\nasks_per_s = 5\n") == ReplicationMode::kLeases);
-  const auto aside =
-      ParseProgramSettings(listens + "marks = \"directory\"\nowner = true\nbytes_per_s = 12000\n");
-  REQUIRE(aside.has_value());
-  CHECK(aside->replication.dedicated_lease_manager);
-  CHECK(aside->replication.bytes_per_s == 12000);
-  CHECK(aside->replication.batching_delay == kMs * 5);
-  const auto waits =
-      ParseProgramSettings(listens + "marks = \"directory\"\nbytes_per_s = 12000\ncoalesce_ms = 8\n");
-  REQUIRE(waits.has_value());
-  CHECK(waits->replication.batching_delay == kMs * 8);
-  const auto neither = ParseProgramSettings(listens + "marks = \"directory\"\n");
-  REQUIRE(neither.has_value());
-  CHECK_FALSE(neither->replication.dedicated_lease_manager);
-  CHECK(neither->replication.bytes_per_s == 0);
-  struct Wrong {
-    std::string text, names;
+  CHECK(mode_of(with_peers) == ReplicationMode::kBroadcast);
+  CHECK(mode_of(with_peers + "marks = \"each\"\n") == ReplicationMode::kBroadcast);
+  CHECK(mode_of(with_peers + "marks = \"directory\"\nasks_per_s = 5\n") == ReplicationMode::kLeases);
+  const auto dedicated =
+      ParseProgramSettings(with_peers + "marks = \"directory\"\nowner = true\nbytes_per_s = 12000\n");
+  REQUIRE(dedicated.has_value());
+  CHECK(dedicated->replication.dedicated_lease_manager);
+  CHECK(dedicated->replication.bytes_per_s == 12000);
+  CHECK(dedicated->replication.batching_delay == kMs * 5);
+  const auto with_delay =
+      ParseProgramSettings(with_peers + "marks = \"directory\"\nbytes_per_s = 12000\ncoalesce_ms = 8\n");
+  REQUIRE(with_delay.has_value());
+  CHECK(with_delay->replication.batching_delay == kMs * 8);
+  const auto defaults = ParseProgramSettings(with_peers + "marks = \"directory\"\n");
+  REQUIRE(defaults.has_value());
+  CHECK_FALSE(defaults->replication.dedicated_lease_manager);
+  CHECK(defaults->replication.bytes_per_s == 0);
+  struct InvalidCase {
+    std::string text, message;
   };
-  for (const Wrong& wrong :
-       {Wrong{listens + "marks = \"some\"\n", "'peers.marks' is not \"each\""},
-        Wrong{listens + "marks = \"directory\"\nmembers = \"plain\"\n", "proven members"},
-        Wrong{sessions + "marks = \"directory\"\n", "'peers.marks'"},
-        Wrong{listens + "asks_per_s = -1\n", "'peers.asks_per_s' lies outside"},
-        Wrong{listens + "owner = true\n", "'peers.owner' is of use only"},
-        Wrong{listens + "marks = \"directory\"\nowner = 1\n", "'peers.owner' is not true or false"},
-        Wrong{listens + "bytes_per_s = 12000\n", "'peers.bytes_per_s' holds back"},
-        Wrong{listens + "coalesce_ms = 101\n", "'peers.coalesce_ms' lies outside"},
-        Wrong{listens + "marks = \"directory\"\nbytes_per_s = -1\n", "'peers.bytes_per_s' lies outside"}}) {
-    CAPTURE(wrong.text);
-    const auto setup = ParseProgramSettings(wrong.text);
-    REQUIRE_FALSE(setup.has_value());
-    CHECK(Describe(setup.error()).find(wrong.names) != std::string::npos);
+  for (const InvalidCase& invalid :
+       {InvalidCase{with_peers + "marks = \"some\"\n", "'peers.marks' is not \"each\""},
+        InvalidCase{with_peers + "marks = \"directory\"\nmembers = \"plain\"\n", "proven members"},
+        InvalidCase{without_peers + "marks = \"directory\"\n", "'peers.marks'"},
+        InvalidCase{with_peers + "asks_per_s = -1\n", "'peers.asks_per_s' lies outside"},
+        InvalidCase{with_peers + "owner = true\n", "'peers.owner' is of use only"},
+        InvalidCase{with_peers + "marks = \"directory\"\nowner = 1\n", "'peers.owner' is not true or false"},
+        InvalidCase{with_peers + "bytes_per_s = 12000\n", "'peers.bytes_per_s' holds back"},
+        InvalidCase{with_peers + "coalesce_ms = 101\n", "'peers.coalesce_ms' lies outside"},
+        InvalidCase{with_peers + "marks = \"directory\"\nbytes_per_s = -1\n",
+                    "'peers.bytes_per_s' lies outside"}}) {
+    CAPTURE(invalid.text);
+    const auto settings = ParseProgramSettings(invalid.text);
+    REQUIRE_FALSE(settings.has_value());
+    CHECK(Describe(settings.error()).find(invalid.message) != std::string::npos);
   }
 }
 
-TEST_CASE("guard: a session known completely has no gap after its position, and others keep theirs") {
-  struct Known final : consistency::SessionLeases {
-    std::optional<LogPosition> CompleteThrough(consistency::SessionKey) override { return exact; }
+TEST_CASE("guard: with a lease, only writes up to its position are unknown; without one, any may be") {
+  struct FakeLeases final : consistency::SessionLeases {
+    std::optional<LogPosition> AllWritesKnownAfter(consistency::SessionKey) override { return known_after; }
     bool AcquireLease(GroupId, consistency::SessionKey, consistency::LeaseUse use) override {
-      ++(use == consistency::LeaseUse::kWrite ? writes : reads);
+      ++(use == consistency::LeaseUse::kWrite ? write_requests : read_requests);
       return true;
     }
-    std::optional<LogPosition> exact;
-    int reads = 0, writes = 0;
-  } known;
+    std::optional<LogPosition> known_after;
+    int read_requests = 0, write_requests = 0;
+  } leases;
   constexpr ServerId kSuccessor{8};
-  consistency::Options options = Everywhere();
+  consistency::Options options = GuardOptions();
   options.reject_uncertain_reads = true;
-  consistency::SessionConsistencyGuard consistency_guard(TwoClasses(), options);
-  consistency_guard.SetSessionLeases(&known);
+  consistency::SessionConsistencyGuard consistency_guard(SessionSettings(), options);
+  consistency_guard.SetSessionLeases(&leases);
   TimePoint now{Duration(1'700'000'000'000'000)};
   ListEvent list{ListKind::kPersisted, {}};
-  for (const ServerId member : {kPrimary, kSuccessor})
-    list.entries.push_back({.server = member, .group = kGroup});
+  for (const ServerId server : {kPrimary, kSuccessor})
+    list.entries.push_back({.server = server, .group = kGroup});
   Event event = std::move(list);
   consistency_guard.PrepareEvent(now, event);
-  // A primary of long ago, and its successor two seconds ago, which held the log up to three seconds ago.
+  // The successor became primary two seconds ago and had replayed the log up to three seconds ago.
   consistency_guard.LearnTimeline(kGroup, kPrimary, now - kSecond * 3600, now - kSecond * 3600,
                                   now - kSecond * 3);
   consistency_guard.LearnTimeline(kGroup, kSuccessor, now - kSecond * 2, now - kSecond * 3, now);
   consistency_guard.DrainRejectedReads();
-  std::uint32_t last = 0;
-  const auto read = [&](const char* session) {
-    RequestEvent ask{.id = RequestId(++last), .group = kGroup, .request_class = kRead};
-    ask.session = session;
-    Event of = ask;
-    consistency_guard.PrepareEvent(now, of);
-    return std::get<RequestEvent>(of).required_position;
+  std::uint32_t last_request_id = 0;
+  const auto required_position = [&](const char* session) {
+    RequestEvent request{.id = RequestId(++last_request_id), .group = kGroup, .request_class = kReadClass};
+    request.session = session;
+    Event prepared = request;
+    consistency_guard.PrepareEvent(now, prepared);
+    return std::get<RequestEvent>(prepared).required_position;
   };
-  // Not held: a write that may be lost may be its session's.
+  // Without the lease, one of the possibly lost writes may belong to the session.
   CHECK(consistency_guard.ShouldDelayRead(
-      {.group = kGroup, .request_class = kRead, .session = "a", .arrived = now}, now));
-  read("a");
+      {.group = kGroup, .request_class = kReadClass, .session = "a", .arrived = now}, now));
+  required_position("a");
   CHECK(consistency_guard.DrainRejectedReads().size() == 1);
-  // Held: it wrote nothing since the floor, which lies before the loss.
-  known.exact = now - kSecond * 20;
+  // With the lease, the session has written nothing since a position before the loss.
+  leases.known_after = now - kSecond * 20;
   CHECK_FALSE(consistency_guard.ShouldDelayRead(
-      {.group = kGroup, .request_class = kRead, .session = "a", .arrived = now}, now));
-  CHECK(read("a") == now - kSecond * 20);
+      {.group = kGroup, .request_class = kReadClass, .session = "a", .arrived = now}, now));
+  CHECK(required_position("a") == now - kSecond * 20);
   CHECK(consistency_guard.DrainRejectedReads().empty());
-  // A floor within the loss is in doubt, and one that is later than the read is cut to it.
-  known.exact = now - kSecond * 2 - kMs * 500;
-  read("a");
+  // Writes up to a position within the loss may be lost. A position after the read's arrival is limited to
+  // it.
+  leases.known_after = now - kSecond * 2 - kMs * 500;
+  required_position("a");
   CHECK(consistency_guard.DrainRejectedReads().size() == 1);
-  known.exact = now + kSecond;
-  CHECK(read("b") <= now);
+  leases.known_after = now + kSecond;
+  CHECK(required_position("b") <= now);
   CHECK(consistency_guard.DrainRejectedReads().size() == 1);
-  // Its own mark in the loss is in doubt as ever; one before it is served by itself.
-  known.exact = now - kSecond * 20;
+  // A known write of the session within the loss rejects the read; a known write before the loss does not.
+  leases.known_after = now - kSecond * 20;
   consistency_guard.LearnWatermark(kGroup, consistency::SessionKeyOf(kGroup, "lost"),
                                    {now - kSecond * 2 - kMs * 500, kPrimary});
-  read("lost");
+  required_position("lost");
   CHECK(consistency_guard.DrainRejectedReads().size() == 1);
   consistency_guard.LearnWatermark(kGroup, consistency::SessionKeyOf(kGroup, "kept"),
                                    {now - kSecond * 4, kPrimary});
-  CHECK(read("kept") == now - kSecond * 4);
+  CHECK(required_position("kept") == now - kSecond * 4);
   CHECK(consistency_guard.DrainRejectedReads().empty());
-  CHECK(known.reads == 2);
+  CHECK(leases.read_requests == 2);
 }
 
-// An answer that has run and may not be told yet: it goes out when it may be, or fails at its request's end.
+// The write has run at the data server, but its response has to wait for the lease of the session.
 TEST_CASE(
     "proxy: a write's response waits for the session's lease, and fails at the deadline of its request") {
   for (const int granted_after_ms : {0, 60, -1}) {
     CAPTURE(granted_after_ms);
-    SimulatedFleet w;
+    SimulatedFleet fleet;
     DataServer& server =
-        w.Serve([](lynxgrade::Peer& p, const std::string&) { p.Say(Row("1", "primary", "1000")); });
+        fleet.Serve([](lynxgrade::Peer& p, const std::string&) { p.Say(Row("1", "primary", "1000")); });
     server.report = "x1=1,x0=1";
-    std::function<void()> held;
-    std::vector<consistency::SessionKey> asked;
+    std::function<void()> send_response;
+    std::vector<consistency::SessionKey> requested;
     proxy::Proxy::Waits waits;
     waits.safe = [&](GroupId group, consistency::SessionKey key, std::function<void()> call) {
       CHECK(group == GroupId(2));
-      asked.push_back(key);
-      held = std::move(call);
+      requested.push_back(key);
+      send_response = std::move(call);
       return granted_after_ms != 0;
     };
-    w.proxy.SetWaits(std::move(waits));
-    w.List();
-    const TimePoint begun = w.loop.Now();
-    lynxgrade::Peer& client = w.Client({Ask("write", "k", 400)});
-    w.Until([&] { return !asked.empty(); });
-    CHECK(asked[0] == consistency::SessionKeyOf(GroupId(2), "k"));
+    fleet.proxy.SetWaits(std::move(waits));
+    fleet.List();
+    const TimePoint begun = fleet.loop.Now();
+    lynxgrade::Peer& client = fleet.Client({Ask("write", "k", 400)});
+    fleet.Until([&] { return !requested.empty(); });
+    CHECK(requested[0] == consistency::SessionKeyOf(GroupId(2), "k"));
     if (granted_after_ms > 0) {
-      w.Until([&] { return w.loop.Now() - begun > kMs * granted_after_ms; });
-      CHECK(client.Types().ends_with("Z"));  // of the start alone
+      fleet.Until([&] { return fleet.loop.Now() - begun > kMs * granted_after_ms; });
+      CHECK(client.Types().ends_with("Z"));  // of the start-up alone
       CHECK_FALSE(client.Types().ends_with("TDCZ"));
-      held();
+      send_response();
     }
-    w.Until([&] { return client.Types().ends_with("CZ") || client.Types().ends_with("EZ"); });
+    fleet.Until([&] { return client.Types().ends_with("CZ") || client.Types().ends_with("EZ"); });
     if (granted_after_ms >= 0) {
       CHECK(client.Types().ends_with("TDCZ"));
-      CHECK(w.proxy.counts().served == 1);
+      CHECK(fleet.proxy.counts().served == 1);
     } else {
       CHECK(client.Saw("58000"));
-      CHECK(w.loop.Now() - begun <= kMs * 400);
-      CHECK(w.loop.Now() - begun > kMs * 200);
-      CHECK(w.proxy.counts().failed == 1);
-      held();  // too late: nobody is there
-      CHECK(w.proxy.counts().served == 0);
+      CHECK(fleet.loop.Now() - begun <= kMs * 400);
+      CHECK(fleet.loop.Now() - begun > kMs * 200);
+      CHECK(fleet.proxy.counts().failed == 1);
+      send_response();  // too late: the request has failed
+      CHECK(fleet.proxy.counts().served == 0);
     }
-    CHECK(w.proxy.open() == 0);
+    CHECK(fleet.proxy.open() == 0);
   }
 }
 
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -1,6 +1,6 @@
-// From when times are counted, apart from the clients' own: each test has something happen late in a pass of
-// the loop, or while the process stands still, and looks whether it is counted from then. docs/endings.md
-// lists them.
+// The times from which deadlines and delays of replication, discovery and the write-ahead log are measured.
+// In each test something happens late in a pass of the event loop, or while the process is suspended: times
+// must be measured from that moment, not from the start of the pass. docs/endings.md lists them.
 #include <fcntl.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -16,44 +16,45 @@
 namespace lynxgrade {
 namespace {
 
-// ---- Reads that wait for word from the others ------------------------------------------------------------
+// ---- Reads that are delayed until other instances have replicated their writes
+// -----------------------------
 
-struct Sends final : proxy::Backends {
-  virtual ~Sends() = default;
+// Records the attempts that the proxy starts.
+struct RecordingBackends final : proxy::Backends {
+  virtual ~RecordingBackends() = default;
   void Send(RequestId, AttemptNumber, ServerId, std::shared_ptr<const proxy::Work>,
             proxy::SendTimes times) override {
-    sent.push_back(times.limit);
+    sent_limits.push_back(times.limit);
   }
   void Cancel(RequestId, AttemptNumber) override {}
   void Drop(RequestId) override {}
   void Probe(ServerId) override {}
   void CloseIdle(ServerId) override {}
-  std::vector<Duration> sent;
+  std::vector<Duration> sent_limits;
 };
 
-struct Nobody final : proxy::Client {
-  virtual ~Nobody() = default;
+struct IgnoringClient final : proxy::Client {
+  virtual ~IgnoringClient() = default;
   void Served(const proxy::Answer&) override {}
-  void Refused(Duration) override { ++refused; }
+  void Refused(Duration) override {}
   void Failed() override {}
   void Unusable() override {}
-  int refused = 0;
 };
 
-// Decisions alone, with another instance whose word this one needs.
-struct Reads {
-  static consistency::Options Everywhere() {
+// A proxy without sockets, and one other instance whose writes it has to know.
+struct DelayedReadFixture {
+  static consistency::Options GuardOptions() {
     consistency::Options options;
     options.scope = consistency::Scope::kEverywhere;
     options.max_read_delay = 200 * kMs;
     return options;
   }
-  Reads() : proxy(loop, Unhurried(), 7, sends, Everywhere()) {
-    // One reading: between two a gap of a microsecond may lie, which a read has to wait out at a replica.
+  DelayedReadFixture() : proxy(loop, Unhurried(), 7, backends, GuardOptions()) {
+    // The clock is read once: between two readings, a write could be unknown, for which a read has to wait.
     const TimePoint started = loop.Precise();
     proxy.consistency_guard().HandleStart(started, started);
     proxy.consistency_guard().SetReplicatedThrough(1, started);
-    proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++asked; }});
+    proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++polls; }});
     ListEvent list{ListKind::kPersisted, {}};
     list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
     proxy.ListChanged(list);
@@ -68,41 +69,41 @@
     proxy.Take(std::move(ask), client, id);
   }
   net::Loop loop;
-  Sends sends;
-  Nobody client;
+  RecordingBackends backends;
+  IgnoringClient client;
   proxy::Proxy proxy;
-  int asked = 0;
+  int polls = 0;
 };
 
 TEST_CASE("a read requires the writes up to its arrival, not up to the beginning of the pass") {
-  Reads r;
-  // In one pass: word from the other instance, which then answers a write, and a read of that session.
-  InAPass(r.loop, [&] {
-    StandStill(10);
-    r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.Precise());
-    StandStill(10);
-    r.Read(1000);
+  DelayedReadFixture fixture;
+  // In one pass, the other instance replicates its writes and then answers another one, and a read arrives.
+  RunInOnePass(fixture.loop, [&] {
+    BlockThread(10);
+    fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.Precise());
+    BlockThread(10);
+    fixture.Read(1000);
   });
-  CHECK(r.asked == 1);
-  CHECK(r.sends.sent.empty());
-  r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.Precise());
-  r.proxy.Relearnt();
-  CHECK(r.sends.sent.size() == 1);
+  CHECK(fixture.polls == 1);
+  CHECK(fixture.backends.sent_limits.empty());
+  fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.Precise());
+  fixture.proxy.Relearnt();
+  CHECK(fixture.backends.sent_limits.size() == 1);
 }
 
 TEST_CASE("a read that waited keeps the deadline with which it arrived") {
-  Reads r;
-  TimePoint from{};
-  InAPass(r.loop, [&] {
-    from = r.loop.Now();
-    StandStill(20);
-    r.Read(1000);
+  DelayedReadFixture fixture;
+  TimePoint pass_started{};
+  RunInOnePass(fixture.loop, [&] {
+    pass_started = fixture.loop.Now();
+    BlockThread(20);
+    fixture.Read(1000);
   });
-  Wait(r.loop, 50);
-  r.proxy.consistency_guard().SetReplicatedThrough(1, r.loop.Precise());
-  r.proxy.Relearnt();
-  REQUIRE(r.sends.sent.size() == 1);
-  CHECK(r.loop.Now() + r.sends.sent[0] == from + 1000 * kMs);
+  RunLoopFor(fixture.loop, 50);
+  fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.Precise());
+  fixture.proxy.Relearnt();
+  REQUIRE(fixture.backends.sent_limits.size() == 1);
+  CHECK(fixture.loop.Now() + fixture.backends.sent_limits[0] == pass_started + 1000 * kMs);
 }
 
 TEST_CASE("the time for which a read waited does not make a first attempt look like a retry") {
@@ -110,203 +111,206 @@
   Balancer balancer(settings, 7);
   TimePoint now{1000000 * kMs};
   Actions actions;
-  const auto feed = [&](const Event& event) {
+  // Returns whether the event starts an attempt.
+  const auto starts_attempt = [&](const Event& event) {
     actions.clear();
     balancer.Handle(now, event, actions);
-    return std::ranges::any_of(actions,
-                               [](const Action& a) { return std::holds_alternative<StartAttempt>(a); });
+    return std::ranges::any_of(
+        actions, [](const Action& action) { return std::holds_alternative<StartAttempt>(action); });
   };
   ListEvent list{ListKind::kPersisted, {}};
   list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
-  feed(list);
-  std::uint32_t last = 0;
-  const auto ask = [&](Duration left, Duration held) {
+  starts_attempt(list);
+  std::uint32_t last_request_id = 0;
+  const auto request_starts_attempt = [&](Duration time_left, Duration waited) {
     RequestEvent event;
-    event.id = RequestId(++last);
+    event.id = RequestId(++last_request_id);
     event.group = GroupId(2);
-    event.time_left = left;
-    event.waited = held;
-    return feed(event);
+    event.time_left = time_left;
+    event.waited = waited;
+    return starts_attempt(event);
   };
-  // Clients of this class always give half of its deadline for a first try.
+  // Clients of this class always send a first request with half of its deadline.
   for (int i = 0; i < 12; ++i) {
-    REQUIRE(ask(2000 * kMs, {}));
+    REQUIRE(request_starts_attempt(2000 * kMs, {}));
     now += 20 * kMs;
-    AttemptEndedEvent end;
-    end.id = RequestId(last);
-    end.server = ServerId(1);
-    end.elapsed = 20 * kMs;
-    end.request_done = true;
-    feed(end);
+    AttemptEndedEvent attempt_end;
+    attempt_end.id = RequestId(last_request_id);
+    attempt_end.server = ServerId(1);
+    attempt_end.elapsed = 20 * kMs;
+    attempt_end.request_done = true;
+    starts_attempt(attempt_end);
   }
-  CHECK(ask(1880 * kMs, 120 * kMs));
+  CHECK(request_starts_attempt(1880 * kMs, 120 * kMs));
 }
 
-// ---- The others, discovery, the disk ---------------------------------------------------------------------
+// ---- Peers, discovery and the write-ahead log
+// --------------------------------------------------------------
 
-struct Pair {
-  explicit Pair(int join_within_ms) {
-    gchar* made = g_dir_make_tmp("lynxgrade-XXXXXX", nullptr);
-    folder = made;
-    g_free(made);
+// Replication services on UDP sockets, with a temporary folder.
+struct ServiceFixture {
+  explicit ServiceFixture(int join_timeout_ms) {
+    gchar* created = g_dir_make_tmp("lynxgrade-XXXXXX", nullptr);
+    folder = created;
+    g_free(created);
     g_file_set_contents((folder + "/key").c_str(), ("1 " + std::string(64, 'a') + "\n").c_str(), -1, nullptr);
     chmod((folder + "/key").c_str(), 0600);
-    setup.listen_address = net::Address{"127.0.0.1", 0};
-    setup.key_file = folder + "/key";
-    setup.flush_interval = 10000 * kMs;
-    setup.join_timeout = join_within_ms * kMs;
+    settings.listen_address = net::Address{"127.0.0.1", 0};
+    settings.key_file = folder + "/key";
+    settings.flush_interval = 10000 * kMs;
+    settings.join_timeout = join_timeout_ms * kMs;
   }
-  ~Pair() { std::filesystem::remove_all(folder); }
-  Pair(const Pair&) = delete;
-  Pair& operator=(const Pair&) = delete;
+  ~ServiceFixture() { std::filesystem::remove_all(folder); }
+  ServiceFixture(const ServiceFixture&) = delete;
+  ServiceFixture& operator=(const ServiceFixture&) = delete;
   std::unique_ptr<replication::UdpReplicationService> Start(const std::string& name) {
-    keepers.push_back(std::make_unique<consistency::SessionConsistencyGuard>(Usual(), Reads::Everywhere()));
+    guards.push_back(
+        std::make_unique<consistency::SessionConsistencyGuard>(Usual(), DelayedReadFixture::GuardOptions()));
     names.push_back(std::make_unique<std::string>(name));
-    auto peer = std::make_unique<replication::UdpReplicationService>(
-        replication::ReplicationContext{loop, setup, *names.back(), false, *keepers.back(), [] {}});
-    const auto started = peer->Start();
+    auto service = std::make_unique<replication::UdpReplicationService>(
+        replication::ReplicationContext{loop, settings, *names.back(), false, *guards.back(), [] {}});
+    const auto started = service->Start();
     CAPTURE(started ? "" : Describe(started.error()));
     REQUIRE(started.has_value());
-    return peer;
+    return service;
   }
   net::Loop loop;
   std::string folder;
-  ReplicationSettings setup;
-  std::vector<std::unique_ptr<consistency::SessionConsistencyGuard>> keepers;
+  ReplicationSettings settings;
+  std::vector<std::unique_ptr<consistency::SessionConsistencyGuard>> guards;
   std::vector<std::unique_ptr<std::string>> names;
 };
 
-TEST_CASE("peers have their full time to count an instance whose recovery took long") {
-  Pair pair(300);
-  pair.setup.seeds = {net::Address{"127.0.0.1", ClosedPort(pair.loop)}};
-  StandStill(400);  // as where the state is long, or the disk slow
-  const auto one = pair.Start("one");
+TEST_CASE("peers have the full join timeout to track an instance whose recovery took long") {
+  ServiceFixture fixture(300);
+  fixture.settings.seeds = {net::Address{"127.0.0.1", ClosedPort(fixture.loop)}};
+  BlockThread(400);  // as for a long recovery or a slow disk
+  const auto one = fixture.Start("one");
   g_main_context_iteration(nullptr, TRUE);
   CHECK_FALSE(one->Ready());
-  Wait(pair.loop, 350);
+  RunLoopFor(fixture.loop, 350);
   CHECK(one->Ready());
 }
 
 TEST_CASE("peers polled before a read arrived are polled again") {
-  Pair pair(0);
-  pair.setup.listen_address = net::Address{"127.0.0.1", ClosedPort(pair.loop)};
-  const auto one = pair.Start("one");
-  pair.setup.seeds = {*pair.setup.listen_address};
-  pair.setup.listen_address = net::Address{"127.0.0.1", 0};
-  const auto two = pair.Start("two");
-  Until([&] { return one->engine().ReplicatedThrough().size() == 1; }, pair.loop);
-  Wait(pair.loop, 50);
+  ServiceFixture fixture(0);
+  fixture.settings.listen_address = net::Address{"127.0.0.1", ClosedPort(fixture.loop)};
+  const auto one = fixture.Start("one");
+  fixture.settings.seeds = {*fixture.settings.listen_address};
+  fixture.settings.listen_address = net::Address{"127.0.0.1", 0};
+  const auto two = fixture.Start("two");
+  RunLoopUntil([&] { return one->engine().ReplicatedThrough().size() == 1; }, fixture.loop);
+  RunLoopFor(fixture.loop, 50);
   const auto packets = one->engine().counts().packets_sent;
-  InAPass(pair.loop, [&] {
+  RunInOnePass(fixture.loop, [&] {
     one->PollPeers();
-    one->PollPeers();  // for a read that came after the first
+    one->PollPeers();  // for a read that arrived after the first poll
   });
   CHECK(one->engine().counts().packets_sent == packets + 1);
-  Wait(pair.loop, 50);
+  RunLoopFor(fixture.loop, 50);
   CHECK(one->engine().counts().packets_sent == packets + 2);
 }
 
-TEST_CASE(
-    "input that arrives while the loop is busy or suspended counts as arrived no earlier than the last "
-    "poll") {
+TEST_CASE("input that arrives while the loop is busy or suspended is counted from the last poll") {
   net::Loop loop;
-  Wait(loop, 5);
+  RunLoopFor(loop, 5);
   TimePoint before{};
-  InAPass(loop, [&] {
+  RunInOnePass(loop, [&] {
     before = loop.Now();
-    StandStill(100);
+    BlockThread(100);
   });
-  InAPass(loop, [] {});
+  RunInOnePass(loop, [] {});
   CHECK(loop.Since() <= before + 20 * kMs);
   CHECK(loop.Since() >= before);
   CHECK(loop.Now() >= before + 100 * kMs);
-  // One that has waited for what came was there.
-  Wait(loop, 20);
+  // A loop that was waiting for input noticed it at once.
+  RunLoopFor(loop, 20);
   CHECK(loop.Now() - loop.Since() < 20 * kMs);
 }
 
 TEST_CASE("the silence of a watch counts from the arrival of its last line, not from when it was read") {
-  // The second draw of this seed is near the end of what may be waited.
+  // The second draw of this seed yields a delay near the maximum.
   constexpr std::uint64_t kSeed = 10;
   std::minstd_rand random(kSeed);
-  std::uniform_real_distribution<double> even(0, 1);
-  even(random);
-  const double chance = std::uniform_real_distribution<double>(0, 1)(random);
-  REQUIRE(chance > 0.6);
-  SimulatedFleet w;
-  Agent agent(w.loop);
+  std::uniform_real_distribution<double> uniform(0, 1);
+  uniform(random);
+  const double draw = std::uniform_real_distribution<double>(0, 1)(random);
+  REQUIRE(draw > 0.6);
+  SimulatedFleet fleet;
+  Agent agent(fleet.loop);
   discovery::EndpointListReader reader({});
-  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, kSeed,
+  discovery::DiscoveryWatch watch(fleet.loop, *net::ParseAddress(agent.Where()), reader, 0, kSeed,
                                   {.shared = true, .instances = 300, .drain_grace = 500 * kMs},
                                   [](const auto&) {});
   watch.Start();
-  w.Until([&] { return agent.Asked("since=0"); });
-  Wait(w.loop, 20);
-  InAPass(w.loop, [&] {
+  fleet.Until([&] { return agent.Asked("since=0"); });
+  RunLoopFor(fleet.loop, 20);
+  RunInOnePass(fleet.loop, [&] {
     agent.peers.back()->Say("\n");
     agent.peers.back()->connection->Close();
-    StandStill(1500);
+    BlockThread(1500);
   });
-  w.Until([&] { return watch.next_request_at().has_value(); });
-  // Half of what is left of 6.2 s, less 0.5 s for the answer and 1.5 s since the line came.
-  const Duration most(static_cast<std::int64_t>(chance * 2100000));
-  CHECK(*watch.next_request_at() - w.loop.Now() <= most);
-  CHECK(*watch.next_request_at() - w.loop.Now() > most - 100 * kMs);
+  fleet.Until([&] { return watch.next_request_at().has_value(); });
+  // The drawn part of half of the remaining time: of 6.2 s, 0.5 s are reserved for the response, and 1.5 s
+  // have passed since the line arrived.
+  const Duration max_delay(static_cast<std::int64_t>(draw * 2100000));
+  CHECK(*watch.next_request_at() - fleet.loop.Now() <= max_delay);
+  CHECK(*watch.next_request_at() - fleet.loop.Now() > max_delay - 100 * kMs);
 }
 
 TEST_CASE("a list request made late in a long pass has its full timeout") {
-  SimulatedFleet w;
-  Agent agent(w.loop);
+  SimulatedFleet fleet;
+  Agent agent(fleet.loop);
   agent.line = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
   discovery::EndpointListReader reader({});
-  discovery::DiscoveryWatch watch(w.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {},
+  discovery::DiscoveryWatch watch(fleet.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {},
                                   [](const auto&) {});
-  net::Timer before(w.loop);
-  before.After(Duration{0}, [] { StandStill(300); });  // in the pass in which the call is made
+  net::Timer blocking_timer(fleet.loop);
+  blocking_timer.After(Duration{0}, [] { BlockThread(300); });  // in the pass in which the request is made
   watch.Start();
-  w.Until([&] { return watch.has_received_update(); });
+  fleet.Until([&] { return watch.has_received_update(); });
   CHECK(agent.peers.size() == 1);
 }
 
 TEST_CASE("a response is not sent before its write is durable because this process was suspended") {
-  Pair folder(0);  // for its folder
-  const std::string state = folder.folder + "/state";
-  consistency::SessionConsistencyGuard consistency_guard(Usual(), Reads::Everywhere());
-  DurabilitySettings setup;
-  setup.folder = state;
-  setup.snapshot_bytes = 4096;
-  setup.wait_timeout = 250 * kMs;
-  net::Loop& loop = folder.loop;
-  bool given = false;
+  ServiceFixture fixture(0);  // for its folder
+  const std::string state_folder = fixture.folder + "/state";
+  consistency::SessionConsistencyGuard consistency_guard(Usual(), DelayedReadFixture::GuardOptions());
+  DurabilitySettings settings;
+  settings.folder = state_folder;
+  settings.snapshot_bytes = 4096;
+  settings.wait_timeout = 250 * kMs;
+  net::Loop& loop = fixture.loop;
+  bool notified = false;
   {
-    durability::WriteAheadLog store(loop, setup, "n", consistency_guard);
-    REQUIRE(store.Open());
-    REQUIRE(store.StartWriting());
-    // The file of the next snapshot: the disk hangs from there on, until it is opened here.
-    const std::string hangs = state + "/sessions-2.new";
-    REQUIRE(mkfifo(hangs.c_str(), 0600) == 0);
+    durability::WriteAheadLog log(loop, settings, "n", consistency_guard);
+    REQUIRE(log.Open());
+    REQUIRE(log.StartWriting());
+    // The file of the next snapshot is a FIFO: writing to it blocks until a reader opens it below.
+    const std::string blocking_file = state_folder + "/sessions-2.new";
+    REQUIRE(mkfifo(blocking_file.c_str(), 0600) == 0);
     const auto write = [&] {
       const consistency::WriteWatermark watermark{loop.Now(), ServerId(1)};
       const consistency::SessionKey key = consistency::SessionKeyOf(GroupId(1), "s");
       consistency_guard.LearnWatermark(std::nullopt, key, watermark);
-      store.AppendWatermark(key, watermark);
+      log.AppendWatermark(key, watermark);
     };
     for (int i = 0; i < 500; ++i) write();
-    Wait(loop, 300);  // the snapshot has begun
+    RunLoopFor(loop, 300);  // the snapshot has started
     write();
-    InAPass(loop, [&] {
-      REQUIRE(store.NotifyWhenDurable([&] { given = true; }));
-      StandStill(600);
+    RunInOnePass(loop, [&] {
+      REQUIRE(log.NotifyWhenDurable([&] { notified = true; }));
+      BlockThread(600);
     });
     for (int i = 0; i < 3; ++i) g_main_context_iteration(nullptr, TRUE);
-    CHECK_FALSE(given);
-    CHECK(store.wait_timeouts() == 0);
-    // A disk that does hang keeps nobody waiting for ever.
-    Until([&] { return given; }, loop);
-    CHECK(store.wait_timeouts() == 1);
-    const int reader = open(hangs.c_str(), O_RDONLY | O_NONBLOCK);
+    CHECK_FALSE(notified);
+    CHECK(log.wait_timeouts() == 0);
+    // If the disk does not respond at all, the wait ends with its timeout.
+    RunLoopUntil([&] { return notified; }, loop);
+    CHECK(log.wait_timeouts() == 1);
+    const int reader = open(blocking_file.c_str(), O_RDONLY | O_NONBLOCK);
     REQUIRE(reader >= 0);
-    Wait(loop, 100);
+    RunLoopFor(loop, 100);
     close(reader);
   }
 }
