--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -59,15 +59,15 @@
             }) {
     REQUIRE(listener.Open({"127.0.0.1", 0}));
     bool full = false;
-    local = Connection::Open(loop, {"127.0.0.1", listener.port()}, *this, 4096, 4096, &full);
-    RunLoopUntil([&] { return remote != nullptr && local->up(); }, loop);
+    local = Connection::Connect(loop, {"127.0.0.1", listener.port()}, *this, 4096, 4096, &full);
+    RunLoopUntil([&] { return remote != nullptr && local->connected(); }, loop);
   }
   void OnReadable() override {
-    local->in().Consume(local->in().size());
+    local->input().Consume(local->input().size());
     BlockThread(ms);
   }
-  void OnPeerDone() override {}
-  void OnBroken() override {}
+  void OnEndOfStream() override {}
+  void OnDisconnected() override {}
   void SendInput() { remote->Write("x"); }
   int ms;
   Peer remote_owner;
@@ -107,7 +107,7 @@
   fixture.Send(120);
   RunLoopUntil([&] { return fixture.server.peers.size() == 1 && fixture.server.peers[0]->started; },
                fixture.loop);
-  RunLoopFor(fixture.loop, static_cast<int>((started + 80 * kMs - fixture.loop.Precise()) / kMs));
+  RunLoopFor(fixture.loop, static_cast<int>((started + 80 * kMs - fixture.loop.PreciseNow()) / kMs));
   RunInOnePass(fixture.loop, [&] {
     slow_connection.SendInput();
     fixture.server.peers[0]->Say(Hello());
--- a/tests/replication/event_loop_steps.h
+++ b/tests/replication/event_loop_steps.h
@@ -20,23 +20,23 @@
 inline void RunLoopUntil(const std::function<bool()>& condition, net::Loop& loop) {
   bool timed_out = false;
   net::Timer timeout(loop), poll(loop);
-  timeout.After(10000 * kMs, [&] { timed_out = true; });
-  std::function<void()> poll_again = [&] { poll.After(kMs, poll_again); };
+  timeout.ScheduleAfter(10000 * kMs, [&] { timed_out = true; });
+  std::function<void()> poll_again = [&] { poll.ScheduleAfter(kMs, poll_again); };
   poll_again();
   while (!condition() && !timed_out) g_main_context_iteration(nullptr, TRUE);
   REQUIRE(condition());
 }
 
 inline void RunLoopFor(net::Loop& loop, int ms) {
-  const TimePoint started = loop.Precise();
-  RunLoopUntil([&] { return loop.Precise() - started >= ms * kMs; }, loop);
+  const TimePoint started = loop.PreciseNow();
+  RunLoopUntil([&] { return loop.PreciseNow() - started >= ms * kMs; }, loop);
 }
 
 // Runs `call` inside one pass of the loop.
 inline void RunInOnePass(net::Loop& loop, const std::function<void()>& call) {
   bool done = false;
   net::Timer timer(loop);
-  timer.After(Duration{0}, [&] {
+  timer.ScheduleAfter(Duration{0}, [&] {
     call();
     done = true;
   });
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -51,7 +51,7 @@
   }
   DelayedReadFixture() : proxy(loop, Unhurried(), 7, backends, GuardOptions()) {
     // The clock is read once: between two readings, a write could be unknown, for which a read has to wait.
-    const TimePoint started = loop.Precise();
+    const TimePoint started = loop.PreciseNow();
     proxy.consistency_guard().HandleStart(started, started);
     proxy.consistency_guard().SetReplicatedThrough(1, started);
     proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++polls; }});
@@ -80,13 +80,13 @@
   // In one pass, the other instance replicates its writes and then answers another one, and a read arrives.
   RunInOnePass(fixture.loop, [&] {
     BlockThread(10);
-    fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.Precise());
+    fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.PreciseNow());
     BlockThread(10);
     fixture.Read(1000);
   });
   CHECK(fixture.polls == 1);
   CHECK(fixture.backends.sent_limits.empty());
-  fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.Precise());
+  fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.PreciseNow());
   fixture.proxy.Relearnt();
   CHECK(fixture.backends.sent_limits.size() == 1);
 }
@@ -100,7 +100,7 @@
     fixture.Read(1000);
   });
   RunLoopFor(fixture.loop, 50);
-  fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.Precise());
+  fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.PreciseNow());
   fixture.proxy.Relearnt();
   REQUIRE(fixture.backends.sent_limits.size() == 1);
   CHECK(fixture.loop.Now() + fixture.backends.sent_limits[0] == pass_started + 1000 * kMs);
@@ -220,12 +220,12 @@
     BlockThread(100);
   });
   RunInOnePass(loop, [] {});
-  CHECK(loop.Since() <= before + 20 * kMs);
-  CHECK(loop.Since() >= before);
+  CHECK(loop.EarliestArrival() <= before + 20 * kMs);
+  CHECK(loop.EarliestArrival() >= before);
   CHECK(loop.Now() >= before + 100 * kMs);
   // A loop that was waiting for input noticed it at once.
   RunLoopFor(loop, 20);
-  CHECK(loop.Now() - loop.Since() < 20 * kMs);
+  CHECK(loop.Now() - loop.EarliestArrival() < 20 * kMs);
 }
 
 TEST_CASE("the silence of a watch counts from the arrival of its last line, not from when it was read") {
@@ -266,7 +266,8 @@
   discovery::DiscoveryWatch watch(fleet.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {},
                                   [](const auto&) {});
   net::Timer blocking_timer(fleet.loop);
-  blocking_timer.After(Duration{0}, [] { BlockThread(300); });  // in the pass in which the request is made
+  blocking_timer.ScheduleAfter(Duration{0},
+                               [] { BlockThread(300); });  // in the pass in which the request is made
   watch.Start();
   fleet.Until([&] { return watch.has_received_update(); });
   CHECK(agent.peers.size() == 1);
