--- a/src/replication/peer_links.cpp
+++ b/src/replication/peer_links.cpp
@@ -28,7 +28,7 @@
 }
 
 void PeerLinks::ApplyMembershipChanges(TimePoint now) {
-  if (std::exchange(applied_changes_, swim_.changes()) == swim_.changes()) return;
+  if (std::exchange(applied_changes_, swim_.change_count()) == swim_.change_count()) return;
   incarnations_.PruneLeaseUsers(swim_.quorum_tracker().incarnation_ids());
   // Only the members that have changed: while a large fleet starts, almost every packet changes a few.
   std::vector<std::string> names = swim_.DrainChangedNames();
--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -11,38 +11,43 @@
 namespace lynxgrade {
 namespace {
 
-// A request whose statement is the remaining time in milliseconds.
-struct RemainingTimeWork final : proxy::Work {
-  std::string TextFor(Duration left) const override { return std::to_string(left.count() / 1000); }
+// A statement whose text is the remaining time in milliseconds.
+struct RemainingTimeStatement final : proxy::Statement {
+  std::string TextWithBudget(Duration time_left) const override {
+    return std::to_string(time_left.count() / 1000);
+  }
 };
 
 // A connection pool with one data server, and the results of its attempts and health checks.
-struct PoolFixture final : proxy::BackendEvents {
+struct PoolFixture final : proxy::UpstreamEvents {
   virtual ~PoolFixture() = default;
   explicit PoolFixture(upstream::PoolSettings settings = {})
       : pool(loop, std::move(settings), budget, [] { return false; }),
-        server(loop, [](Peer& p, const std::string&) { p.Say(Row("v")); }) {
+        server(loop,
+               [](TestConnection& connection, const std::string&) { connection.Send(RowResponse("v")); }) {
     pool.SetEvents(*this);
     pool.SetAddress(kServer, {"127.0.0.1", server.listener.port()});
   }
-  void OnAttemptEnd(proxy::AttemptEnd end) override { attempt_ends.push_back(std::move(end)); }
-  void OnProbeEnd(const HealthCheckEvent& event) override { health_checks.push_back(event); }
+  void OnAttemptFinished(proxy::AttemptResult result) override {
+    attempt_results.push_back(std::move(result));
+  }
+  void OnHealthCheckFinished(const HealthCheckEvent& event) override { health_checks.push_back(event); }
   void Send(int limit_ms, Duration write_within = Duration::max()) {
-    pool.Send(RequestId(++last_request_id), 0, kServer, work, {limit_ms * kMs, write_within});
+    pool.StartAttempt(RequestId(++last_request_id), 0, kServer, statement, {limit_ms * kMs, write_within});
   }
   // Completes one attempt, after which its connection is idle.
   void OpenConnection() {
     Send(1000);
-    RunLoopUntil([&] { return attempt_ends.size() == 1; }, loop);
-    REQUIRE(attempt_ends.front().outcome == Outcome::kOk);
+    RunLoopUntil([&] { return attempt_results.size() == 1; }, loop);
+    REQUIRE(attempt_results.front().outcome == Outcome::kOk);
   }
   static constexpr ServerId kServer{1};
   net::Loop loop;
   net::DescriptorBudget budget{200};
   upstream::ConnectionPool pool;
   DataServer server;
-  std::shared_ptr<const proxy::Work> work = std::make_shared<RemainingTimeWork>();
-  std::vector<proxy::AttemptEnd> attempt_ends;
+  std::shared_ptr<const proxy::Statement> statement = std::make_shared<RemainingTimeStatement>();
+  std::vector<proxy::AttemptResult> attempt_results;
   std::vector<HealthCheckEvent> health_checks;
   std::uint32_t last_request_id = 0;
 };
@@ -70,7 +75,7 @@
   void OnDisconnected() override {}
   void SendInput() { remote->Write("x"); }
   int ms;
-  Peer remote_owner;
+  TestConnection remote_owner;
   net::Listener listener;
   std::shared_ptr<Connection> local, remote;
 };
@@ -89,31 +94,37 @@
 
 TEST_CASE("an attempt whose connection is established late announces the time that is left then") {
   PoolFixture fixture;
-  fixture.server.greets = false;
+  fixture.server.accepts_startup = false;
   fixture.Send(1000);
-  RunLoopUntil([&] { return fixture.server.peers.size() == 1 && fixture.server.peers[0]->started; },
-               fixture.loop);
+  RunLoopUntil(
+      [&] {
+        return fixture.server.connections.size() == 1 && fixture.server.connections[0]->startup_received;
+      },
+      fixture.loop);
   RunLoopFor(fixture.loop, 150);
-  fixture.server.peers[0]->Say(Hello());
+  fixture.server.connections[0]->Send(StartupResponse());
   RunLoopUntil([&] { return fixture.server.queries.size() == 1; }, fixture.loop);
   CHECK(std::stoi(fixture.server.queries[0]) <= 850);
 }
 
 TEST_CASE("an attempt whose deadline passes as its connection is established is not written") {
   PoolFixture fixture;
-  fixture.server.greets = false;
+  fixture.server.accepts_startup = false;
   SlowConnection slow_connection(fixture.loop, 80);
   const TimePoint started = fixture.loop.Now();
   fixture.Send(120);
-  RunLoopUntil([&] { return fixture.server.peers.size() == 1 && fixture.server.peers[0]->started; },
-               fixture.loop);
+  RunLoopUntil(
+      [&] {
+        return fixture.server.connections.size() == 1 && fixture.server.connections[0]->startup_received;
+      },
+      fixture.loop);
   RunLoopFor(fixture.loop, static_cast<int>((started + 80 * kMs - fixture.loop.PreciseNow()) / kMs));
   RunInOnePass(fixture.loop, [&] {
     slow_connection.SendInput();
-    fixture.server.peers[0]->Say(Hello());
+    fixture.server.connections[0]->Send(StartupResponse());
   });
-  RunLoopUntil([&] { return fixture.attempt_ends.size() == 1; }, fixture.loop);
-  CHECK(fixture.attempt_ends[0].outcome == Outcome::kUnreachable);
+  RunLoopUntil([&] { return fixture.attempt_results.size() == 1; }, fixture.loop);
+  CHECK(fixture.attempt_results[0].outcome == Outcome::kUnreachable);
   RunLoopFor(fixture.loop, 50);
   CHECK(fixture.server.queries.empty());
 }
@@ -124,17 +135,17 @@
     BlockThread(300);
     fixture.Send(2000);
   });
-  RunLoopUntil([&] { return fixture.attempt_ends.size() == 1; }, fixture.loop);
-  CHECK(fixture.attempt_ends[0].outcome == Outcome::kOk);
+  RunLoopUntil([&] { return fixture.attempt_results.size() == 1; }, fixture.loop);
+  CHECK(fixture.attempt_results[0].outcome == Outcome::kOk);
   CHECK(fixture.server.queries.size() == 1);
-  CHECK(fixture.server.peers.size() == 1);
+  CHECK(fixture.server.connections.size() == 1);
 }
 
 TEST_CASE("a health check sent late in a long pass has its full timeout") {
   PoolFixture fixture;
   RunInOnePass(fixture.loop, [&] {
     BlockThread(300);
-    fixture.pool.Probe(PoolFixture::kServer);
+    fixture.pool.StartHealthCheck(PoolFixture::kServer);
   });
   RunLoopUntil([&] { return fixture.health_checks.size() == 1; }, fixture.loop);
   CHECK(fixture.health_checks[0].outcome == Outcome::kOk);
@@ -149,10 +160,10 @@
     BlockThread(200);
     fixture.Send(2000);
   });
-  RunLoopUntil([&] { return fixture.attempt_ends.size() == 2; }, fixture.loop);
-  CHECK(fixture.attempt_ends[1].outcome == Outcome::kOk);
-  CHECK(fixture.attempt_ends[1].elapsed < 100 * kMs);
-  CHECK(fixture.attempt_ends[1].elapsed >= Duration{0});
+  RunLoopUntil([&] { return fixture.attempt_results.size() == 2; }, fixture.loop);
+  CHECK(fixture.attempt_results[1].outcome == Outcome::kOk);
+  CHECK(fixture.attempt_results[1].elapsed < 100 * kMs);
+  CHECK(fixture.attempt_results[1].elapsed >= Duration{0});
 }
 
 TEST_CASE("a connection refused at once late in a long pass is not taken for one that timed out") {
@@ -162,34 +173,34 @@
     BlockThread(200);
     fixture.Send(2000);
   });
-  RunLoopUntil([&] { return fixture.attempt_ends.size() == 1; }, fixture.loop);
-  CHECK(fixture.attempt_ends[0].outcome == Outcome::kUnreachable);
-  CHECK(fixture.attempt_ends[0].elapsed < 100 * kMs);
-  CHECK(fixture.attempt_ends[0].elapsed >= Duration{0});
+  RunLoopUntil([&] { return fixture.attempt_results.size() == 1; }, fixture.loop);
+  CHECK(fixture.attempt_results[0].outcome == Outcome::kUnreachable);
+  CHECK(fixture.attempt_results[0].elapsed < 100 * kMs);
+  CHECK(fixture.attempt_results[0].elapsed >= Duration{0});
 }
 
 TEST_CASE("an attempt that ends in the pass in which it began has a latency of zero") {
   PoolFixture fixture;
   RunInOnePass(fixture.loop, [&] {
     BlockThread(50);
-    fixture.pool.Send(RequestId(1), 0, ServerId(9), fixture.work, {1000 * kMs, Duration::max()});
+    fixture.pool.StartAttempt(RequestId(1), 0, ServerId(9), fixture.statement, {1000 * kMs, Duration::max()});
   });
-  REQUIRE(fixture.attempt_ends.size() == 1);
-  CHECK(fixture.attempt_ends[0].outcome == Outcome::kUnreachable);
-  CHECK(fixture.attempt_ends[0].elapsed == Duration{0});
+  REQUIRE(fixture.attempt_results.size() == 1);
+  CHECK(fixture.attempt_results[0].outcome == Outcome::kUnreachable);
+  CHECK(fixture.attempt_results[0].elapsed == Duration{0});
 }
 
 TEST_CASE("a connection idle for longer than allowed is not used, even before idle connections are closed") {
   upstream::PoolSettings settings;
-  settings.idle = 300 * kMs;
+  settings.server_idle_timeout = 300 * kMs;
   PoolFixture fixture(settings);
   RunLoopFor(fixture.loop, 200);  // idle connections are next closed 0.3 s later
   fixture.OpenConnection();
   BlockThread(230);  // and cannot be closed while the process is suspended
   fixture.Send(1000);
-  RunLoopUntil([&] { return fixture.attempt_ends.size() == 2; }, fixture.loop);
-  CHECK(fixture.attempt_ends[1].outcome == Outcome::kOk);
-  CHECK(fixture.server.peers.size() == 2);
+  RunLoopUntil([&] { return fixture.attempt_results.size() == 2; }, fixture.loop);
+  CHECK(fixture.attempt_results[1].outcome == Outcome::kOk);
+  CHECK(fixture.server.connections.size() == 2);
 }
 
 }  // namespace
--- a/tests/replication/lease_fleet.h
+++ b/tests/replication/lease_fleet.h
@@ -88,7 +88,7 @@
   double bytes_per_s = 0;              // bandwidth budget that limits lease requests for reads
   Duration batching_delay{};           // while the budget is low
   bool mixed_versions = false;         // half of the incarnations do not know dedicated managers
-  bool all_must_know_managers = true;  // rule: dedicated managers count once all of the view know them
+  bool require_support_by_all = true;  // rule: dedicated managers count once all of the view know them
 };
 
 struct Fleet {
@@ -411,10 +411,10 @@
   options.flush_interval = kMs * 10;
   options.swim.fleet_size = fleet.size;
   options.swim.lease_manager.dedicated = fleet.IsDedicatedManager(number);
-  options.swim.lease_manager.all_must_know = fleet.options.all_must_know_managers;
+  options.swim.lease_manager.require_support_by_all = fleet.options.require_support_by_all;
   if (fleet.IsOldVersion(number)) options.swim.capabilities = 0;
   if (fleet.manager_without_relay == number)
-    options.swim.capabilities = membership::capability::kKnowsDedicatedLeaseManagers;
+    options.swim.capabilities = membership::capability::kSupportsDedicatedLeaseManagers;
   if (mode != Mode::kBroadcast) {
     lease::SessionLeaseClient::Options& leases = options.leases.emplace();
     leases.read_requests_per_s = fleet.options.read_requests_per_s;
--- a/tests/replication/lease_managers_test.cpp
+++ b/tests/replication/lease_managers_test.cpp
@@ -119,7 +119,7 @@
   int stale_reads = 0;
   for (std::uint64_t seed = 1; seed <= 8 && stale_reads == 0; ++seed) {
     Fleet fleet(5,
-                {.dedicated_managers = 1 + seed % 2, .mixed_versions = true, .all_must_know_managers = false},
+                {.dedicated_managers = 1 + seed % 2, .mixed_versions = true, .require_support_by_all = false},
                 seed);
     fleet.RunUntilComplete(kSecond * 20);
     RunRandomFaults(fleet, 600);
@@ -166,7 +166,7 @@
   CHECK(parsed.SerializeAsString().ends_with(unknown_field));
   const auto [plain_view, no_managers] = view_with(parsed);
   CHECK(no_managers.empty());
-  parsed.set_capabilities(membership::capability::kKnowsDedicatedLeaseManagers);
+  parsed.set_capabilities(membership::capability::kSupportsDedicatedLeaseManagers);
   CHECK(view_with(parsed) == std::pair(plain_view, no_managers));
   parsed.set_dedicated_lease_manager(true);
   const auto [view_naming_manager, managers] = view_with(parsed);
--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -43,15 +43,16 @@
   };
   for (const InvalidCase& invalid :
        {InvalidCase{with_peers + "marks = \"some\"\n", "'peers.marks' is not \"each\""},
-        InvalidCase{with_peers + "marks = \"directory\"\nmembers = \"plain\"\n", "proven members"},
+        InvalidCase{with_peers + "marks = \"directory\"\nmembers = \"plain\"\n",
+                    "requires peers.members = \"proven\""},
         InvalidCase{without_peers + "marks = \"directory\"\n", "'peers.marks'"},
-        InvalidCase{with_peers + "asks_per_s = -1\n", "'peers.asks_per_s' lies outside"},
-        InvalidCase{with_peers + "owner = true\n", "'peers.owner' is of use only"},
-        InvalidCase{with_peers + "marks = \"directory\"\nowner = 1\n", "'peers.owner' is not true or false"},
-        InvalidCase{with_peers + "bytes_per_s = 12000\n", "'peers.bytes_per_s' holds back"},
-        InvalidCase{with_peers + "coalesce_ms = 101\n", "'peers.coalesce_ms' lies outside"},
+        InvalidCase{with_peers + "asks_per_s = -1\n", "'peers.asks_per_s' is out of range"},
+        InvalidCase{with_peers + "owner = true\n", "'peers.owner' requires peers.marks"},
+        InvalidCase{with_peers + "marks = \"directory\"\nowner = 1\n", "'peers.owner' is not a boolean"},
+        InvalidCase{with_peers + "bytes_per_s = 12000\n", "'peers.bytes_per_s' requires peers.marks"},
+        InvalidCase{with_peers + "coalesce_ms = 101\n", "'peers.coalesce_ms' is out of range"},
         InvalidCase{with_peers + "marks = \"directory\"\nbytes_per_s = -1\n",
-                    "'peers.bytes_per_s' lies outside"}}) {
+                    "'peers.bytes_per_s' is out of range"}}) {
     CAPTURE(invalid.text);
     const auto settings = ParseProgramSettings(invalid.text);
     REQUIRE_FALSE(settings.has_value());
@@ -131,43 +132,45 @@
   for (const int granted_after_ms : {0, 60, -1}) {
     CAPTURE(granted_after_ms);
     SimulatedFleet fleet;
-    DataServer& server =
-        fleet.Serve([](lynxgrade::Peer& p, const std::string&) { p.Say(Row("1", "primary", "1000")); });
-    server.report = "x1=1,x0=1";
+    DataServer& server = fleet.AddServer([](TestConnection& connection, const std::string&) {
+      connection.Send(RowResponse("1", "primary", "1000"));
+    });
+    server.load_report = "x1=1,x0=1";
     std::function<void()> send_response;
     std::vector<consistency::SessionKey> requested;
-    proxy::Proxy::Waits waits;
-    waits.safe = [&](GroupId group, consistency::SessionKey key, std::function<void()> call) {
+    proxy::Proxy::ReplicationHooks hooks;
+    hooks.delay_response = [&](GroupId group, consistency::SessionKey key, std::function<void()> call) {
       CHECK(group == GroupId(2));
       requested.push_back(key);
       send_response = std::move(call);
       return granted_after_ms != 0;
     };
-    fleet.proxy.SetWaits(std::move(waits));
-    fleet.List();
+    fleet.proxy.SetReplicationHooks(std::move(hooks));
+    fleet.ApplyEndpointList();
     const TimePoint begun = fleet.loop.Now();
-    lynxgrade::Peer& client = fleet.Client({Ask("write", "k", 400)});
-    fleet.Until([&] { return !requested.empty(); });
+    TestConnection& client = fleet.ConnectClient({RequestText("write", "k", 400)});
+    fleet.RunUntil([&] { return !requested.empty(); });
     CHECK(requested[0] == consistency::SessionKeyOf(GroupId(2), "k"));
     if (granted_after_ms > 0) {
-      fleet.Until([&] { return fleet.loop.Now() - begun > kMs * granted_after_ms; });
-      CHECK(client.Types().ends_with("Z"));  // of the start-up alone
-      CHECK_FALSE(client.Types().ends_with("TDCZ"));
+      fleet.RunUntil([&] { return fleet.loop.Now() - begun > kMs * granted_after_ms; });
+      CHECK(client.MessageTypes().ends_with("Z"));  // of the start-up alone
+      CHECK_FALSE(client.MessageTypes().ends_with("TDCZ"));
       send_response();
     }
-    fleet.Until([&] { return client.Types().ends_with("CZ") || client.Types().ends_with("EZ"); });
+    fleet.RunUntil(
+        [&] { return client.MessageTypes().ends_with("CZ") || client.MessageTypes().ends_with("EZ"); });
     if (granted_after_ms >= 0) {
-      CHECK(client.Types().ends_with("TDCZ"));
+      CHECK(client.MessageTypes().ends_with("TDCZ"));
       CHECK(fleet.proxy.counts().served == 1);
     } else {
-      CHECK(client.Saw("58000"));
+      CHECK(client.HasReceived("58000"));
       CHECK(fleet.loop.Now() - begun <= kMs * 400);
       CHECK(fleet.loop.Now() - begun > kMs * 200);
       CHECK(fleet.proxy.counts().failed == 1);
       send_response();  // too late: the request has failed
       CHECK(fleet.proxy.counts().served == 0);
     }
-    CHECK(fleet.proxy.open() == 0);
+    CHECK(fleet.proxy.requests_in_flight() == 0);
   }
 }
 
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -20,25 +20,25 @@
 // -----------------------------
 
 // Records the attempts that the proxy starts.
-struct RecordingBackends final : proxy::Backends {
-  virtual ~RecordingBackends() = default;
-  void Send(RequestId, AttemptNumber, ServerId, std::shared_ptr<const proxy::Work>,
-            proxy::SendTimes times) override {
-    sent_limits.push_back(times.limit);
+struct RecordingUpstream final : proxy::Upstream {
+  virtual ~RecordingUpstream() = default;
+  void StartAttempt(RequestId, AttemptNumber, ServerId, std::shared_ptr<const proxy::Statement>,
+                    proxy::AttemptTimeouts timeouts) override {
+    attempt_timeouts.push_back(timeouts.timeout);
   }
-  void Cancel(RequestId, AttemptNumber) override {}
-  void Drop(RequestId) override {}
-  void Probe(ServerId) override {}
-  void CloseIdle(ServerId) override {}
-  std::vector<Duration> sent_limits;
+  void CancelAttempt(RequestId, AttemptNumber) override {}
+  void CancelUnsentAttempts(RequestId) override {}
+  void StartHealthCheck(ServerId) override {}
+  void CloseIdleConnections(ServerId) override {}
+  std::vector<Duration> attempt_timeouts;
 };
 
 struct IgnoringClient final : proxy::Client {
   virtual ~IgnoringClient() = default;
-  void Served(const proxy::Answer&) override {}
-  void Refused(Duration) override {}
-  void Failed() override {}
-  void Unusable() override {}
+  void OnResponse(const proxy::Response&) override {}
+  void OnRejected(Duration) override {}
+  void OnFailed() override {}
+  void OnInvalidStatement() override {}
 };
 
 // A proxy without sockets, and one other instance whose writes it has to know.
@@ -49,27 +49,27 @@
     options.max_read_delay = 200 * kMs;
     return options;
   }
-  DelayedReadFixture() : proxy(loop, Unhurried(), 7, backends, GuardOptions()) {
+  DelayedReadFixture() : proxy(loop, LongDeadlineSettings(), 7, upstream, GuardOptions()) {
     // The clock is read once: between two readings, a write could be unknown, for which a read has to wait.
     const TimePoint started = loop.PreciseNow();
     proxy.consistency_guard().HandleStart(started, started);
     proxy.consistency_guard().SetReplicatedThrough(1, started);
-    proxy.SetWaits({.wrote = {}, .safe = {}, .ask_others = [this] { ++polls; }});
+    proxy.SetReplicationHooks({.on_write = {}, .delay_response = {}, .poll_peers = [this] { ++polls; }});
     ListEvent list{ListKind::kPersisted, {}};
     list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
-    proxy.ListChanged(list);
+    proxy.ApplyEndpointList(list);
   }
   void Read(int left_ms) {
-    proxy::Ask ask;
-    ask.event.group = GroupId(2);
-    ask.event.request_class = 1;
-    ask.event.session = "s";
-    ask.event.time_left = left_ms * kMs;
+    proxy::Request request;
+    request.event.group = GroupId(2);
+    request.event.request_class = 1;
+    request.event.session = "s";
+    request.event.time_left = left_ms * kMs;
     RequestId id{};
-    proxy.Take(std::move(ask), client, id);
+    proxy.StartRequest(std::move(request), client, id);
   }
   net::Loop loop;
-  RecordingBackends backends;
+  RecordingUpstream upstream;
   IgnoringClient client;
   proxy::Proxy proxy;
   int polls = 0;
@@ -85,10 +85,10 @@
     fixture.Read(1000);
   });
   CHECK(fixture.polls == 1);
-  CHECK(fixture.backends.sent_limits.empty());
+  CHECK(fixture.upstream.attempt_timeouts.empty());
   fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.PreciseNow());
-  fixture.proxy.Relearnt();
-  CHECK(fixture.backends.sent_limits.size() == 1);
+  fixture.proxy.HandleReplicatedWatermarks();
+  CHECK(fixture.upstream.attempt_timeouts.size() == 1);
 }
 
 TEST_CASE("a read that waited keeps the deadline with which it arrived") {
@@ -101,13 +101,13 @@
   });
   RunLoopFor(fixture.loop, 50);
   fixture.proxy.consistency_guard().SetReplicatedThrough(1, fixture.loop.PreciseNow());
-  fixture.proxy.Relearnt();
-  REQUIRE(fixture.backends.sent_limits.size() == 1);
-  CHECK(fixture.loop.Now() + fixture.backends.sent_limits[0] == pass_started + 1000 * kMs);
+  fixture.proxy.HandleReplicatedWatermarks();
+  REQUIRE(fixture.upstream.attempt_timeouts.size() == 1);
+  CHECK(fixture.loop.Now() + fixture.upstream.attempt_timeouts[0] == pass_started + 1000 * kMs);
 }
 
 TEST_CASE("the time for which a read waited does not make a first attempt look like a retry") {
-  Settings settings = Usual();
+  Settings settings = DefaultSettings();
   Balancer balancer(settings, 7);
   TimePoint now{1000000 * kMs};
   Actions actions;
@@ -164,8 +164,8 @@
   ServiceFixture(const ServiceFixture&) = delete;
   ServiceFixture& operator=(const ServiceFixture&) = delete;
   std::unique_ptr<replication::UdpReplicationService> Start(const std::string& name) {
-    guards.push_back(
-        std::make_unique<consistency::SessionConsistencyGuard>(Usual(), DelayedReadFixture::GuardOptions()));
+    guards.push_back(std::make_unique<consistency::SessionConsistencyGuard>(
+        DefaultSettings(), DelayedReadFixture::GuardOptions()));
     names.push_back(std::make_unique<std::string>(name));
     auto service = std::make_unique<replication::UdpReplicationService>(
         replication::ReplicationContext{loop, settings, *names.back(), false, *guards.back(), [] {}});
@@ -237,20 +237,20 @@
   const double draw = std::uniform_real_distribution<double>(0, 1)(random);
   REQUIRE(draw > 0.6);
   SimulatedFleet fleet;
-  Agent agent(fleet.loop);
+  DiscoveryAgent agent(fleet.loop);
   discovery::EndpointListReader reader({});
-  discovery::DiscoveryWatch watch(fleet.loop, *net::ParseAddress(agent.Where()), reader, 0, kSeed,
+  discovery::DiscoveryWatch watch(fleet.loop, *net::ParseAddress(agent.Address()), reader, 0, kSeed,
                                   {.shared = true, .instances = 300, .drain_grace = 500 * kMs},
                                   [](const auto&) {});
   watch.Start();
-  fleet.Until([&] { return agent.Asked("since=0"); });
+  fleet.RunUntil([&] { return agent.HasReceived("since=0"); });
   RunLoopFor(fleet.loop, 20);
   RunInOnePass(fleet.loop, [&] {
-    agent.peers.back()->Say("\n");
-    agent.peers.back()->connection->Close();
+    agent.connections.back()->Send("\n");
+    agent.connections.back()->connection->Close();
     BlockThread(1500);
   });
-  fleet.Until([&] { return watch.next_request_at().has_value(); });
+  fleet.RunUntil([&] { return watch.next_request_at().has_value(); });
   // The drawn part of half of the remaining time: of 6.2 s, 0.5 s are reserved for the response, and 1.5 s
   // have passed since the line arrived.
   const Duration max_delay(static_cast<std::int64_t>(draw * 2100000));
@@ -260,23 +260,24 @@
 
 TEST_CASE("a list request made late in a long pass has its full timeout") {
   SimulatedFleet fleet;
-  Agent agent(fleet.loop);
-  agent.line = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
+  DiscoveryAgent agent(fleet.loop);
+  agent.response = "{\"rev\":3,\"all\":true,\"targets\":[]}\n";
   discovery::EndpointListReader reader({});
-  discovery::DiscoveryWatch watch(fleet.loop, *net::ParseAddress(agent.Where()), reader, 0, 1, {},
+  discovery::DiscoveryWatch watch(fleet.loop, *net::ParseAddress(agent.Address()), reader, 0, 1, {},
                                   [](const auto&) {});
   net::Timer blocking_timer(fleet.loop);
   blocking_timer.ScheduleAfter(Duration{0},
                                [] { BlockThread(300); });  // in the pass in which the request is made
   watch.Start();
-  fleet.Until([&] { return watch.has_received_update(); });
-  CHECK(agent.peers.size() == 1);
+  fleet.RunUntil([&] { return watch.has_received_update(); });
+  CHECK(agent.connections.size() == 1);
 }
 
 TEST_CASE("a response is not sent before its write is durable because this process was suspended") {
   ServiceFixture fixture(0);  // for its folder
   const std::string state_folder = fixture.folder + "/state";
-  consistency::SessionConsistencyGuard consistency_guard(Usual(), DelayedReadFixture::GuardOptions());
+  consistency::SessionConsistencyGuard consistency_guard(DefaultSettings(),
+                                                         DelayedReadFixture::GuardOptions());
   DurabilitySettings settings;
   settings.folder = state_folder;
   settings.snapshot_bytes = 4096;
