--- a/src/replication/replication_engine.h
+++ b/src/replication/replication_engine.h
@@ -43,7 +43,8 @@
     // has been silent for longer, and would never poll an idle peer.
     Duration idle_interval{100000};
     std::size_t retained_watermarks = 65536;  // a peer that misses more needs a snapshot
-    double packets_per_s = 2000;  // with many peers, the flush interval is stretched to stay below
+    // With many peers, the flush interval is stretched to stay below this rate.
+    double packets_per_s = 2000;
     // Only membership is replicated: no watermarks are sent, and no peer's writes ever count as replicated.
     bool membership_only = false;
   };
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -18,6 +18,7 @@
 constexpr int kMaxDatagramsPerPass = 64;  // so that a flood of datagrams does not delay clients
 constexpr std::size_t kMaxDatagramBytes = 65536;
 constexpr Duration kTickInterval{5000};
+// Only delays the log line: whatever acts on the quorum state assesses it itself.
 constexpr Duration kQuorumLogInterval{50000};
 // Longer than the deadline of any request: after it no client waits for the answer.
 constexpr Duration kPendingAnswerLifetime{60000000};
