--- a/src/consistency/session_consistency_guard.cpp
+++ b/src/consistency/session_consistency_guard.cpp
@@ -41,8 +41,8 @@
 
 void SessionConsistencyGuard::PrepareEvent(TimePoint now, Event& event) {
   now_ = now;
-  if (const auto* list = std::get_if<ListEvent>(&event)) {
-    if (CoversAllInstances()) HandleList(*list);
+  if (const auto* list = std::get_if<EndpointListEvent>(&event)) {
+    if (CoversAllInstances()) HandleEndpointList(*list);
   } else if (auto* request = std::get_if<RequestEvent>(&event)) {
     HandleRequest(now, *request);
   } else if (auto* attempt_end = std::get_if<AttemptEndedEvent>(&event)) {
@@ -63,17 +63,17 @@
 
 // ---- Data servers -------------------------------------------------------------------------------------
 
-void SessionConsistencyGuard::HandleList(const ListEvent& event) {
-  if (event.kind == ListKind::kError) return;
+void SessionConsistencyGuard::HandleEndpointList(const EndpointListEvent& event) {
+  if (event.kind == EndpointListKind::kError) return;
   std::unordered_map<ServerId, GroupId> listed;
-  for (const ListEntry& entry : event.entries) {
+  for (const EndpointListEntry& entry : event.entries) {
     if (entry.lifecycle == Lifecycle::kDeleted) {
       RemoveServer(entry.server);
     } else {
       listed[entry.server] = entry.group;
     }
   }
-  if (event.kind != ListKind::kPartial) {
+  if (event.kind != EndpointListKind::kPartial) {
     std::vector<ServerId> missing;
     for (const auto& [server, group] : groups_) {
       if (!listed.contains(server)) missing.push_back(server);
--- a/src/consistency/session_consistency_guard.h
+++ b/src/consistency/session_consistency_guard.h
@@ -158,7 +158,7 @@
   bool CoversAllInstances() const { return options_.scope == Scope::kEverywhere; }
   bool UsesLeases() const { return leases_ != nullptr && !sessions_carry_positions_; }
 
-  void HandleList(const ListEvent& event);
+  void HandleEndpointList(const EndpointListEvent& event);
   void HandleRequest(TimePoint now, RequestEvent& event);
   void HandleAttemptEnd(TimePoint now, AttemptEndedEvent& event);
   void HandleHealthCheck(TimePoint now, HealthCheckEvent& event);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -138,7 +138,7 @@
   sent ? client->OnFailed() : client->OnRejected(rejected_read_retry_after_);
 }
 
-void Proxy::ApplyEndpointList(ListEvent list) {
+void Proxy::ApplyEndpointList(EndpointListEvent list) {
   Event event = std::move(list);
   PrepareEvent(event);
   HandleEvent(std::move(event));
@@ -287,7 +287,7 @@
   }
   ++counts_.attempts;
   upstream_.StartAttempt(action.id, number, action.server, it->second.statement,
-                         {action.timeout, action.write_within});
+                         {action.timeout, action.write_timeout});
 }
 
 void Proxy::Execute(const Reject& action) {
--- a/tests/replication/attempt_deadlines_test.cpp
+++ b/tests/replication/attempt_deadlines_test.cpp
@@ -32,8 +32,8 @@
     attempt_results.push_back(std::move(result));
   }
   void OnHealthCheckFinished(const HealthCheckEvent& event) override { health_checks.push_back(event); }
-  void Send(int limit_ms, Duration write_within = Duration::max()) {
-    pool.StartAttempt(RequestId(++last_request_id), 0, kServer, statement, {limit_ms * kMs, write_within});
+  void Send(int limit_ms, Duration write_timeout = Duration::max()) {
+    pool.StartAttempt(RequestId(++last_request_id), 0, kServer, statement, {limit_ms * kMs, write_timeout});
   }
   // Completes one attempt, after which its connection is idle.
   void OpenConnection() {
--- a/tests/replication/lease_settings_test.cpp
+++ b/tests/replication/lease_settings_test.cpp
@@ -76,7 +76,7 @@
   consistency::SessionConsistencyGuard consistency_guard(SessionSettings(), options);
   consistency_guard.SetSessionLeases(&leases);
   TimePoint now{Duration(1'700'000'000'000'000)};
-  ListEvent list{ListKind::kPersisted, {}};
+  EndpointListEvent list{EndpointListKind::kPersisted, {}};
   for (const ServerId server : {kPrimary, kSuccessor})
     list.entries.push_back({.server = server, .group = kGroup});
   Event event = std::move(list);
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -55,7 +55,7 @@
     proxy.consistency_guard().HandleStart(started, started);
     proxy.consistency_guard().SetReplicatedThrough(1, started);
     proxy.SetReplicationHooks({.on_write = {}, .delay_response = {}, .poll_peers = [this] { ++polls; }});
-    ListEvent list{ListKind::kPersisted, {}};
+    EndpointListEvent list{EndpointListKind::kPersisted, {}};
     list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
     proxy.ApplyEndpointList(list);
   }
@@ -118,7 +118,7 @@
     return std::ranges::any_of(
         actions, [](const Action& action) { return std::holds_alternative<StartAttempt>(action); });
   };
-  ListEvent list{ListKind::kPersisted, {}};
+  EndpointListEvent list{EndpointListKind::kPersisted, {}};
   list.entries.push_back({.server = ServerId(1), .group = GroupId(2)});
   starts_attempt(list);
   std::uint32_t last_request_id = 0;
