--- a/src/consistency/session_consistency_guard.cpp
+++ b/src/consistency/session_consistency_guard.cpp
@@ -181,7 +181,7 @@
   std::optional<LogPosition> conservative_position;
   if (known.watermark && known.watermark->position >= oldest) {
     read.watermark = known.watermark;
-    ++counts_.with_watermark;
+    ++counts_.reads_with_watermark;
     RaiseTo(event.required_position, known.watermark->position);
   } else if (!known.watermark && known.conservative_position && *known.conservative_position >= oldest) {
     conservative_position = known.conservative_position;
@@ -189,11 +189,11 @@
   }
   if (!CoversAllInstances()) return;
   if (UsesLeases()) read.all_writes_known_after = leases_->AllWritesKnownAfter(read.key);
-  if (read.all_writes_known_after) ++counts_.complete;
+  if (read.all_writes_known_after) ++counts_.complete_reads;
   for (const WriteInterval& unknown : UnknownIntervalsOf(read))
     RaiseTo(conservative_position, unknown.through);
   if (conservative_position) {
-    ++counts_.conservative;
+    ++counts_.conservative_reads;
     RaiseTo(event.required_position, *conservative_position);
   }
   event.require_proven_position = true;
--- a/src/consistency/session_consistency_guard.h
+++ b/src/consistency/session_consistency_guard.h
@@ -57,9 +57,9 @@
 
 struct SessionConsistencyCounts {
   std::uint64_t reads = 0;                   // session reads seen
-  std::uint64_t with_watermark = 0;          // reads whose session has a known write
-  std::uint64_t conservative = 0;            // reads with a conservative position, due to unknown writes
-  std::uint64_t complete = 0;                // reads for which the lease proved that all writes are known
+  std::uint64_t reads_with_watermark = 0;    // reads whose session has a known write
+  std::uint64_t conservative_reads = 0;      // reads with a conservative position, due to unknown writes
+  std::uint64_t complete_reads = 0;          // reads for which the lease proved that all writes are known
   std::uint64_t rejected_lost_write = 0;     // reads rejected with RejectionReason::kLostWrite
   std::uint64_t rejected_unknown_write = 0;  // reads rejected with RejectionReason::kUnknownWrite
   std::uint64_t stale_answers = 0;           // answers discarded as older than the required position
--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -126,9 +126,9 @@
                              const std::function<void()>& call) {
   if (replication_ == nullptr) return log_->NotifyWhenDurable(call);
   const bool waits_for_disk = log_ != nullptr && log_->NotifyWhenDurable([this, group, session, call] {
-    if (!replication_->CallWhenMayAnswer(group, session, call)) call();
+    if (!replication_->CallWhenWriteMayBeAnswered(group, session, call)) call();
   });
-  return waits_for_disk || replication_->CallWhenMayAnswer(group, session, call);
+  return waits_for_disk || replication_->CallWhenWriteMayBeAnswered(group, session, call);
 }
 
 void Instance::CreateDiscoveryWatch(std::int64_t revision) {
--- a/src/instance.h
+++ b/src/instance.h
@@ -54,7 +54,7 @@
   // Whether any data server has ever been listed.
   bool has_listed_servers() const { return has_listed_servers_; }
   // Whether the others count this instance, so that it may answer writes.
-  bool IsCountedByPeers() const { return replication_ == nullptr || replication_->Ready(); }
+  bool IsCountedByPeers() const { return replication_ == nullptr || replication_->IsReady(); }
   // Announces to the other instances that it leaves, and ends the durable log. To be called after the last
   // response has been sent.
   void Leave();
--- a/src/pooler.cpp
+++ b/src/pooler.cpp
@@ -62,7 +62,7 @@
   if (!address) return {};
   std::map<std::string, admin::AdminServer::Handler> handlers;
   if (instance_.replication() != nullptr) {
-    handlers["peers"] = [this] { return instance_.replication()->Describe(); };
+    handlers["peers"] = [this] { return instance_.replication()->StatusJson(); };
   }
   admin_server_ = std::make_unique<admin::AdminServer>(loop_, std::move(handlers));
   if (const auto listening = admin_server_->Listen(*address); !listening) {
@@ -170,9 +170,9 @@
     spdlog::info(
         "sessions: reads={} with_watermark={} at_conservative_position={} rejected_possible_loss={} "
         "rejected_unknown_writes={} stale_responses={} known={} evicted={}",
-        sessions.reads, sessions.with_watermark, sessions.conservative, sessions.rejected_lost_write,
-        sessions.rejected_unknown_write, sessions.stale_answers, guard.watermark_table().size(),
-        guard.watermark_table().evicted());
+        sessions.reads, sessions.reads_with_watermark, sessions.conservative_reads,
+        sessions.rejected_lost_write, sessions.rejected_unknown_write, sessions.stale_answers,
+        guard.watermark_table().size(), guard.watermark_table().evicted());
   }
   report_timer_.ScheduleAfter(kReportInterval, [this] { LogReport(); });
 }
--- a/src/replication/replication_service.h
+++ b/src/replication/replication_service.h
@@ -30,17 +30,18 @@
   // Calls `call` later, once a write of the session may be answered; drops it if that does not happen in
   // time. Returns false, without calling `call`, if the write may be answered now, which is always so without
   // session leases.
-  virtual bool CallWhenMayAnswer(GroupId group, consistency::SessionKey key, std::function<void()> call) = 0;
+  virtual bool CallWhenWriteMayBeAnswered(GroupId group, consistency::SessionKey key,
+                                          std::function<void()> call) = 0;
   // Polls the peers for their watermarks because a read waits for them, now or as soon as the next poll is
   // allowed.
   virtual void PollPeers() = 0;
   // Whether this instance may answer writes: the peers track its writes, or the time that they have for that
   // is over.
-  virtual bool Ready() const = 0;
+  virtual bool IsReady() const = 0;
   // The peers and the quorum of this instance, as one JSON object; src/admin/admin_client.cpp reads it.
-  virtual std::string Describe() const = 0;
+  virtual std::string StatusJson() const = 0;
   // The number of reachable instances, including this one.
-  virtual std::size_t ReachableInstances() const = 0;
+  virtual std::size_t ReachableInstanceCount() const = 0;
   // Packets and bytes sent and received since the start.
   virtual const Traffic& traffic() const = 0;
   // Processor time that this thread has spent on packets, membership and leases. Excludes the event loop, and
@@ -60,7 +61,7 @@
   std::function<void()> on_learned;  // called whenever the guard may have learned something
   // For a host of many instances that simulates the network between them: whether datagrams are delivered
   // between this instance and the address. Absent: all are delivered.
-  std::function<bool(const std::string& address)> passes = {};
+  std::function<bool(const std::string& address)> delivers_datagrams = {};
   // For a host that measures membership alone: no peer's writes ever count as replicated.
   bool membership_only = false;
 };
--- a/src/replication/udp_replication_service.cpp
+++ b/src/replication/udp_replication_service.cpp
@@ -55,7 +55,7 @@
                                   : ReplicationEngine::Recovery::kIncomplete),
       consistency_guard_(context.consistency_guard),
       on_learned_(std::move(context.on_learned)),
-      passes_(std::move(context.passes)),
+      delivers_datagrams_(std::move(context.delivers_datagrams)),
       scope_(context.membership_only ? ReplicationScope::kMembershipOnly : ReplicationScope::kAll),
       tick_timer_(loop_),
       poll_timer_(loop_),
@@ -129,7 +129,7 @@
   spdlog::info("peers: keys reloaded");
 }
 
-bool UdpReplicationService::Ready() const {
+bool UdpReplicationService::IsReady() const {
   // Always wait for the leases of an earlier incarnation to expire, which does not take long.
   if (!engine_->MayServeRequests(loop_.PreciseNow())) return false;
   if (engine_->IsTrackedByAllPeers() && engine_->swim().unheard_seeds().empty()) return true;
@@ -156,10 +156,10 @@
   if (quorum.state == logged_quorum_) return;
   logged_quorum_ = quorum.state;
   spdlog::info("peers: {}: {} of {} instances in reach, view {:016x}", membership::NameOf(logged_quorum_),
-               ReachableInstances(), FleetSize(settings_), quorum.view);
+               ReachableInstanceCount(), FleetSize(settings_), quorum.view);
 }
 
-std::size_t UdpReplicationService::ReachableInstances() const {
+std::size_t UdpReplicationService::ReachableInstanceCount() const {
   const auto alive = std::ranges::count_if(engine_->swim().peers(), [](const auto& item) {
     return item.second.member.state() == proto::Member::ALIVE;
   });
@@ -177,7 +177,7 @@
       conflicts);
 }
 
-std::string UdpReplicationService::Describe() const {
+std::string UdpReplicationService::StatusJson() const {
   return FormatReplicationReport({.now = loop_.PreciseNow(),
                                   .name = name_,
                                   .settings = settings_,
@@ -199,8 +199,8 @@
   return expected;
 }
 
-bool UdpReplicationService::CallWhenMayAnswer(GroupId group, consistency::SessionKey key,
-                                              std::function<void()> call) {
+bool UdpReplicationService::CallWhenWriteMayBeAnswered(GroupId group, consistency::SessionKey key,
+                                                       std::function<void()> call) {
   if (engine_->MayAnswerWrite(loop_.PreciseNow(), key)) return false;
   AcquireLease(group, key, consistency::LeaseUse::kWrite);
   // If this instance is the lease manager itself, it may hold the lease now.
@@ -248,7 +248,7 @@
     const auto address = net::ParseAddress(outgoing.address);
     const net::ObjectPtr<GSocketAddress> target = address ? net::SocketAddress(*address) : nullptr;
     if (target == nullptr) continue;
-    if (passes_ && !passes_(outgoing.address)) continue;
+    if (delivers_datagrams_ && !delivers_datagrams_(outgoing.address)) continue;
     const std::string datagram = authenticator_->Sign(outgoing.packet);
     CountPacket(outgoing.packet, datagram.size(), traffic_.out);
     engine_->RecordTraffic(loop_.PreciseNow(), datagram.size() + Traffic::kHeaderBytes);
@@ -280,7 +280,7 @@
 }
 
 void UdpReplicationService::HandleDatagram(std::string_view datagram, const std::string& sender_address) {
-  if (passes_ && !passes_(sender_address)) return;
+  if (delivers_datagrams_ && !delivers_datagrams_(sender_address)) return;
   if (const auto packet = authenticator_->Verify(datagram)) {
     CountPacket(*packet, datagram.size(), traffic_.in);
     engine_->RecordTraffic(loop_.PreciseNow(), datagram.size() + Traffic::kHeaderBytes);
--- a/src/replication/udp_replication_service.h
+++ b/src/replication/udp_replication_service.h
@@ -38,11 +38,12 @@
                    const consistency::WriteWatermark& watermark) override {
     engine_->RecordWrite(group, key, watermark);
   }
-  bool CallWhenMayAnswer(GroupId group, consistency::SessionKey key, std::function<void()> call) override;
+  bool CallWhenWriteMayBeAnswered(GroupId group, consistency::SessionKey key,
+                                  std::function<void()> call) override;
   void PollPeers() override;
-  bool Ready() const override;
-  std::string Describe() const override;
-  std::size_t ReachableInstances() const override;
+  bool IsReady() const override;
+  std::string StatusJson() const override;
+  std::size_t ReachableInstanceCount() const override;
   const Traffic& traffic() const override { return traffic_; }
   Duration processor_time() const override { return processor_time_.total(); }
   void Leave() override;
@@ -78,7 +79,7 @@
   ReplicationEngine::Recovery recovery_;
   consistency::SessionConsistencyGuard& consistency_guard_;
   std::function<void()> on_learned_;
-  std::function<bool(const std::string&)> passes_;
+  std::function<bool(const std::string&)> delivers_datagrams_;
   ReplicationScope scope_;
   Traffic traffic_;
   net::ObjectPtr<GSocket> socket_;
--- a/testbed/scale_host.cpp
+++ b/testbed/scale_host.cpp
@@ -111,8 +111,8 @@
         instance.proxy().consistency_guard().counts();
     probes += instance.proxy().counts().health_checks;
     reads += consistency_guard.reads;
-    marked += consistency_guard.with_watermark;
-    floored += consistency_guard.conservative;
+    marked += consistency_guard.reads_with_watermark;
+    floored += consistency_guard.conservative_reads;
     turned += consistency_guard.rejected_lost_write + consistency_guard.rejected_unknown_write;
   }
 };
@@ -137,9 +137,10 @@
     peers_->RecordWrite(group, key, watermark);
     counts_.peers_us += ThreadUs() - from;
   }
-  bool CallWhenMayAnswer(GroupId group, consistency::SessionKey key, std::function<void()> call) override {
+  bool CallWhenWriteMayBeAnswered(GroupId group, consistency::SessionKey key,
+                                  std::function<void()> call) override {
     const std::int64_t from = ThreadUs();
-    const bool waits = peers_->CallWhenMayAnswer(group, key, std::move(call));
+    const bool waits = peers_->CallWhenWriteMayBeAnswered(group, key, std::move(call));
     counts_.peers_us += ThreadUs() - from;
     return waits;
   }
@@ -148,9 +149,9 @@
     peers_->PollPeers();
     counts_.peers_us += ThreadUs() - from;
   }
-  bool Ready() const override { return peers_->Ready(); }
-  std::string Describe() const override { return peers_->Describe(); }
-  std::size_t ReachableInstances() const override { return peers_->ReachableInstances(); }
+  bool IsReady() const override { return peers_->IsReady(); }
+  std::string StatusJson() const override { return peers_->StatusJson(); }
+  std::size_t ReachableInstanceCount() const override { return peers_->ReachableInstanceCount(); }
   const replication::Traffic& traffic() const override { return peers_->traffic(); }
   Duration processor_time() const override { return peers_->processor_time(); }
   void Leave() override { peers_->Leave(); }
@@ -286,7 +287,7 @@
   parts.remove_server = [this](ServerId member) { servers_.erase(member); };
   parts.make_replication_service = [this](replication::ReplicationContext with)
       -> tl::expected<std::unique_ptr<replication::ReplicationService>, StartError> {
-    with.passes = [this](const std::string& address) { return host_.Passes(number_, address); };
+    with.delivers_datagrams = [this](const std::string& address) { return host_.Passes(number_, address); };
     with.membership_only = host_.spec_.watermarks == "none";
     auto loaded = replication::LoadReplicationModule(std::move(with));
     if (!loaded) return loaded;
@@ -581,9 +582,9 @@
     listed += instance.data_server_count() == databases_.size();
     const replication::ReplicationService* peers = instance.replication();
     reached[number] =
-        peers != nullptr ? peers->ReachableInstances() : static_cast<std::size_t>(spec_.poolers);
+        peers != nullptr ? peers->ReachableInstanceCount() : static_cast<std::size_t>(spec_.poolers);
     if (parts && peers != nullptr) {
-      const Json said = Json::parse(peers->Describe());
+      const Json said = Json::parse(peers->StatusJson());
       stalls += said.at("stalls").get<int>();
       const std::string part = said.at("part");
       of_parts[part] = of_parts.value(part, 0) + 1;
--- a/tests/replication/replication_deadlines_test.cpp
+++ b/tests/replication/replication_deadlines_test.cpp
@@ -187,9 +187,9 @@
   BlockThread(400);  // as for a long recovery or a slow disk
   const auto one = fixture.Start("one");
   g_main_context_iteration(nullptr, TRUE);
-  CHECK_FALSE(one->Ready());
+  CHECK_FALSE(one->IsReady());
   RunLoopFor(fixture.loop, 350);
-  CHECK(one->Ready());
+  CHECK(one->IsReady());
 }
 
 TEST_CASE("peers polled before a read arrived are polled again") {
--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -493,7 +493,7 @@
       host.set_server_address = [](ServerId, const net::Address&) {};
       host.remove_server = [](ServerId) {};
       host.make_replication_service = [this, members_only](replication::ReplicationContext parts) {
-        parts.passes = [this](const std::string& address) {
+        parts.delivers_datagrams = [this](const std::string& address) {
           asked.insert(address);
           return !cut;
         };
@@ -533,7 +533,7 @@
   Pair pair(false);
   REQUIRE(pair.Until(
       [&] { return pair.instance[0]->IsCountedByPeers() && pair.instance[1]->IsCountedByPeers(); }));
-  CHECK(pair.instance[0]->replication()->ReachableInstances() == 2);
+  CHECK(pair.instance[0]->replication()->ReachableInstanceCount() == 2);
   for (const std::size_t kind : {Pair::kMembers, Pair::kMarks}) {
     CHECK(pair.Of(0).out[kind].packets > 0);
     CHECK(pair.Of(1).in[kind].packets > 0);
@@ -544,16 +544,16 @@
   CHECK(pair.asked.size() == 2);
   pair.cut = true;
   const auto out = pair.Of(0).out[Pair::kMarks].bytes;
-  CHECK(pair.Until([&] { return pair.instance[0]->replication()->ReachableInstances() == 1; }));
+  CHECK(pair.Until([&] { return pair.instance[0]->replication()->ReachableInstanceCount() == 1; }));
   CHECK(pair.Of(0).out[Pair::kMarks].bytes == out);
   pair.cut = false;
-  CHECK(pair.Until([&] { return pair.instance[0]->replication()->ReachableInstances() == 2; }));
+  CHECK(pair.Until([&] { return pair.instance[0]->replication()->ReachableInstanceCount() == 2; }));
   CHECK(pair.Until([&] { return pair.Of(0).out[Pair::kMarks].bytes > out; }));
 }
 
 TEST_CASE("where a host asks for membership alone, nothing is said of marks") {
   Pair pair(true);
-  REQUIRE(pair.Until([&] { return pair.instance[0]->replication()->ReachableInstances() == 2; }));
+  REQUIRE(pair.Until([&] { return pair.instance[0]->replication()->ReachableInstanceCount() == 2; }));
   pair.Pass(Duration(300000));
   CHECK(pair.Of(0).out[Pair::kMembers].packets > 0);
   CHECK(pair.Of(0).out[Pair::kMarks].packets == 0);
