--- a/src/instance.cpp
+++ b/src/instance.cpp
@@ -127,9 +127,9 @@
                              const std::function<void()>& send) {
   if (replication_ == nullptr) return log_->NotifyWhenDurable(send);
   const bool awaits_disk = log_ != nullptr && log_->NotifyWhenDurable([this, group, session, send] {
-    if (!replication_->CallWhenMayAnswer(group, session, send)) send();
+    if (!replication_->CallWhenWriteMayBeAnswered(group, session, send)) send();
   });
-  return awaits_disk || replication_->CallWhenMayAnswer(group, session, send);
+  return awaits_disk || replication_->CallWhenWriteMayBeAnswered(group, session, send);
 }
 
 void Instance::CreateDiscoveryWatch(std::int64_t revision) {
--- a/src/instance.h
+++ b/src/instance.h
@@ -58,7 +58,7 @@
   bool has_listed_servers() const { return has_listed_servers_; }
   // Whether the other instances count this one as a member. Before that it must not respond to writes, since
   // the others would not wait for its watermarks.
-  bool IsCountedByPeers() const { return replication_ == nullptr || replication_->Ready(); }
+  bool IsCountedByPeers() const { return replication_ == nullptr || replication_->IsReady(); }
   // Announces to the other instances that this one leaves, and records a clean shutdown in the write-ahead
   // log. To be called after the last response has been sent.
   void Leave();
--- a/testbed/scale_host.cpp
+++ b/testbed/scale_host.cpp
@@ -117,8 +117,8 @@
         instance.proxy().consistency_guard().counts();
     health_checks += instance.proxy().counts().health_checks;
     reads += consistency_guard.reads;
-    with_watermark += consistency_guard.with_watermark;
-    conservative += consistency_guard.conservative;
+    with_watermark += consistency_guard.reads_with_watermark;
+    conservative += consistency_guard.conservative_reads;
     rejected += consistency_guard.rejected_lost_write + consistency_guard.rejected_unknown_write;
   }
 };
@@ -143,9 +143,10 @@
     peers_->RecordWrite(group, key, watermark);
     counts_.replication_us += ThreadCpuUs() - from;
   }
-  bool CallWhenMayAnswer(GroupId group, consistency::SessionKey key, std::function<void()> call) override {
+  bool CallWhenWriteMayBeAnswered(GroupId group, consistency::SessionKey key,
+                                  std::function<void()> call) override {
     const std::int64_t from = ThreadCpuUs();
-    const bool waits = peers_->CallWhenMayAnswer(group, key, std::move(call));
+    const bool waits = peers_->CallWhenWriteMayBeAnswered(group, key, std::move(call));
     counts_.replication_us += ThreadCpuUs() - from;
     return waits;
   }
@@ -154,9 +155,9 @@
     peers_->PollPeers();
     counts_.replication_us += ThreadCpuUs() - from;
   }
-  bool Ready() const override { return peers_->Ready(); }
-  std::string Describe() const override { return peers_->Describe(); }
-  std::size_t ReachableInstances() const override { return peers_->ReachableInstances(); }
+  bool IsReady() const override { return peers_->IsReady(); }
+  std::string StatusJson() const override { return peers_->StatusJson(); }
+  std::size_t ReachableInstanceCount() const override { return peers_->ReachableInstanceCount(); }
   const replication::Traffic& traffic() const override { return peers_->traffic(); }
   Duration processor_time() const override { return peers_->processor_time(); }
   void Leave() override { peers_->Leave(); }
@@ -297,7 +298,9 @@
   hooks.remove_server = [this](ServerId server) { servers_.erase(server); };
   hooks.make_replication_service = [this](replication::ReplicationContext context)
       -> tl::expected<std::unique_ptr<replication::ReplicationService>, StartError> {
-    context.passes = [this](const std::string& address) { return host_.IsLinkUp(number_, address); };
+    context.delivers_datagrams = [this](const std::string& address) {
+      return host_.IsLinkUp(number_, address);
+    };
     context.membership_only = host_.spec_.watermarks == "none";
     auto loaded = replication::LoadReplicationModule(std::move(context));
     if (!loaded) return loaded;
@@ -599,9 +602,9 @@
     listed += instance.data_server_count() == databases_.size();
     const replication::ReplicationService* peers = instance.replication();
     reached[number] =
-        peers != nullptr ? peers->ReachableInstances() : static_cast<std::size_t>(spec_.poolers);
+        peers != nullptr ? peers->ReachableInstanceCount() : static_cast<std::size_t>(spec_.poolers);
     if (with_parts && peers != nullptr) {
-      const Json description = Json::parse(peers->Describe());
+      const Json description = Json::parse(peers->StatusJson());
       stalls += description.at("stalls").get<int>();
       const std::string part = description.at("part");
       instances_by_part[part] = instances_by_part.value(part, 0) + 1;
