--- a/src/frontend/client_session.cpp
+++ b/src/frontend/client_session.cpp
@@ -16,6 +16,7 @@
 // Messages of one client processed per loop iteration, so that a client that pipelines hundreds does not
 // starve the others.
 constexpr int kMaxMessagesPerIteration = 16;
+constexpr int kMaxTimeBudgetMs = 3600000;
 // Latest Unix time that is accepted as a watermark. A later one would overflow in microseconds.
 constexpr std::int64_t kMaxWatermarkMs = std::int64_t{1} << 50;
 // Input that is read and discarded while a session closes. If a client sends more, the connection is closed
@@ -25,6 +26,7 @@
 // of that, which leaves time for the reset that reveals the disconnect.
 constexpr Duration kPresenceCheckInterval{40000};
 
+// Whether the text starts with a word in upper-case letters, in any case.
 bool StartsWithWord(std::string_view text, std::string_view word) {
   if (text.size() < word.size()) return false;
   for (std::size_t i = 0; i < word.size(); ++i) {
@@ -270,11 +272,12 @@
     case pg::Framing::kComplete:
       break;
   }
-  if (frame.type == 'X') {
+  if (frame.type == 'X') {  // Terminate
     Close();
     return false;
   }
-  if (frame.type != 'Q') {
+  if (frame.type != 'Q') {  // Query
+    // The other message types of the protocol are unsupported; any other byte is a protocol violation.
     const bool known = std::string_view("PBDECSHFdcfp").find(frame.type) != std::string_view::npos;
     FailConnection(known ? "0A000" : "08P01",
                    known ? "only simple queries are supported" : "unknown message type");
@@ -317,7 +320,7 @@
   const pg::Comment& comment = statement->comment();
   if (comment.id.empty()) return SendError("22023", "the comment names no id");
   if (!comment.group) return SendError("22023", "the comment names no cluster");
-  if (!comment.time_budget_ms || *comment.time_budget_ms > 3600000) {
+  if (!comment.time_budget_ms || *comment.time_budget_ms > kMaxTimeBudgetMs) {
     return SendError("22023", "the comment gives no time that a client would wait");
   }
   const auto cls = IndexOf(frontend_.class_names_, comment.request_class);
--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -77,8 +77,9 @@
   Duration write_timeout = Duration::max();  // until the last byte of the statement is written
 };
 
-// Runs attempts and health checks on data servers. Each attempt and each health check that is started is
-// followed by exactly one event, even if nothing could be sent.
+// Runs attempts and health checks on data servers. Each attempt is followed by exactly one event, even if
+// nothing could be sent, and so is each health check; one that is started while another of the same server is
+// in flight shares the event of that one. Calls and events happen on the thread of the event loop.
 class Upstream {
  public:
   virtual void StartAttempt(RequestId request, AttemptNumber attempt, ServerId server,
--- a/src/upstream/server_connection.cpp
+++ b/src/upstream/server_connection.cpp
@@ -12,6 +12,11 @@
 // From the first byte of a response to its last.
 constexpr Duration kResponseCompletionTimeout{100000};
 
+// Latest log positions, as Unix times, that are accepted from a data server. They stay far from the overflow
+// of a time in microseconds.
+constexpr std::int64_t kMaxPositionMs = std::int64_t{1} << 50;
+constexpr double kMaxPositionSeconds = 9e9;
+
 // Log positions are Unix times, in milliseconds in the protocol and in microseconds in the pooler.
 LogPosition PositionFromUnixMs(std::int64_t ms) { return LogPosition(std::chrono::milliseconds(ms)); }
 
@@ -22,7 +27,8 @@
   if (!fields) return std::nullopt;
   LoadReport report;
   for (const auto& [name, value] : *fields) {
-    if (name == "x0" && value > 0 && value < 9e9) {
+    if (name == "x0" && value > 0 && value < kMaxPositionSeconds) {
+      // The small addend keeps a rounding error of the decimal seconds from losing a millisecond.
       report.position = PositionFromUnixMs(static_cast<std::int64_t>(std::floor(value * 1000 + 1e-3)));
     } else if (name == "x1") {
       report.primary = value >= 0.5;
@@ -45,7 +51,7 @@
     if (status->value == "standby") metadata_.primary = false;
   } else if (status->name == "log_position") {
     const auto position = pg::ParseInteger(status->value);
-    if (!position || *position < 0 || *position > (std::int64_t{1} << 50)) return false;
+    if (!position || *position < 0 || *position > kMaxPositionMs) return false;
     if (*position > 0) metadata_.position = PositionFromUnixMs(*position);
   } else if (status->name == "pressure") {
     // A malformed report is ignored: the response is valid without it.
@@ -59,34 +65,34 @@
 ResponseReader::ReadResult ResponseReader::ReadMessage(char type, std::string_view body) {
   started_ = true;
   switch (type) {
-    case 'S':
+    case 'S':  // ParameterStatus
       return HandleParameterStatus(body) ? ReadResult::kMore : ReadResult::kMalformed;
-    case 'N':
-    case 'K':
-    case 'I':
+    case 'N':  // NoticeResponse
+    case 'K':  // BackendKeyData
+    case 'I':  // EmptyQueryResponse
       return ReadResult::kMore;
-    case 'R':  // only AuthenticationOk is valid, since no authentication is supported
+    case 'R':  // Authentication: only AuthenticationOk is valid, since no authentication is supported
       return body == std::string_view("\0\0\0\0", 4) ? ReadResult::kMore : ReadResult::kMalformed;
-    case 'T':
+    case 'T':  // RowDescription
       if (description_ || error_ || !pg::DescribesOneColumn(body)) return ReadResult::kMalformed;
       description_ = std::string(body);
       return ReadResult::kMore;
-    case 'D': {
+    case 'D': {  // DataRow
       const auto column = pg::ReadSingleColumnRow(body);
       if (!description_ || row_ || error_ || !column || !column->value) return ReadResult::kMalformed;
       row_ = std::string(body);
       return ReadResult::kMore;
     }
-    case 'C':
+    case 'C':  // CommandComplete
       if (!row_ || tag_ || error_ || !pg::ReadCommandTag(body)) return ReadResult::kMalformed;
       tag_ = std::string(body);
       return ReadResult::kMore;
-    case 'E':
+    case 'E':  // ErrorResponse
       if (tag_ || error_) return ReadResult::kMalformed;
       error_ = pg::ReadErrorFields(body);
       return error_ ? ReadResult::kMore : ReadResult::kMalformed;
-    case 'Z':
-      return body == "I" ? ReadResult::kReady : ReadResult::kMalformed;  // the pooler opens no transactions
+    case 'Z':  // ReadyForQuery: always idle, since the pooler opens no transactions
+      return body == "I" ? ReadResult::kReady : ReadResult::kMalformed;
     default:
       return ReadResult::kMalformed;
   }
@@ -101,6 +107,7 @@
 Outcome ResponseReader::OutcomeAtEnd(bool all_written) const {
   if (error_) {
     if (statement_invalid()) return Outcome::kNotRun;
+    // A replica rejects writes as read-only, and reads for which it is too far behind.
     if (error_->code == "25006" || error_->code == "72000") return Outcome::kMisrouted;
     if (error_->code == "53300") return Outcome::kOverloaded;
     return Outcome::kError;
