--- a/src/instance.h
+++ b/src/instance.h
@@ -76,7 +76,7 @@
     std::optional<TimePoint> complete_through{};  // those up to this time are known
   };
 
-  ListEvent ReadKnownList(std::int64_t& revision);
+  EndpointListEvent ReadKnownList(std::int64_t& revision);
   tl::expected<void, StartError> StartSessionConsistency();
   RecoveredKnowledge StartDurability(TimePoint now);
   tl::expected<void, StartError> StartReplication(bool recovered_completely);
@@ -85,7 +85,7 @@
   // and calls `send` once the write is durable and replication permits the response.
   bool DelayResponse(GroupId group, consistency::SessionKey session, const std::function<void()>& send);
   void CreateDiscoveryWatch(std::int64_t revision);
-  std::vector<ListEntry> ApplyAddresses(const discovery::EndpointListUpdate& update);
+  std::vector<EndpointListEntry> ApplyAddresses(const discovery::EndpointListUpdate& update);
   void HandleListUpdate(const discovery::EndpointListUpdate& update);
 
   net::Loop& loop_;
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -35,7 +35,7 @@
   // Ends a request at once, before the process exits: as rejected if no attempt was started, else as failed.
   void AbortRequest(RequestId request);
   // Applies a complete endpoint list or a change of it.
-  void ApplyEndpointList(ListEvent list);
+  void ApplyEndpointList(EndpointListEvent list);
   // The number of requests whose client has not been called yet.
   std::size_t requests_in_flight() const { return in_flight_; }
   consistency::SessionConsistencyGuard& consistency_guard() { return consistency_guard_; }
--- a/tests/proxy/pooler_test.cpp
+++ b/tests/proxy/pooler_test.cpp
@@ -72,7 +72,7 @@
   DataServer& draining = fleet.AddServer(kEchoValue);
   DataServer& other = fleet.AddServer(kEchoValue);
   fleet.ApplyEndpointList();
-  fleet.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+  fleet.ApplyEndpointList(EndpointListKind::kPartial, Lifecycle::kDraining);
   TestConnection& client = fleet.ConnectClient(RequestTexts(20));
   fleet.RunUntil([&] { return other.queries.size() == 20 && client.MessageTypes().ends_with("TDCZ"); });
   CHECK(draining.queries.empty());
@@ -251,10 +251,10 @@
   fleet.ApplyEndpointList();
   TestConnection& client = fleet.ConnectClient(RequestTexts(4));
   fleet.RunUntil([&] { return client.MessageTypes().ends_with("TDCZTDCZTDCZTDCZ"); });
-  fleet.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDeleted);
+  fleet.ApplyEndpointList(EndpointListKind::kPartial, Lifecycle::kDeleted);
   fleet.pool.RemoveServer(ServerId(1));
   fleet.RunUntil([&] { return fleet.pool.servers() == 1; });
-  fleet.ApplyEndpointList(ListKind::kPartial);
+  fleet.ApplyEndpointList(EndpointListKind::kPartial);
   CHECK(fleet.pool.servers() == 2);
 }
 
@@ -520,7 +520,7 @@
   discovery::DiscoveryWatch watch(fleet.loop, {"127.0.0.1", agent.port()}, reader, 41, 1, {},
                                   [&](const discovery::EndpointListUpdate&) {
                                     updated = true;
-                                    fleet.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+                                    fleet.ApplyEndpointList(EndpointListKind::kPartial, Lifecycle::kDraining);
                                   });
   watch.Start();
   for (std::size_t i = 0; i < failures.size(); ++i) {
--- a/tests/proxy/shutdown_test.cpp
+++ b/tests/proxy/shutdown_test.cpp
@@ -581,10 +581,10 @@
   SimulatedFleet fleet;
   DataServer& server = fleet.AddServer(kEchoValue);
   fleet.ApplyEndpointList();
-  fleet.ApplyEndpointList(ListKind::kPartial, Lifecycle::kDraining);
+  fleet.ApplyEndpointList(EndpointListKind::kPartial, Lifecycle::kDraining);
   TestConnection& rejected = fleet.ConnectClient({RequestText("any", "k", 300)});
   fleet.RunUntil([&] { return rejected.HasReceived("53300"); });
-  ListEvent returned{ListKind::kPartial, {}};
+  EndpointListEvent returned{EndpointListKind::kPartial, {}};
   returned.entries.push_back({.server = ServerId(1), .group = GroupId(2), .started = fleet.loop.Now()});
   fleet.proxy.ApplyEndpointList(returned);
   TestConnection& served = fleet.ConnectClient({RequestText("any", "k", 3000)});
--- a/tests/support/simulated_fleet.h
+++ b/tests/support/simulated_fleet.h
@@ -196,8 +196,9 @@
     return *servers.back();
   }
   // Lists all servers as members of group 2, the first of them in the given lifecycle.
-  void ApplyEndpointList(ListKind kind = ListKind::kPersisted, Lifecycle first = Lifecycle::kServing) {
-    ListEvent event{kind, {}};
+  void ApplyEndpointList(EndpointListKind kind = EndpointListKind::kPersisted,
+                         Lifecycle first = Lifecycle::kServing) {
+    EndpointListEvent event{kind, {}};
     for (std::size_t i = 0; i < servers.size(); ++i) {
       const auto id = static_cast<ServerId>(i + 1);
       pool.SetAddress(id, {"127.0.0.1", servers[i]->listener.port()});
