--- a/src/capacity/as_it_stands.h
+++ b/src/capacity/as_it_stands.h
@@ -39,16 +39,17 @@
 
 constexpr double kProbeIntervalMs = 200;  // peers.probe_ms
 // A probe of a data server is `SHOW pressure` and one row with a load report of two fields, as the testbed's
-// data servers answer it.
+// data servers answer it. Each segment adds IPv4 and TCP headers, and the answer is acknowledged by a segment
+// of its own.
 constexpr double kProbeQueryBytes = 19, kProbeAnswerBytes = 83;
-constexpr double kTcpHeaderBytes = 52;  // IPv4 and TCP with its timestamps, per segment
+constexpr double kTcpHeaderBytes = 52;  // IPv4 and TCP with timestamps
 
 constexpr double kPooledIdleTimeoutS = 10;            // src/upstream/connection_pool
 constexpr double kMaxAdminResponseBytes = 1'048'576;  // src/admin/admin_server
 constexpr double kReservedDescriptors = 40;           // net::DescriptorBudget
 // src/frontend: idle clients are closed early when clients hold more than one in this many descriptors.
 constexpr double kDescriptorsPerIdleClient = 8;
-// src/discovery: an empty line as a chunk, which discovery sends to each open watch as a heartbeat.
+// src/discovery: as a heartbeat, discovery sends each open watch an empty line, which is a chunk of its own.
 constexpr double kWatchHeartbeatIntervalS = 2;
 constexpr double kWatchHeartbeatBytes = 6;
 constexpr double kDrainGraceS = 2;  // rules.drain_grace_us of the platform's configuration
--- a/src/capacity/model.cpp
+++ b/src/capacity/model.cpp
@@ -313,7 +313,7 @@
                   double per_message) {
   constexpr Role role = Role::kPooler;
   const char* mechanism = "src/lease";
-  const auto part = [&](const char* name, Term term, double messages) {
+  const auto add_bytes_by_cause = [&](const char* name, Term term, double messages) {
     builder.Arithmetic(MakeRow(role, "messages", name + suffix + ", bytes a second", mechanism,
                                "a part of marks in and out, by the slope over messages of sessions"),
                        [=](const Target& target, Scenario scenario) {
@@ -321,8 +321,8 @@
                          return Computed(TermValue(term, SizeAt(target, scenario)) * messages * per_message);
                        });
   };
-  part("of it first meets", Term::kFirstContacts, kMessagesPerLeaseAcquire);
-  part("of it roaming statements", Term::kRoamingStatements, kMessagesPerLeaseTransfer);
+  add_bytes_by_cause("of it first meets", Term::kFirstContacts, kMessagesPerLeaseAcquire);
+  add_bytes_by_cause("of it roaming statements", Term::kRoamingStatements, kMessagesPerLeaseTransfer);
   // With dedicated managers one end of each message is at a manager, and managers are members too.
   const auto control_bytes = [=](bool only_writes_acquire, bool dedicated_managers) {
     return [=, at = all.at](const Target& target, Scenario scenario) {
@@ -343,7 +343,7 @@
       return cell;
     };
   };
-  const auto add = [&](const std::string& name, const char* note, const auto& at) {
+  const auto add_control_row = [&](const std::string& name, const char* note, const auto& at) {
     Row row = all;
     row.name = name + ", bytes a second" + (name.starts_with("**") ? "**" : "");
     row.note = note;
@@ -378,19 +378,19 @@
       "writes and own-reads in any order";
   add_conservative_reads(
       suffix, all.at,
-      add("control, no read's ask admitted" + suffix, floor_note, control_bytes(true, false)));
+      add_control_row("control, no read's ask admitted" + suffix, floor_note, control_bytes(true, false)));
   if (!mode.dedicated_managers && !builder.HasSlopes(mode.marks, mode.generation, true)) {
     ReplicationMode other = mode;
     other.dedicated_managers = true;
     const std::string mode_suffix = other.RowSuffix();
-    const auto demand =
-        add("**control, all kinds, both ways" + mode_suffix,
-            "not played: half of the bytes of messages of sessions, as one end of each is at an owner; the "
-            "machines are members as well",
-            control_bytes(false, true));
-    add_conservative_reads(
-        mode_suffix, demand,
-        add("control, no read's ask admitted" + mode_suffix, floor_note, control_bytes(true, true)));
+    const auto demand = add_control_row(
+        "**control, all kinds, both ways" + mode_suffix,
+        "not played: half of the bytes of messages of sessions, as one end of each is at an owner; the "
+        "machines are members as well",
+        control_bytes(false, true));
+    add_conservative_reads(mode_suffix, demand,
+                           add_control_row("control, no read's ask admitted" + mode_suffix, floor_note,
+                                           control_bytes(true, true)));
   }
   if (mode.dedicated_managers) return;
   Row held_leases =
@@ -458,16 +458,16 @@
                                                     {Term::kConstant, Term::kPoolers, Term::kLeaseMessages},
                                                     {Term::kConstant, Term::kLeaseMessages}};
   using Choices = std::vector<std::vector<Term>>;
-  const auto either = [&](const std::vector<Term>& as_each) {
-    return without_marks ? Choices{peers} : to_each ? Choices{as_each} : by_leases;
+  const auto terms_in_mode = [&](const std::vector<Term>& terms_to_each) {
+    return without_marks ? Choices{peers} : to_each ? Choices{terms_to_each} : by_leases;
   };
   std::vector<Kind> kinds = {
       {"membership", "membership", "src/membership/swim", Choices{peers}},
-      {"marks", "marks", "src/replication/watermark_replicator", either(by_packets)},
-      {"reigns", "reigns of primaries", "src/replication/timeline_gossip", either(timelines)},
+      {"marks", "marks", "src/replication/watermark_replicator", terms_in_mode(by_packets)},
+      {"reigns", "reigns of primaries", "src/replication/timeline_gossip", terms_in_mode(timelines)},
       {"ledger", "whole ledgers", "src/replication/snapshot_transfer", Choices{peers}}};
   for (const std::string& figure : OtherMessageKinds(builder.Matching(filter))) {
-    kinds.push_back({figure, figure, "src/" + figure, either(by_packets)});
+    kinds.push_back({figure, figure, "src/" + figure, terms_in_mode(by_packets)});
   }
   std::vector<Row> bytes = {discovery};
   std::vector<Row> membership, marks;
@@ -504,32 +504,33 @@
       if (kind.figure == "marks") marks.push_back(row);
     }
   }
-  const auto sum = [](const std::vector<Row>& of) {
-    return [of](const Target& target, Scenario scenario) {
+  const auto sum = [](const std::vector<Row>& summands) {
+    return [summands](const Target& target, Scenario scenario) {
       std::vector<Cell> cells;
-      for (const Row& row : of) cells.push_back(row.at(target, scenario));
+      for (const Row& row : summands) cells.push_back(row.at(target, scenario));
       return Sum(cells);
     };
   };
-  const bool owned = !without_marks && !to_each;
+  const bool has_leases = !without_marks && !to_each;
   // The bytes of watermarks that depend on lease messages.
   const auto per_message = [marks] {
     double slope = 0;
     for (const Row& row : marks) slope += row.slopes->SlopeOf(Term::kLeaseMessages).value_or(0);
     return slope;
   }();
-  Row both = MakeRow(Role::kPooler, "messages", "membership alone, both ways" + suffix + ", bytes a second",
-                     "src/membership/swim", "beside the budget of all kinds together");
-  both.budget = [](const Target& target) { return target.bytes_per_s; };
-  both.issue = "26";
-  builder.Arithmetic(both, sum(membership));
+  Row membership_both_ways =
+      MakeRow(Role::kPooler, "messages", "membership alone, both ways" + suffix + ", bytes a second",
+              "src/membership/swim", "beside the budget of all kinds together");
+  membership_both_ways.budget = [](const Target& target) { return target.bytes_per_s; };
+  membership_both_ways.issue = "26";
+  builder.Arithmetic(membership_both_ways, sum(membership));
   Row all =
       MakeRow(Role::kPooler, "messages", "**control, all kinds, both ways" + suffix + ", bytes a second**",
               "src/replication, src/discovery", "the rows of all kinds and discovery's list together");
   all.budget = [](const Target& target) { return target.bytes_per_s; };
   all.issue = "38";
-  const Row together = builder.Arithmetic(all, sum(bytes));
-  if (owned) AddLeaseRows(builder, mode, suffix, together, per_message);
+  const Row all_control = builder.Arithmetic(all, sum(bytes));
+  if (has_leases) AddLeaseRows(builder, mode, suffix, all_control, per_message);
   for (const char* direction : {"out", "in"}) {
     Row row = MakeRow(Role::kPooler, "messages", "packets " + std::string(direction) + suffix + ", a second",
                       "src/replication");
@@ -538,8 +539,8 @@
       builder.Arithmetic(row, packets);
     } else {
       const std::string figure = std::string("packets_") + direction + "_per_s";
-      builder.FittedWithEvents(row, figure, builder.FirstFittingTerms(either(by_packets), figure, filter),
-                               filter);
+      builder.FittedWithEvents(row, figure,
+                               builder.FirstFittingTerms(terms_in_mode(by_packets), figure, filter), filter);
     }
   }
   Row cpu = MakeRow(Role::kPooler, "processor", "control" + suffix + ", % of a core",
@@ -554,15 +555,15 @@
       {Term::kConstant, Term::kPackets, Term::kFleetWrites, Term::kPoolers},
       by_packets};
   const std::vector<Term> work =
-      builder.FirstFittingTerms(to_each ? by_all : either(by_packets), "cpu_share", filter);
+      builder.FirstFittingTerms(to_each ? by_all : terms_in_mode(by_packets), "cpu_share", filter);
   builder.FittedWithEvents(cpu, "cpu_share", work, filter, packets);
   if (!to_each && builder.HasFigure(filter, "exchange_cpu_share")) {
     Row exchange = cpu;
     exchange.name = "of it the exchange, by its own account" + suffix + ", % of a core";
     exchange.note = "with a load the row above holds what serving costs as well";
-    builder.FittedWithEvents(exchange, "exchange_cpu_share",
-                             builder.FirstFittingTerms(either(by_packets), "exchange_cpu_share", filter),
-                             filter, packets);
+    builder.FittedWithEvents(
+        exchange, "exchange_cpu_share",
+        builder.FirstFittingTerms(terms_in_mode(by_packets), "exchange_cpu_share", filter), filter, packets);
   }
   Row real_poolers = MakeRow(Role::kPooler, "memory", "a whole process without clients" + suffix + ", MB",
                              "src/replication, src/consistency, src/discovery, src/routing/balancer.cpp");
@@ -685,40 +686,41 @@
   };
   probe_bytes("out", kProbeQueryBytes, 2);
   probe_bytes("in", kProbeAnswerBytes, 1);
-  Row pause =
+  Row packet_intervals =
       MakeRow(role, "messages", "two pauses between packets to one pooler, ms",
               "src/replication/watermark_replicator",
               "from each to each, 2,000 packets a second at most; a word older than 240 ms is not waited "
               "for, and reads take a cautious target");
-  pause.budget = [](const Target&) { return kMaxReadDelayMs * kMaxPeerSilenceInReadDelays; };
-  pause.issue = "38";
-  builder.Arithmetic(pause, [](const Target& target, Scenario scenario) {
+  packet_intervals.budget = [](const Target&) { return kMaxReadDelayMs * kMaxPeerSilenceInReadDelays; };
+  packet_intervals.issue = "38";
+  builder.Arithmetic(packet_intervals, [](const Target& target, Scenario scenario) {
     const double poolers = SizeAt(target, scenario).poolers;
     return Computed(2 * std::max(kIdleFlushIntervalMs, PacketIntervalMs(poolers)));
   });
-  Row timelines = MakeRow(
+  Row timeline_round = MakeRow(
       role, "messages", "round in which all reigns of primaries are told to one pooler again, s",
       "src/replication/timeline_gossip",
       "from each to each, databases / members of a group, 8 a packet; a reign that changed goes first, with "
       "the "
       "next packet, and one whose packet was lost is told again within a round: beside the time in which a "
       "change of primary is to be over");
-  timelines.budget = [](const Target& target) { return target.primary_change_within_s; };
-  timelines.issue = "38";
-  builder.Arithmetic(timelines, [](const Target& target, Scenario scenario) {
+  timeline_round.budget = [](const Target& target) { return target.primary_change_within_s; };
+  timeline_round.issue = "38";
+  builder.Arithmetic(timeline_round, [](const Target& target, Scenario scenario) {
     const FleetSize size = SizeAt(target, scenario);
     const double packets = std::ceil(size.groups / kTimelinesPerPacket);
     return Computed(std::max(kTimelineRoundIntervalMs,
                              packets * std::max(kIdleFlushIntervalMs, PacketIntervalMs(size.poolers))) /
                     1000);
   });
-  Row wait = MakeRow(role, "messages", "wait of a read that asks poolers of the other region, ms",
-                     "src/consistency/session_consistency_guard",
-                     "one round trip, beside `hold_ms`; longer ones are not waited for");
-  wait.budget = [](const Target&) { return kMaxReadDelayMs; };
-  wait.issue = "38";
-  builder.Arithmetic(
-      wait, [](const Target& target, Scenario) { return Computed(target.region_round_trip_ms.assumed); });
+  Row read_wait = MakeRow(role, "messages", "wait of a read that asks poolers of the other region, ms",
+                          "src/consistency/session_consistency_guard",
+                          "one round trip, beside `hold_ms`; longer ones are not waited for");
+  read_wait.budget = [](const Target&) { return kMaxReadDelayMs; };
+  read_wait.issue = "38";
+  builder.Arithmetic(read_wait, [](const Target& target, Scenario) {
+    return Computed(target.region_round_trip_ms.assumed);
+  });
   Row ping = MakeRow(role, "messages", "answer to a ping across regions, ms", "src/membership/swim",
                      "one round trip, beside the period `probe_ms`: slower ones leave the fleet in doubt");
   ping.budget = [](const Target&) { return kProbeIntervalMs; };
@@ -769,13 +771,13 @@
   builder.Fitted(MakeRow(role, "memory", "a pooler with idle clients, MB", "src/frontend, src/net",
                          "one pooler, peers off; not control"),
                  "memory_mb", {Term::kConstant, Term::kClients}, idle);
-  Row stay = MakeRow(
+  Row idle_clients = MakeRow(
       role, "descriptors", "needed so that clients idle for up to 15 s stay", "src/frontend",
       "8 x clients of one pooler and 40 for the program; where clients hold more than an eighth, "
       "they are closed after 2.2 s, over a quarter after 0.5 s; a client asks every 2.1 s on average");
-  stay.budget = [](const Target& target) { return target.descriptors.assumed; };
-  stay.issue = "9";
-  builder.Arithmetic(stay, [](const Target& target, Scenario scenario) {
+  idle_clients.budget = [](const Target& target) { return target.descriptors.assumed; };
+  idle_clients.issue = "9";
+  builder.Arithmetic(idle_clients, [](const Target& target, Scenario scenario) {
     return Computed(kDescriptorsPerIdleClient * TermValue(Term::kClients, SizeAt(target, scenario)) +
                     kReservedDescriptors);
   });
@@ -966,18 +968,18 @@
 
 void AddCommandRows(RowBuilder& builder) {
   constexpr Role role = Role::kCommand;
-  const RecordFilter database_rate = builder.LatestGeneration("peers_command");
+  const RecordFilter peers_command_records = builder.LatestGeneration("peers_command");
   Row answer = MakeRow(role, "messages", "answer of `lynxgrade peers`, bytes", "src/admin");
   answer.budget = [](const Target&) { return kMaxAdminResponseBytes; };
   answer.issue = "none yet";
-  builder.Fitted(answer, "peers_answer_bytes", {Term::kConstant, Term::kPoolers}, database_rate);
+  builder.Fitted(answer, "peers_answer_bytes", {Term::kConstant, Term::kPoolers}, peers_command_records);
   builder.Arithmetic(MakeRow(role, "messages", "poolers to be asked for the whole fleet's word", "none",
                              "each answers for itself, on its own machine alone"),
                      [](const Target& target, Scenario) { return Computed(target.poolers); });
   builder.Arithmetic(MakeRow(role, "descriptors", "questions that one pooler answers at once", "src/admin"),
                      [](const Target&, Scenario) { return Computed(4); });
   builder.Fitted(MakeRow(role, "processor", "the pooler's for one answer, ms", "src/admin"),
-                 "peers_answer_cpu_ms", {Term::kConstant, Term::kPoolers}, database_rate);
+                 "peers_answer_cpu_ms", {Term::kConstant, Term::kPoolers}, peers_command_records);
 }
 
 }  // namespace
@@ -1113,17 +1115,17 @@
     }
     // Drops the slope with the lowest ratio to its error. Negative slopes go first: nothing in the program
     // gets cheaper with more load, so they only compensate for another slope that was estimated too high.
-    std::size_t least = 0;
+    std::size_t weakest = 0;
     double ratio = kMinSlopeToErrorRatio;
     for (std::size_t i = 0; i < varied_.size(); ++i) {
       const double slope = fit_->slopes[i + 1], error = fit_->errors[i + 1];
       if (slope >= ratio * error) continue;
       ratio = slope / error;
-      least = i + 1;
+      weakest = i + 1;
     }
-    if (least == 0) return;
-    insignificant_.push_back(varied_[least - 1]);
-    varied_.erase(varied_.begin() + static_cast<std::ptrdiff_t>(least - 1));
+    if (weakest == 0) return;
+    insignificant_.push_back(varied_[weakest - 1]);
+    varied_.erase(varied_.begin() + static_cast<std::ptrdiff_t>(weakest - 1));
   }
 }
 
@@ -1172,11 +1174,11 @@
   std::vector<Sample> samples;
   for (const Record* record : records) {
     if (!HasScript(*record, scripts) || !slopes.fit()) continue;
-    auto selected = record->figures.find(peak);
-    if (selected == record->figures.end()) selected = record->figures.find(figure);
-    if (selected == record->figures.end()) continue;
+    auto found = record->figures.find(peak);
+    if (found == record->figures.end()) found = record->figures.find(figure);
+    if (found == record->figures.end()) continue;
     const double poolers = record->size.poolers;
-    samples.push_back({{1, poolers}, std::max(0.0, selected->second - slopes.At(record->size).value)});
+    samples.push_back({{1, poolers}, std::max(0.0, found->second - slopes.At(record->size).value)});
     largest_ = std::max(largest_, samples.back().y);
     min_poolers_ = samples.size() == 1 ? poolers : std::min(min_poolers_, poolers);
     max_poolers_ = std::max(max_poolers_, poolers);
--- a/src/capacity/page.cpp
+++ b/src/capacity/page.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr double kMaxCurveGrowth = 8;        // times the target's poolers
-constexpr double kRoundingTolerance = 1e-9;  // relative error of floating-point arithmetic
+constexpr double kRoundingTolerance = 1e-9;  // relative; smaller errors come from arithmetic, not measurement
 constexpr double kMinShownChange = 0.01;     // relative change by an assumption from which a row is shown
 // Distinct from each other and from the black line of the budget. Curves of `directory` are also thicker.
 constexpr std::array kPlotColours = {"#1f77b4", "#ff7f0e", "#2ca02c", "#d62728", "#9467bd", "#8c564b",
@@ -308,9 +308,9 @@
     lines.push_back({any_size, HigherOrdinaryCell(row, target).is_lower_bound, first, text});
   }
   std::stable_sort(lines.begin(), lines.end(), [](const Line& a, const Line& b) {
-    const double most =
+    const double last =
         std::numeric_limits<double>::max();  // after rows that fail by size, before those that hold
-    return (a.any_size ? most : a.first) < (b.any_size ? most : b.first);
+    return (a.any_size ? last : a.first) < (b.any_size ? last : b.first);
   });
   std::string text =
       "| at the target | what | ordinary second | worst ordinary second | zone gone | regions cut | "
@@ -370,40 +370,40 @@
 }
 
 std::string RunsTable(const Model& model) {
-  struct Played {
+  struct RunSummary {
     std::size_t records = 0;
     std::array<double, 2> poolers{INFINITY, 0}, databases{INFINITY, 0}, statements{INFINITY, 0};
     double seconds = 0;
     std::set<std::string> commits;
   };
-  std::map<std::pair<std::string, std::string>, Played> all;
+  std::map<std::pair<std::string, std::string>, RunSummary> all;
   const auto widen = [](std::array<double, 2>& range, double value) {
     range = {std::min(range[0], value), std::max(range[1], value)};
   };
   for (const Record& record : model.records()) {
-    Played& played = all[{record.script, record.marks}];
-    ++played.records;
-    widen(played.poolers, record.size.poolers);
-    widen(played.databases, record.size.databases);
-    widen(played.statements, record.size.statements_per_s);
-    played.seconds += record.seconds;
-    played.commits.insert(record.commit.substr(0, 10));
+    RunSummary& summary = all[{record.script, record.marks}];
+    ++summary.records;
+    widen(summary.poolers, record.size.poolers);
+    widen(summary.databases, record.size.databases);
+    widen(summary.statements, record.size.statements_per_s);
+    summary.seconds += record.seconds;
+    summary.commits.insert(record.commit.substr(0, 10));
   }
   if (all.empty()) return "Nothing yet.\n";
   std::string text =
       "| script | marks | records | poolers | databases | statements a second | seconds | commits |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- |\n";
-  const auto shown = [](const std::array<double, 2>& range) {
+  const auto format_range = [](const std::array<double, 2>& range) {
     return range[0] == range[1] ? FormatFigure(range[0])
                                 : FormatFigure(range[0]) + " to " + FormatFigure(range[1]);
   };
-  for (const auto& [key, played] : all) {
+  for (const auto& [key, summary] : all) {
     std::string commits;
-    for (const std::string& commit : played.commits) commits += (commits.empty() ? "" : ", ") + commit;
+    for (const std::string& commit : summary.commits) commits += (commits.empty() ? "" : ", ") + commit;
     text += "| " + key.first + " | " + (key.second.empty() ? "-" : key.second) + " | " +
-            std::to_string(played.records) + " | " + shown(played.poolers) + " | " + shown(played.databases) +
-            " | " + shown(played.statements) + " | " + FormatFigure(played.seconds) + " | " + commits +
-            " |\n";
+            std::to_string(summary.records) + " | " + format_range(summary.poolers) + " | " +
+            format_range(summary.databases) + " | " + format_range(summary.statements) + " | " +
+            FormatFigure(summary.seconds) + " | " + commits + " |\n";
   }
   return text;
 }
@@ -416,15 +416,15 @@
     const auto cpu = record.figures.find("hollow_vs_real_cpu_ratio");
     if (bytes == record.figures.end()) continue;
     // Real poolers that serve clients use CPU time for them, so these runs compare only bytes.
-    const bool timed = cpu != record.figures.end();
-    const auto proven = [](double ratio) { return ratio >= 0.8 && ratio <= 1.25; };
-    const bool holds = proven(bytes->second) && (!timed || proven(cpu->second));
+    const bool has_cpu = cpu != record.figures.end();
+    const auto is_within_tolerance = [](double ratio) { return ratio >= 0.8 && ratio <= 1.25; };
+    const bool holds = is_within_tolerance(bytes->second) && (!has_cpu || is_within_tolerance(cpu->second));
     text += "| " + record.script + " | " + record.marks + " | " + FormatFigure(record.size.poolers) + " | " +
             FormatFigure(record.real_poolers) + " | " + FormatFigure(record.seed) + " | " +
-            FormatFigure(bytes->second) + " | " + (timed ? FormatFigure(cpu->second) : "-") + " | " +
-            (!holds  ? "**no**"
-             : timed ? "yes"
-                     : "yes, bytes alone") +
+            FormatFigure(bytes->second) + " | " + (has_cpu ? FormatFigure(cpu->second) : "-") + " | " +
+            (!holds    ? "**no**"
+             : has_cpu ? "yes"
+                       : "yes, bytes alone") +
             " |\n";
   }
   if (text.empty()) return "No run had both yet.\n";
@@ -452,12 +452,12 @@
       {"configuration_in_force_s", "discovery's new address in force, s", false},
       {"control_bytes_per_s", "control, bytes a second", false},
   }};
-  struct Shown {
+  struct WorstFigures {
     std::map<std::string, double> figures;
     double statements = 0;  // session statements of one pooler, maximum
   };
   // Keys: script, marks, generation, poolers, dedicated lease managers, and the budget of bytes set.
-  std::map<std::tuple<std::string, std::string, double, double, double, double>, Shown> all;
+  std::map<std::tuple<std::string, std::string, double, double, double, double>, WorstFigures> all;
   for (const Record& record : model.records()) {
     for (const FigureColumn& column : kFigureColumns) {
       const auto figure = record.figures.find(column.figure);
@@ -483,14 +483,14 @@
     head += std::string(" | ") + column.name;
     rule += " | ---";
   }
-  for (const auto& [key, shown] : all) {
+  for (const auto& [key, worst] : all) {
     const auto& [script, marks, generation, poolers, lease_managers, budget] = key;
     text += "| " + script + " | " + marks + " | " + FormatFigure(generation) + " | " + FormatFigure(poolers) +
             " | " + FormatFigure(lease_managers) + " | " + (budget > 0 ? FormatFigure(budget) : "-") + " | " +
-            FormatFigure(shown.statements);
+            FormatFigure(worst.statements);
     for (const FigureColumn& column : kFigureColumns) {
-      const auto figure = shown.figures.find(column.figure);
-      text += " | " + (figure == shown.figures.end() ? std::string("-") : FormatFigure(figure->second));
+      const auto figure = worst.figures.find(column.figure);
+      text += " | " + (figure == worst.figures.end() ? std::string("-") : FormatFigure(figure->second));
     }
     text += " |\n";
   }
@@ -581,7 +581,7 @@
       "# written by lynxgrade-testbed capacity; blocks in the order of curves.gp\n"
       "# poolers, then parts of the budget: ordinary second, worst ordinary second\n";
   const std::string target_at = std::to_string(std::lround(target.poolers));
-  const double most = target.poolers * kMaxCurveGrowth;
+  const double max_poolers = target.poolers * kMaxCurveGrowth;
   page.plot = "# gnuplot " + paths.plot +
               "/curves.gp, from the project's root; written by lynxgrade-testbed capacity.\n" +
               "set terminal svg size 1000,900 font \"sans,11\" background \"white\" noenhanced\n" +
@@ -589,8 +589,9 @@
               "set xlabel \"poolers; databases, clients and statements grow in step\"\n" +
               "set ylabel \"parts of the budget, worst ordinary second\"\n" +
               "set key outside bottom center\n" + "set grid\n" +
-              "set xrange [5:" + std::to_string(std::lround(most)) + "]\n" + "set yrange [0.001:1000]\n" +
-              "set arrow from " + target_at + ",0.001 to " + target_at + ",1000 nohead dashtype 3\n" +
+              "set xrange [5:" + std::to_string(std::lround(max_poolers)) + "]\n" +
+              "set yrange [0.001:1000]\n" + "set arrow from " + target_at + ",0.001 to " + target_at +
+              ",1000 nohead dashtype 3\n" +
               "plot 1 with lines linewidth 2 linecolor \"black\" title \"the budget; dotted: the target\"";
   int block = 0;
   for (const Row& row : model.rows()) {
@@ -598,12 +599,12 @@
     if (row.at(target, Scenario::kWorstOrdinary).provenance == Provenance::kNotMeasured) continue;
     if (block > 0) page.data += "\n\n";
     page.data += "# " + StripMarkup(row.name) + "\n";
-    for (double poolers = 5; poolers < most * kCurveStep; poolers *= kCurveStep) {
-      const Target grown = ScaledTo(target, std::round(std::min(poolers, most)));
+    for (double poolers = 5; poolers < max_poolers * kCurveStep; poolers *= kCurveStep) {
+      const Target scaled = ScaledTo(target, std::round(std::min(poolers, max_poolers)));
       char line[96];
-      std::snprintf(line, sizeof line, "%.0f %.4g %.4g\n", grown.poolers,
-                    row.at(grown, Scenario::kOrdinary).value / row.budget(grown),
-                    row.at(grown, Scenario::kWorstOrdinary).value / row.budget(grown));
+      std::snprintf(line, sizeof line, "%.0f %.4g %.4g\n", scaled.poolers,
+                    row.at(scaled, Scenario::kOrdinary).value / row.budget(scaled),
+                    row.at(scaled, Scenario::kWorstOrdinary).value / row.budget(scaled));
       page.data += line;
     }
     page.plot += ", \\\n  \"" + paths.plot + "/curves.dat\" index " + std::to_string(block) +
--- a/tests/capacity/capacity_test.cpp
+++ b/tests/capacity/capacity_test.cpp
@@ -131,13 +131,13 @@
 }
 
 TEST_CASE("target: an invalid file gives an error with line and column") {
-  const auto expect_error = [](const std::string& from, const std::string& to, const std::string& what) {
-    const std::string sentence = ErrorAfterReplacing(from, to);
-    CAPTURE(sentence);
-    CHECK(sentence.starts_with("line "));
-    CHECK(sentence.find(", column ") != std::string::npos);
-    CHECK(sentence.find(what) != std::string::npos);
-    CHECK(sentence.find('\n') == std::string::npos);
+  const auto expect_error = [](const std::string& from, const std::string& to, const std::string& expected) {
+    const std::string message = ErrorAfterReplacing(from, to);
+    CAPTURE(message);
+    CHECK(message.starts_with("line "));
+    CHECK(message.find(", column ") != std::string::npos);
+    CHECK(message.find(expected) != std::string::npos);
+    CHECK(message.find('\n') == std::string::npos);
   };
   expect_error("poolers = 410", "poolers = \"410\"", "'fleet.poolers' is not a whole number");
   expect_error("poolers = 410", "poolers = 410.5", "'fleet.poolers' is not a whole number");
@@ -173,11 +173,11 @@
       lines.push_back(text.substr(at, end - at + 1));
       at = end + 1;
     }
-    const std::size_t out = pick % lines.size();
-    const bool bare = lines[out].starts_with('#') || lines[out] == "\n";
+    const std::size_t removed = pick % lines.size();
+    const bool stays_valid = lines[removed].starts_with('#') || lines[removed] == "\n";
     text.clear();
-    for (std::size_t i = 0; i < lines.size(); ++i) text += i == out ? "" : lines[i];
-    RC_ASSERT(std::holds_alternative<Target>(ParseTarget(text)) == bare);
+    for (std::size_t i = 0; i < lines.size(); ++i) text += i == removed ? "" : lines[i];
+    RC_ASSERT(std::holds_alternative<Target>(ParseTarget(text)) == stays_valid);
   }));
 }
 
