--- a/src/simulator/adapter_main.cpp
+++ b/src/simulator/adapter_main.cpp
@@ -45,8 +45,8 @@
     } else if (auto* stop = std::get_if<StopInstance>(&line)) {
       instances_.erase(stop->instance);
     } else if (auto* update = std::get_if<ListUpdate>(&line)) {
-      ListEvent event{update->kind, {}};
-      if (update->kind != ListKind::kError) {
+      EndpointListEvent event{update->kind, {}};
+      if (update->kind != EndpointListKind::kError) {
         const auto entries = pages_.find(update->page);
         if (entries == pages_.end()) {
           throw WireError("event 'directory_update': field 'page' names a list not seen");
@@ -91,7 +91,7 @@
 
   Codec codec_;
   std::map<InstanceId, HostedInstance> instances_;
-  std::map<int, std::vector<ListEntry>> pages_;
+  std::map<int, std::vector<EndpointListEntry>> pages_;
   Actions actions_;
   std::string reply_;
   TimePoint now_;
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -136,10 +136,10 @@
                                       {"withdrawn", Outcome::kCancelled},
                                       {"void", Outcome::kNotRun},
                                       {"absent", Outcome::kMisrouted}};
-const NameTable<ListKind> kListKinds = {{"Partial", ListKind::kPartial},
-                                        {"Complete", ListKind::kComplete},
-                                        {"Persisted", ListKind::kPersisted},
-                                        {"Error", ListKind::kError}};
+const NameTable<EndpointListKind> kEndpointListKinds = {{"Partial", EndpointListKind::kPartial},
+                                                        {"Complete", EndpointListKind::kComplete},
+                                                        {"Persisted", EndpointListKind::kPersisted},
+                                                        {"Error", EndpointListKind::kError}};
 const NameTable<Lifecycle> kLifecycles = {
     {"SERVING", Lifecycle::kServing}, {"DRAINING", Lifecycle::kDraining}, {"DELETED", Lifecycle::kDeleted}};
 const NameTable<Idempotency> kIdempotencies = {{"idempotent", Idempotency::kIdempotent},
@@ -209,8 +209,8 @@
       settings.tenants.push_back({ReadDoubleOr(json, "quota_per_s", 0), ReadDoubleOr(json, "share", 0)});
     }
   }
-  settings.self = ReadUint32Or(settings_json, "me", 0);
-  settings.peers_total = ReadUint32Or(settings_json, "peers_total", 0);
+  settings.instance_index = ReadUint32Or(settings_json, "me", 0);
+  settings.fleet_size = ReadUint32Or(settings_json, "peers_total", 0);
   settings.zone = ReadUint32Or(settings_json, "zone", 0);
   settings.tick = ReadDurationOr(settings_json, "tick_us", settings.tick);
   settings.poll_endpoint_list =
@@ -278,11 +278,11 @@
 
 namespace {
 
-std::vector<ListEntry> DecodeListEntries(const Json& json) {
-  std::vector<ListEntry> entries;
+std::vector<EndpointListEntry> DecodeListEntries(const Json& json) {
+  std::vector<EndpointListEntry> entries;
   for (const Json& item : ReadArray(json, "records")) {
     if (!item.is_object()) ThrowFieldError("records", "holds something other than objects");
-    ListEntry entry;
+    EndpointListEntry entry;
     entry.server = ServerId(ReadUint32(item, "member"));
     entry.group = GroupId(ReadIntegerOr(item, "set", 0));
     entry.zone = ReadUint32Or(item, "az", 0);
@@ -414,8 +414,8 @@
   if (op == "spawn") return DecodeStartInstance(json, instance);
   if (op == "teardown") return StopInstance{instance};
   if (op == "directory_update") {
-    const ListKind kind = ParseName(ReadString(json, "how"), kListKinds, "how");
-    const bool failed = kind == ListKind::kError;
+    const EndpointListKind kind = ParseName(ReadString(json, "how"), kEndpointListKinds, "how");
+    const bool failed = kind == EndpointListKind::kError;
     return ListUpdate{instance, kind, failed ? -1 : static_cast<int>(ReadUint32(json, "page"))};
   }
   return InstanceEvent{instance, DecodeEvent(op, json, ReportFormatOf(instance))};
