--- a/testbed/scale_script.cpp
+++ b/testbed/scale_script.cpp
@@ -95,24 +95,24 @@
 std::string ValidateScaleOptions(const ScaleOptions& options, const Machine& machine) {
   const auto range = [](const char* name, double value, double min, double max) {
     if (value >= min && value <= max) return std::string();
-    return "--" + std::string(name) + " " + FormatNumber(value) +
-           " cannot be played: it has to lie between " + FormatNumber(min) + " and " + FormatNumber(max);
+    return "--" + std::string(name) + " " + FormatNumber(value) + " is out of range: it must be between " +
+           FormatNumber(min) + " and " + FormatNumber(max);
   };
   const auto scripts = ScaleScriptNames();
   if (std::ranges::find(scripts, options.script) == scripts.end()) {
     std::string known;
-    for (const std::string& one : scripts) known += (known.empty() ? "" : ", ") + one;
-    return "there is no script \"" + options.script + "\": " + known;
+    for (const std::string& name : scripts) known += (known.empty() ? "" : ", ") + name;
+    return "unknown script \"" + options.script + "\": it must be one of " + known;
   }
-  const std::vector<std::string> ways = {"each", "directory", "directory-plain", "none"};
-  if (std::ranges::find(ways, options.watermarks) == ways.end()) {
-    return "marks cannot be exchanged by \"" + options.watermarks +
-           "\": each, directory, directory-plain, none";
+  const std::vector<std::string> exchanges = {"each", "directory", "directory-plain", "none"};
+  if (std::ranges::find(exchanges, options.watermarks) == exchanges.end()) {
+    return "--marks \"" + options.watermarks +
+           "\" is unknown: it must be one of each, directory, directory-plain, none";
   }
   if (options.scope != "everywhere" && options.scope != "instance") {
-    return "the sessions' scope is not \"" + options.scope + "\": everywhere, instance";
+    return "--scope \"" + options.scope + "\" is unknown: it must be one of everywhere, instance";
   }
-  for (const std::string& wrong :
+  for (const std::string& problem :
        {range("poolers", options.poolers, 3, kMaxPoolers),
         range("databases", options.databases, 1, kMaxDatabases), range("real", options.real, 0, kMaxReal),
         range("seconds", options.seconds, 1, 600), range("hosts", options.hosts, 0, kMaxHosts),
@@ -123,26 +123,27 @@
         range("owners", options.owners, 0, kMaxHosts), range("bytes-per-s", options.bytes_per_s, 0, 1e9),
         range("coalesce-ms", options.coalesce_ms, 0, 100),
         range("changes-per-s", options.changes_per_s, -1, 100)}) {
-    if (!wrong.empty()) return wrong;
+    if (!problem.empty()) return problem;
   }
-  if (options.poolers <= options.real) return "of the poolers at least one has to be hollow";
+  if (options.poolers <= options.real)
+    return "at least one pooler must be simulated: --poolers must be greater than --real";
   if (options.watermarks == "none" && options.real > 0) {
-    return "real poolers exchange marks: --marks none is played with --real 0 alone";
+    return "real poolers always exchange watermarks: --marks none requires --real 0";
   }
   if (options.scope == "instance" && options.real > 0) {
-    return "real poolers are asked through their peers: --scope instance is played with --real 0 alone";
+    return "real poolers report their peers only with --scope everywhere: --scope instance requires --real 0";
   }
   const int simulated = options.poolers - options.real;
   const int separate = options.alone + options.owners;
   if (HostProcessCount(options) + separate > simulated) {
-    return "there are more processes for hollow poolers than hollow poolers: " +
+    return "there are more processes than simulated poolers: " +
            std::to_string(HostProcessCount(options) + separate) + " and " + std::to_string(simulated);
   }
   if (options.writes_share + OwnReadsShare(options) > 1) {
-    return "writes and own-reads are more than all statements: --writes-share and --own-reads-share";
+    return "--writes-share and --own-reads-share add up to more than 1";
   }
   if ((options.owners > 0 || options.bytes_per_s > 0) && options.watermarks.find("directory") != 0) {
-    return "owners and a budget of bytes are the directory's: --marks directory has to be given with them";
+    return "--owners and --bytes-per-s require --marks directory";
   }
   // The coordinator has discovery's watches and, with real poolers, a listener and connections for each
   // database.
@@ -154,20 +155,21 @@
   const std::size_t descriptors =
       std::max(coordinator, poolers_per_host * kDescriptorsPerPooler + kDescriptorsOther);
   if (descriptors > machine.descriptors) {
-    return "a process would need " + std::to_string(descriptors) + " descriptors and may hold " +
-           std::to_string(machine.descriptors);
+    return "a process of the run needs " + std::to_string(descriptors) +
+           " file descriptors and its limit is " + std::to_string(machine.descriptors);
   }
   const auto memory =
       static_cast<std::size_t>(simulated * (kMemoryMbPerPooler + kMemoryMbPerPeer * options.poolers) +
                                options.real * kMemoryMbPerRealPooler + kMemoryMbOther);
   const std::size_t usable_mb = std::min(machine.memory_mb, kMaxMemoryMb);
   if (memory > usable_mb) {
-    return "the run would need " + std::to_string(memory) + " MB of memory and may take " +
+    return "the run needs " + std::to_string(memory) + " MB of memory and may use " +
            std::to_string(usable_mb);
   }
   if (const double cores = EstimatedCores(options); cores > machine.cores * kUsableCoresShare) {
-    return "the run would keep " + FormatNumber(std::ceil(cores * 10) / 10) + " cores busy and may take " +
-           FormatNumber(machine.cores * kUsableCoresShare) + " of " + FormatNumber(machine.cores);
+    return "the run keeps an estimated " + FormatNumber(std::ceil(cores * 10) / 10) +
+           " cores busy and may use " + FormatNumber(machine.cores * kUsableCoresShare) + " of " +
+           FormatNumber(machine.cores);
   }
   return {};
 }
