--- a/bench/routing_bench.cpp
+++ b/bench/routing_bench.cpp
@@ -1,5 +1,6 @@
-// The time of a decision as the fleet grows: one request from its event to its end, and one periodic tick,
-// with 10, 60 and 600 servers in groups of six. Servers of other groups must not cost a request anything.
+// CPU time of the balancer with 10, 60 and 600 data servers in groups of six: for one request, from its
+// arrival to its end, and for one periodic tick. The time per request must not grow with the number of other
+// groups.
 #include <benchmark/benchmark.h>
 
 #include <variant>
@@ -28,6 +29,7 @@
   return settings;
 }
 
+// A balancer with a list of servers, and the simulated time.
 struct LoadedBalancer {
   explicit LoadedBalancer(std::uint32_t servers) : balancer(SiteSettings(), 1) {
     EndpointListEvent list{EndpointListKind::kPersisted, {}};
@@ -46,31 +48,31 @@
     }
   }
 
-  // One request to the next group, answered after 30 ms.
+  // Runs one request to the next group, which responds after 30 ms of simulated time.
   void RunRequest() {
-    RequestEvent ask;
-    ask.id = RequestId(++last);
-    ask.group = GroupId(last % groups);
-    ask.time_left = Duration(1600000);
+    RequestEvent request;
+    request.id = RequestId(++last_request);
+    request.group = GroupId(last_request % groups);
+    request.time_left = Duration(1600000);
     now += Duration(1000);
-    Feed(ask);
-    AttemptEndedEvent end;
-    end.id = ask.id;
+    Feed(request);
+    AttemptEndedEvent result;
+    result.id = request.id;
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<StartAttempt>(&action)) end.server = send->server;
+      if (const auto* send = std::get_if<StartAttempt>(&action)) result.server = send->server;
     }
-    end.elapsed = Duration(30000);
-    end.request_done = true;
-    end.metadata = {now, false};
-    now += end.elapsed;
-    Feed(end);
+    result.elapsed = Duration(30000);
+    result.request_done = true;
+    result.metadata = {now, false};
+    now += result.elapsed;
+    Feed(result);
   }
 
   TimePoint now{Duration(1000000000)};
   Balancer balancer;
   Actions actions;
   TimerId tick_timer{};
-  std::uint32_t groups = 1, last = 0;
+  std::uint32_t groups = 1, last_request = 0;
 };
 
 void Decision(benchmark::State& state) {
@@ -79,7 +81,7 @@
   for (auto _ : state) loaded.RunRequest();
 }
 
-// The tick comes twenty times a second, whatever the load.
+// The tick runs 20 times per second at any load.
 void Tick(benchmark::State& state) {
   LoadedBalancer loaded(static_cast<std::uint32_t>(state.range(0)));
   const TimerId tick_timer = loaded.tick_timer;
--- a/bench/watermark_table_bench.cpp
+++ b/bench/watermark_table_bench.cpp
@@ -1,5 +1,6 @@
-// SessionWatermarkTable against a plain map, in the same run: bytes per session, nanoseconds per look-up and
-// write, and the cost of expiry. The table is not expired; its slowest call is a write into a full bucket.
+// Compares SessionWatermarkTable with a std::map in the same run: memory per session, time per look-up and
+// per write, and the cost of expiry. The table has no expiry; its slowest operation is a write into a full
+// bucket.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -19,13 +20,13 @@
 
 constexpr GroupId kGroup{1};
 constexpr ServerId kServer{1};
-constexpr std::size_t kProbes = 1u << 16;
+constexpr std::size_t kNames = 1u << 16;  // random session names, prepared before the measurement
 
 LogPosition At(std::int64_t milliseconds) {
   return LogPosition(Duration(1'700'000'000'000'000 + milliseconds * 1000));
 }
 
-// Sixteen hexadecimal digits, as this platform's sessions are named.
+// Sixteen hexadecimal digits, the format of the platform's session names.
 std::string SessionName(std::uint64_t number) {
   std::array<char, 17> text{};
   std::snprintf(text.data(), text.size(), "%016llx",
@@ -36,7 +37,7 @@
 std::vector<std::string> RandomNames(std::size_t sessions) {
   std::mt19937_64 random(1);
   std::vector<std::string> names;
-  for (std::size_t i = 0; i < kProbes; ++i) names.push_back(SessionName(random() % sessions));
+  for (std::size_t i = 0; i < kNames; ++i) names.push_back(SessionName(random() % sessions));
   return names;
 }
 
@@ -83,7 +84,7 @@
   }
 }
 
-// Measures `call(table, name, number)` for random sessions of a filled table.
+// Measures `call(table, name, number)` for random sessions of a filled table. `number` counts the calls.
 template <typename Table, typename Call>
 void MeasureFilled(benchmark::State& state, Call call) {
   const auto sessions = static_cast<std::size_t>(state.range(0));
@@ -93,7 +94,7 @@
   Fill(table, sessions);
   std::size_t number = 0;
   for (auto _ : state) {
-    call(table, names[number % kProbes], number);
+    call(table, names[number % kNames], number);
     ++number;
   }
   const auto count = static_cast<double>(sessions);
@@ -116,7 +117,7 @@
   });
 }
 
-// The plain map is expired by a scan.
+// Expiry of the map: a scan over all sessions.
 void ExpireScan(benchmark::State& state) {
   const auto sessions = static_cast<std::size_t>(state.range(0));
   PlainMap map(sessions);
@@ -124,7 +125,8 @@
   for (auto _ : state) map.RemoveBefore(At(-1));
 }
 
-// Writes to a table with far more sessions than its size: each evicts another session's watermark.
+// Writes to a table that has been filled with four times as many sessions as its size, so that each write
+// evicts another session's watermark.
 void WriteEvicting(benchmark::State& state) {
   SessionWatermarkTable table(static_cast<std::size_t>(state.range(0)));
   std::mt19937_64 random(2);
