--- a/src/routing/actions.h
+++ b/src/routing/actions.h
@@ -20,7 +20,7 @@
   // is not made.
   Duration write_timeout = Duration::max();
 };
-// Final answer: the request had no effect, so that the client may safely retry it.
+// Final answer: the request was rejected, and the client may safely retry it.
 struct Reject {
   RequestId id{};
   Duration retry_after{0};  // 0: no Retry-After
