--- a/testbed/data_servers.cpp
+++ b/testbed/data_servers.cpp
@@ -126,7 +126,7 @@
       loop_, [] { return true; },
       [this, member](net::ObjectPtr<GSocket> socket) {
         auto& open = servers_[member].connections;
-        std::erase_if(open, [](const auto& one) { return one->closed(); });
+        std::erase_if(open, [](const auto& connection) { return connection->closed(); });
         open.push_back(std::make_unique<ClientConnection>(*this, member, std::move(socket)));
       });
   const auto listening = server.listener->Open({"127.0.0.1", port});
@@ -143,7 +143,7 @@
 void DataServers::Kill(std::size_t member) {
   group_.Fail(member, loop_.Now());
   servers_[member].listener.reset();
-  for (auto& one : servers_[member].connections) one->Close();
+  for (auto& connection : servers_[member].connections) connection->Close();
 }
 
 void DataServers::Isolate(std::size_t member) {
@@ -154,7 +154,7 @@
 void DataServers::Restart(std::size_t member) {
   group_.Recover(member, loop_.Now());
   servers_[member].isolated = false;
-  for (auto& one : servers_[member].connections) one->Close();
+  for (auto& connection : servers_[member].connections) connection->Close();
   if (servers_[member].listener == nullptr) Listen(member, ports_[member]);
 }
 
@@ -248,7 +248,7 @@
       listener_(
           loop, [] { return true; },
           [this](net::ObjectPtr<GSocket> socket) {
-            std::erase_if(watchers_, [](const auto& one) { return one->closed(); });
+            std::erase_if(watchers_, [](const auto& connection) { return connection->closed(); });
             watchers_.push_back(std::make_unique<Watcher>(loop_, std::move(socket), *this));
           }),
       keepalive_timer_(loop) {
@@ -256,7 +256,7 @@
     throw std::runtime_error("simulated discovery server cannot listen: " + Describe(listening.error()));
   }
   const std::function<void()> send_keepalive = [this] {
-    for (auto& one : watchers_) one->SendChunk("\n");
+    for (auto& watcher : watchers_) watcher->SendChunk("\n");
   };
   struct Repeat {
     static void Schedule(net::Timer& timer, std::function<void()> call) {
@@ -293,12 +293,12 @@
   entries_[uid] = entry;
   const std::string line =
       ListLine(false, {nlohmann::json{{"uid", old_uid}, {"state", "Gone"}}.dump(), entry});
-  for (auto& one : watchers_) one->SendChunk(line);
+  for (auto& watcher : watchers_) watcher->SendChunk(line);
 }
 
 std::size_t DiscoveryServer::watchers() const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(watchers_, [](const auto& one) { return one->is_watch(); }));
+      std::ranges::count_if(watchers_, [](const auto& watcher) { return watcher->is_watch(); }));
 }
 
 std::string DiscoveryServer::WholeList() const {
--- a/testbed/group.h
+++ b/testbed/group.h
@@ -17,8 +17,8 @@
  public:
   struct Options {
     std::size_t members = 3;
-    Duration replication_delay{
-        8000};  // from commit to applied on a replica; up to twice as much on later members
+    // From commit to applied on a replica; up to twice as much on later members.
+    Duration replication_delay{8000};
     Duration failover_time{1500000};  // from the primary's failure to the promotion of its successor
   };
 
