--- a/tests/testbed/scale_test.cpp
+++ b/tests/testbed/scale_test.cpp
@@ -499,7 +499,7 @@
       host.set_server_address = [](ServerId, const net::Address&) {};
       host.remove_server = [](ServerId) {};
       host.make_replication_service = [this, membership_only](replication::ReplicationContext context) {
-        context.passes = [this](const std::string& address) {
+        context.delivers_datagrams = [this](const std::string& address) {
           destinations.insert(address);
           return !partitioned;
         };
@@ -539,7 +539,7 @@
   InstancePair pair(false);
   REQUIRE(pair.RunUntil(
       [&] { return pair.instance[0]->IsCountedByPeers() && pair.instance[1]->IsCountedByPeers(); }));
-  CHECK(pair.instance[0]->replication()->ReachableInstances() == 2);
+  CHECK(pair.instance[0]->replication()->ReachableInstanceCount() == 2);
   for (const std::size_t kind : {InstancePair::kMembership, InstancePair::kWatermarks}) {
     CHECK(pair.TrafficOf(0).out[kind].packets > 0);
     CHECK(pair.TrafficOf(1).in[kind].packets > 0);
@@ -551,16 +551,16 @@
   CHECK(pair.destinations.size() == 2);
   pair.partitioned = true;
   const auto out = pair.TrafficOf(0).out[InstancePair::kWatermarks].bytes;
-  CHECK(pair.RunUntil([&] { return pair.instance[0]->replication()->ReachableInstances() == 1; }));
+  CHECK(pair.RunUntil([&] { return pair.instance[0]->replication()->ReachableInstanceCount() == 1; }));
   CHECK(pair.TrafficOf(0).out[InstancePair::kWatermarks].bytes == out);
   pair.partitioned = false;
-  CHECK(pair.RunUntil([&] { return pair.instance[0]->replication()->ReachableInstances() == 2; }));
+  CHECK(pair.RunUntil([&] { return pair.instance[0]->replication()->ReachableInstanceCount() == 2; }));
   CHECK(pair.RunUntil([&] { return pair.TrafficOf(0).out[InstancePair::kWatermarks].bytes > out; }));
 }
 
 TEST_CASE("with membership only, no watermark traffic is sent") {
   InstancePair pair(true);
-  REQUIRE(pair.RunUntil([&] { return pair.instance[0]->replication()->ReachableInstances() == 2; }));
+  REQUIRE(pair.RunUntil([&] { return pair.instance[0]->replication()->ReachableInstanceCount() == 2; }));
   pair.RunFor(Duration(300000));
   CHECK(pair.TrafficOf(0).out[InstancePair::kMembership].packets > 0);
   CHECK(pair.TrafficOf(0).out[InstancePair::kWatermarks].packets == 0);
